--- /dev/null
+++ b/crates/controller/tests/support/cluster.rs
@@ -0,0 +1,243 @@
+//! Three controllers in one thread, each with its journal on files in a directory: messages arrive at the next step, time is
+//! counted by hand.
+
+use controller::begin::Begin;
+use controller::journal::Journal;
+use controller::op::{Answer, Ask};
+use controller::owner::{Out, Owner, TICK};
+use disk_ring::{holder, prepare_for, Folder, Options, Prepared, Record, Shared, StdMonitor, Writer};
+use peer_link::Peer;
+use slog::Logger;
+use std::collections::VecDeque;
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use tier_settings::Settings;
+
+pub const CONTROLLERS: usize = 3;
+/// Small files, so that forty configurations go round the ring.
+pub const OPTIONS: Options = Options { file_bytes: 32 << 10, files_most: 4 };
+/// Steps of a cluster, in milliseconds.
+const STEP: u64 = 10;
+
+pub fn addr(index: usize) -> SocketAddr {
+    SocketAddr::from(([10, 0, 0, index as u8 + 1], 7_660))
+}
+
+pub fn node_name(index: usize) -> String {
+    format!("edge-{}", index + 1)
+}
+
+/// The identity that a controller's empty disk is given.
+pub fn new_identity(index: usize) -> u64 {
+    0x1000 + index as u64
+}
+
+pub fn settings(index: usize) -> Settings {
+    let ip = addr(index).ip();
+    let text = format!(
+        "Node = \"{}\"\nRole = \"controller\"\nMachineClass = \"edge\"\nServes = [\"ctl\"]\nIp = \"{ip}\"\nZone = \"z{index}\"\n\
+         Region = \"r\"\nPortRange = [7660,7675]\nPeers = [\"10.0.0.1:8146\",\"10.0.0.2:8146\",\"10.0.0.3:8146\"]\n\
+         Bootstrap = true\nVoting = true\nDataDir = \"/data\"\nHeartbeatMs = 1200\n[Bind]\nCtl = \"{ip}:8146\"\n\
+         [FaultBudget]\nNodes = 1\n",
+        node_name(index)
+    );
+    Settings::parse(&text).expect("settings")
+}
+
+/// The configuration of this version: valid, and large enough that forty go round the ring.
+pub fn config_body(gen: u64) -> String {
+    let note = format!("{gen:02} ").repeat(1_000);
+    format!(
+        "{{\"Gen\":{gen},\"Routes\":[{{\"Name\":\"r\",\"Host\":\"h{gen}.example\",\"Prefix\":\"/a/\",\"Kind\":\"idempotent\",\
+         \"TimeoutMs\":900,\"TargetMs\":100,\"Prio\":0,\"Svc\":\"s\",\"Tries\":1}}],\
+         \"Svcs\":[{{\"Name\":\"s\",\"HealthPath\":\"/h\"}}],\"Note\":\"{note}\"}}"
+    )
+}
+
+pub type Ring = Prepared<Folder, StdMonitor<Shared>>;
+
+/// Opens a controller's ring as its process does.
+pub fn open_ring(path: &Path, index: usize, identity: u64) -> Ring {
+    let holder = holder(&node_name(index), "controller");
+    prepare_for(Folder::new(path).expect("a directory"), OPTIONS, identity, holder).expect("a ring")
+}
+
+/// The records that a disk holds, oldest first.
+pub fn records(path: &Path, index: usize) -> Vec<Record> {
+    open_ring(path, index, 0xbad).records.into_iter().map(|(_, record)| record).collect()
+}
+
+pub struct Process {
+    pub owner: Owner,
+    pub identity: u64,
+    journal: Journal,
+    writer: Writer<Folder, StdMonitor<Shared>>,
+    incarnation: u64,
+}
+
+impl Process {
+    fn start(path: &Path, index: usize, incarnation: u64, now: u64) -> Process {
+        let ring = open_ring(path, index, new_identity(index));
+        let (fresh, identity) = (ring.fresh, ring.identity);
+        let (mut journal, found) = Journal::new(ring.ring, ring.records);
+        let settings = settings(index);
+        let (begin, record) = Begin::new(&settings, addr(index), incarnation, (fresh, identity), &found);
+        if let Some(record) = record {
+            journal.found(now, record);
+        }
+        let log = Logger::root(slog::Discard, slog::o!());
+        let owner = Owner::new(begin, &found, settings, log).expect("records that were written");
+        Process { owner, identity, journal, writer: ring.writer, incarnation }
+    }
+
+    fn write_to_disk(&mut self) {
+        while self.writer.has_work() {
+            self.writer.step();
+        }
+    }
+}
+
+pub struct Cluster {
+    pub now: u64,
+    directory: PathBuf,
+    processes: Vec<Option<Process>>,
+    frames: VecDeque<(usize, SocketAddr, u16, bytes::Bytes)>,
+    answers: Vec<(u64, Answer)>,
+    calls: u64,
+    incarnations: u64,
+}
+
+impl Cluster {
+    /// All of them start on what is in this directory, a directory each.
+    pub fn start(directory: &Path, now: u64) -> Cluster {
+        let mut cluster = Cluster {
+            now,
+            directory: directory.to_owned(),
+            processes: (0..CONTROLLERS).map(|_| None).collect(),
+            frames: VecDeque::new(),
+            answers: Vec::new(),
+            calls: 0,
+            incarnations: now,
+        };
+        (0..CONTROLLERS).for_each(|index| cluster.start_one(index));
+        cluster
+    }
+
+    pub fn path(&self, index: usize) -> PathBuf {
+        self.directory.join(node_name(index))
+    }
+
+    pub fn start_one(&mut self, index: usize) {
+        self.incarnations += 1;
+        let process = Process::start(&self.path(index), index, self.incarnations, self.now);
+        self.processes[index] = Some(process);
+    }
+
+    /// The process ends at once; what it has written is on its disk.
+    pub fn kill(&mut self, index: usize) {
+        self.processes[index] = None;
+    }
+
+    pub fn process(&self, index: usize) -> &Process {
+        self.processes[index].as_ref().expect("a controller that runs")
+    }
+
+    /// Lets time pass.
+    pub fn run(&mut self, for_ms: u64) {
+        let until = self.now + for_ms;
+        while self.now < until {
+            self.now += STEP;
+            for (to, from, kind, body) in std::mem::take(&mut self.frames) {
+                let from_index = (0..CONTROLLERS).find(|index| addr(*index) == from).expect("a controller");
+                let Some(id) = self.processes[from_index].as_ref().map(|p| p.incarnation) else { continue };
+                let peer = Peer { addr: from, id, node: node_name(from_index).into(), zone: "z".into() };
+                if let Some(process) = &mut self.processes[to] {
+                    process.owner.told(self.now, self.now, &peer, kind, &body);
+                    self.carry_out(to);
+                }
+            }
+            for index in 0..CONTROLLERS {
+                let Some(process) = &mut self.processes[index] else { continue };
+                if self.now.is_multiple_of(TICK) {
+                    process.owner.persistence(self.now, process.journal.state());
+                    process.owner.tick(self.now, self.now);
+                }
+                self.carry_out(index);
+            }
+        }
+    }
+
+    fn carry_out(&mut self, index: usize) {
+        let Some(process) = &mut self.processes[index] else { return };
+        loop {
+            let outs = process.owner.take();
+            if outs.is_empty() {
+                break;
+            }
+            for out in outs {
+                match out {
+                    Out::Tell { to, kind, body } => {
+                        let to = (0..CONTROLLERS).find(|index| addr(*index) == to);
+                        self.frames.extend(to.map(|to| (to, addr(index), kind, body)));
+                    }
+                    Out::Write { told, record } => process.journal.write(self.now, told, record),
+                    Out::Reply { call, answer } => self.answers.push((call, answer)),
+                }
+            }
+            process.write_to_disk();
+            let newest = *process.journal.watch().borrow();
+            let writes = process.journal.synced(self.now, newest);
+            process.owner.synced(self.now, self.now, &writes);
+        }
+        process.journal.compact(self.now, &process.owner);
+        process.write_to_disk();
+    }
+
+    /// Calls a controller, and waits for its answer.
+    pub fn call(&mut self, index: usize, ask: Ask) -> Answer {
+        self.calls += 1;
+        let (now, call) = (self.now, self.calls);
+        self.processes[index].as_mut().expect("a controller that runs").owner.asked(now, now, call, ask);
+        self.carry_out(index);
+        for _ in 0..500 {
+            if let Some(at) = self.answers.iter().position(|(of, _)| *of == call) {
+                return self.answers.remove(at).1;
+            }
+            self.run(STEP);
+        }
+        panic!("no answer in five seconds");
+    }
+
+    /// Puts a configuration in place of the one before, at whichever controller takes it.
+    pub fn configure(&mut self, base: u64, gen: u64) {
+        for _ in 0..50 {
+            for index in 0..CONTROLLERS {
+                if self.processes[index].is_none() {
+                    continue;
+                }
+                let ask = Ask::Put { base, body: config_body(gen).into() };
+                if self.call(index, ask).status == 200 {
+                    return;
+                }
+            }
+            self.run(100);
+        }
+        panic!("configuration {gen} was not taken");
+    }
+
+    /// What a reader gets, from whichever controller answers.
+    pub fn configuration(&mut self) -> Answer {
+        for _ in 0..50 {
+            for index in 0..CONTROLLERS {
+                if self.processes[index].is_some() {
+                    let answer = self.call(index, Ask::Get);
+                    if answer.status == 200 {
+                        return answer;
+                    }
+                }
+            }
+            self.run(100);
+        }
+        panic!("no configuration was read");
+    }
+}
