--- a/crates/controller/tests/stored_data.rs
+++ b/crates/controller/tests/stored_data.rs
@@ -6,6 +6,7 @@
 //! expected values below are to be taken over from them.
 
 #[path = "support/cluster.rs"]
+#[expect(dead_code, reason = "each test file uses a part")]
 mod cluster;
 
 use cluster::{addr, config_body, new_identity, records, Cluster, CONTROLLERS};
@@ -138,7 +139,10 @@
     let (change, body) = control.config.as_ref().expect("a configuration");
     let taken: Vec<(u64, u64)> = control.taken.iter().map(|change| (change.base, change.gen)).collect();
     assert_eq!(taken, (1..=CHANGES).map(|gen| (gen - 1, gen)).collect::<Vec<_>>());
-    assert!(control.taken.iter().all(|c| c.digest == *blake3::hash(config_body(c.gen).as_bytes()).as_bytes()));
+    assert!(control
+        .taken
+        .iter()
+        .all(|c| c.digest == *blake3::hash(config_body(c.gen).as_bytes()).as_bytes()));
     assert_eq!(body, config_body(CHANGES).as_bytes());
     format!(
         "identity {:x}\nview {}: {}; acceptors {}; joining {}\nin sync in {}, entered {}, received {}, applied {}\n\
--- a/crates/controller/tests/support/cluster.rs
+++ b/crates/controller/tests/support/cluster.rs
@@ -167,6 +167,13 @@
         }
     }
 
+    /// A frame of some other process arrives.
+    pub fn tell(&mut self, to: usize, from: &Peer, kind: u16, body: &bytes::Bytes) {
+        let now = self.now;
+        self.processes[to].as_mut().expect("a controller that runs").owner.told(now, now, from, kind, body);
+        self.carry_out(to);
+    }
+
     fn carry_out(&mut self, index: usize) {
         let Some(process) = &mut self.processes[index] else { return };
         loop {
--- a/crates/controller/tests/wire.rs
+++ b/crates/controller/tests/wire.rs
@@ -50,7 +50,8 @@
         flags: LEAVING | NO_DISK,
         hears: vec![addr(1).into(), SocketAddr::from(([0xfd00, 0, 0, 0, 0, 0, 0, 9], 80)).into()],
     };
-    let encoded = "05000000000000000807060504030201181716151413121103000000000000000200000000000000290000000000000001\
+    let encoded =
+        "05000000000000000807060504030201181716151413121103000000000000000200000000000000290000000000000001\
         05020000000000000000000000ffff0a000001ec1dfd0000000000000000000000000000095000";
     assert_eq!(hex(&heartbeat.encode()), encoded);
     assert_eq!(ControllerHeartbeat::decode(&bytes(encoded)), Some(heartbeat));
--- a/crates/replicated-state/tests/wire.rs
+++ b/crates/replicated-state/tests/wire.rs
@@ -22,8 +22,7 @@
 
 #[test]
 fn a_list_of_addresses_has_these_bytes() {
-    let list: Vec<SocketAddr> =
-        vec!["10.1.2.3:7660".parse().unwrap(), "[fd00::12]:65535".parse().unwrap()];
+    let list: Vec<SocketAddr> = vec!["10.1.2.3:7660".parse().unwrap(), "[fd00::12]:65535".parse().unwrap()];
     let encoded = "0200000000000000000000000000ffff0a010203ec1dfd000000000000000000000000000012ffff";
     assert_eq!(hex(&encode_addresses(&list)), encoded);
     assert_eq!(decode_addresses(&bytes(encoded)), list);
--- a/crates/runner-registry/tests/wire.rs
+++ b/crates/runner-registry/tests/wire.rs
@@ -20,7 +20,8 @@
     r#"{"Svc":"svc-1","Address":"10.128.0.9:8080","Zone":"zone-a","Gen":"v1","Slots":48,"State":"up","ColdLeftMs":1500.5,"#,
     r#""Phase":"both","Models":[{"Name":"m","Gen":3,"Loras":[]},{"Name":"n"}],"Seqno":4}"#
 );
-const DRAINING: &str = r#"{"Svc":"s","Address":"[fd00::9]:80","Slots":1,"State":"draining","Seqno":9007199254740992}"#;
+const DRAINING: &str =
+    r#"{"Svc":"s","Address":"[fd00::9]:80","Slots":1,"State":"draining","Seqno":9007199254740992}"#;
 
 const UP_ENTRY: &str = "01000700000000000000040000000000000030000000dc05000000000000040a800009901f057376632d31067a6f6e652d610276\
     3104626f746802016d0300000000000000016e0000000000000000";
@@ -43,10 +44,16 @@
     assert_eq!((sent.key.as_str(), sent.stamp), ("runner/i-7f3a91c2", Stamp(4, 0)));
     assert_eq!(sent, entry(Some(UP_ENTRY), Stamp(4, 0)));
     let runner = Runner::read(&sent).expect("a runner");
-    assert_eq!((runner.id.as_str(), runner.svc.as_str(), runner.zone.as_str()), ("i-7f3a91c2", "svc-1", "zone-a"));
+    assert_eq!(
+        (runner.id.as_str(), runner.svc.as_str(), runner.zone.as_str()),
+        ("i-7f3a91c2", "svc-1", "zone-a")
+    );
     assert_eq!((runner.gen.as_str(), runner.phase.as_str()), ("v1", "both"));
     assert_eq!((runner.addr.to_string().as_str(), runner.slots), ("10.128.0.9:8080", 48));
-    assert_eq!((runner.state, runner.cold_left_ms, runner.seqno, runner.owner), (RunnerState::Up, 1_500, 4, 7));
+    assert_eq!(
+        (runner.state, runner.cold_left_ms, runner.seqno, runner.owner),
+        (RunnerState::Up, 1_500, 4, 7)
+    );
     let models: Vec<_> = runner.models.iter().map(|model| (model.name.as_str(), model.gen)).collect();
     assert_eq!(models, [("m", 3), ("n", 0)]);
 }
