--- a/crates/fordrelay/tests/tier/main.rs
+++ b/crates/fordrelay/tests/tier/main.rs
@@ -2,6 +2,7 @@
 
 mod batch;
 mod config;
+mod forms;
 mod offline;
 mod standin;
 mod state;
