--- a/crates/simwire/tests/wire.rs
+++ b/crates/simwire/tests/wire.rs
@@ -184,3 +184,85 @@
         assert!(reply.contains("panic") && reply.contains(name), "{bad}: {reply}");
     }
 }
+
+/// Every kind of message that the host writes, word for word, over a day with a second dispatcher: see the snapshot.
+#[test]
+fn each_message_of_the_host_keeps_its_form() {
+    let facts = FACTS
+        .replace(r#""probes":true"#, r#""probes":false,"peers":true"#)
+        .replace(r#""peers-total":1"#, r#""peers-total":2"#)
+        .replace(r#""rules":{"#, r#""rules":{"hang-up-within-ms":800,"#);
+    let settled = |id: u64, leg: u32, how: i64| {
+        format!(
+            r#"{{"settled":{{"ref":{id},"leg":{leg},"worker":"10.0.0.1:80","how":{how},"finished":false,"report":[0,3]}}}}"#
+        )
+    };
+    let interim = |id: u64, what: u8, level: f64| {
+        format!(
+            r#"{{"interim":{{"ref":{id},"worker":"10.0.0.1:80","leg":0,"level":{level},"what":{what}}}}}"#
+        )
+    };
+    let request = |id: u64, expires: f64| {
+        let expires = format!("{expires:.1}");
+        REQ.replace('\n', "").replace("77", &id.to_string()).replace("6000.5", &expires)
+    };
+    let echo = |how: i64| format!(r#"{{"echo":{{"worker":"10.0.0.1:80","how":{how},"report":[3,0]}}}}"#);
+    let drain =
+        r#"{"membership":{"kind":"patch","rev":2,"entries":[{"worker":"10.0.0.1:80","status":"draining"}]}}"#;
+    let wake = r#"{"timer":{"handle":"wake"}}"#;
+    let day = |facts: &str, how: i64| {
+        let mut host = Host::default();
+        let begins = r#"{"started":{"ref":1,"worker":"10.0.0.1:80","leg":0}}"#;
+        let lines = [
+            start(facts),
+            batch(2, &request(1, 6_000.5)),
+            batch(3, &echo(0)),
+            batch(4, &interim(1, 1, 0.0)),
+            batch(5, &interim(1, 2, 0.5)),
+            batch(6, begins),
+            batch(7, &request(2, 6_000.5)),
+            batch(8, r#"{"left":{"ref":1}}"#),
+            batch(9, &settled(1, 0, 250)),
+            batch(10, &settled(2, 0, how)),
+            batch(11, wake),
+            batch(500, wake),
+            batch(1_000, &request(3, 9_000.5)),
+            batch(1_500, &settled(3, 0, 0)),
+            batch(2_000, r#"{"datagram":{"src-peer":1,"raw":"00000001ff"}}"#),
+            batch(3_000, r#"{"membership":{"kind":"failed"}}"#),
+            batch(4_500, wake),
+            batch(20_000, drain),
+            batch(20_001, &request(4, 21_500.5)),
+            batch(20_500, wake),
+            batch(21_000, wake),
+            batch(30_000, wake),
+            batch(30_001, r#"{"killed":{}}"#),
+        ];
+        let replies = lines.iter().map(|line| host.answer(line).unwrap());
+        replies.collect::<Vec<_>>().join("\n")
+    };
+    let effect = facts.replace(r#""effect":"pure""#, r#""effect":"side_effect""#);
+    let probes = facts.replace(r#""probes":false"#, r#""probes":true"#);
+    let mut all = vec![day(&probes, 254)];
+    for how in [255, 254, 253, 252, 251, 250, 249, 248] {
+        all.push(format!("pure, {how}\n{}", day(&facts, how)));
+        all.push(format!("side effect, {how}\n{}", day(&effect, how)));
+    }
+    all.push(day(&facts.replace(r#""tick-ms":2.0"#, r#""tick-ms":2.0,"over-share-worth":3"#), 0));
+    let all = all.join("\n\n");
+    for form in [
+        "try",
+        "abandon",
+        "bounce",
+        "error",
+        "sound-out",
+        "disconnect",
+        "publish",
+        "keep-informed",
+        "remind",
+        "panic",
+    ] {
+        assert!(all.contains(&format!("{{\"{form}\":{{")), "{form} is never written");
+    }
+    insta::assert_snapshot!(all);
+}
