--- a/crates/fordrelay/tests/outer_forms.rs
+++ b/crates/fordrelay/tests/outer_forms.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use settings::list::List;
 use std::io::{BufRead, BufReader, Read, Write};
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Output, Stdio};
 use std::time::Instant;
@@ -66,10 +66,22 @@
 
 impl Dispatcher {
     fn start(test: &str, known: &str, discovery: SocketAddr, listen: u16) -> Self {
+        Self::with_peer(test, known, discovery, listen, free_port(), 60_000)
+    }
+
+    /// With the other dispatcher's datagrams on this port.
+    fn with_peer(
+        test: &str,
+        known: &str,
+        discovery: SocketAddr,
+        listen: u16,
+        peer: u16,
+        period_ms: u64,
+    ) -> Self {
         let folder = std::env::temp_dir().join(format!("fordrelay-forms-{test}-{}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         let (config, operator) = (folder.join("config.json"), folder.join("operator.hcl"));
-        let peers = (free_port(), free_port());
+        let peers = (free_port(), peer);
         let class = |name: &str, effect: &str| {
             format!(
                 r#"{{"name":"{name}","effect":"{effect}","group":"zone","slo-ms":4000,"hard-limit-ms":60000,
@@ -91,7 +103,8 @@
             class("settle", "side_effect")
         );
         std::fs::write(&config, text).unwrap();
-        let kept = format!("{OPERATOR}handover {{\n  folder = {:?}\n}}\n", folder.display().to_string());
+        let operators = OPERATOR.replace("60000", &period_ms.to_string());
+        let kept = format!("{operators}handover {{\n  folder = {:?}\n}}\n", folder.display().to_string());
         std::fs::write(&operator, kept).unwrap();
         let mut child = Command::new(env!("CARGO_BIN_EXE_fordrelay"))
             .args(["serve", "--config", config.to_str().unwrap(), "--operator", operator.to_str().unwrap()])
@@ -392,6 +405,57 @@
     assert!(Dispatcher::call(dispatcher.admin, "GET", "/-/ready").starts_with("HTTP/1.1 200"));
 }
 
+/// Datagrams of two dispatchers, byte for byte: a ping is answered, one is sent, and what another tells of a target counts.
+#[test]
+fn datagrams_between_dispatchers_keep_their_bytes() {
+    let target = serving();
+    let (discovery, _calls) = discovery(vec![]);
+    let peer = UdpSocket::bind("127.0.0.1:0").unwrap();
+    peer.set_read_timeout(Some(NEVER)).unwrap();
+    let port = peer.local_addr().unwrap().port();
+    let known = list(1, true, &[(target.addr, "ready")]);
+    let dispatcher = Dispatcher::with_peer("datagrams", &known, discovery, free_port(), port, 50);
+    let receive = |what: &dyn Fn(&[u8]) -> bool| {
+        let mut buffer = [0; 300];
+        loop {
+            let (length, from) = peer.recv_from(&mut buffer).unwrap();
+            if what(&buffer[..length]) {
+                return (buffer[..length].to_vec(), from);
+            }
+        }
+    };
+    // Version 1, a ping of member 0, and its own life as the first change.
+    let (ping, from) = receive(&|bytes| bytes.starts_with(&[1, 1, 0, 0]));
+    assert!(ping.len() >= 18 && ping.len() % 5 != 0, "{ping:?}");
+    assert_eq!(
+        (&ping[10..14], &ping[14..18]),
+        (&[0, 0, 0, 0][..], &[ping[5], ping[6], ping[7], 0][..]),
+        "{ping:?}"
+    );
+    // A ping of member 1 with incarnation 9 and sequence 0x1234: its answer repeats the sequence.
+    peer.send_to(&[1, 1, 0, 1, 0, 0, 0, 9, 0x12, 0x34, 0, 0], from).unwrap();
+    let (answer, _) = receive(&|bytes| bytes.starts_with(&[1, 2, 0, 0]));
+    assert_eq!((&answer[4..8], &answer[8..12]), (&ping[4..8], &[0x12, 0x34, 0, 0][..]), "{answer:?}");
+    dispatcher.answer_with(
+        "/members",
+        r#"{"member":1,"state":"alive","incarnation":9,"heard":true,"heard_by":true}"#,
+    );
+    // A member that says that it goes; the change is of 6 bytes.
+    peer.send_to(&[1, 1, 0, 1, 0, 0, 0, 9, 0x12, 0x35, 0, 0, 0, 1, 0, 0, 9, 3], from).unwrap();
+    dispatcher.answer_with("/members", r#"{"member":1,"state":"left","incarnation":9,"#);
+    // Neither of held slots nor of members: counted where it comes in, and where it is read.
+    peer.send_to(&[7; 12], from).unwrap();
+    dispatcher.answer_with("/metrics", "fordrelay_odd_total{what=\"cut-datagram\"} 2");
+    peer.send_to(&[7; 300], from).unwrap();
+    dispatcher.answer_with("/metrics", "fordrelay_odd_total{what=\"long-datagram\"} 1");
+    // A job's slot is told with the mark of its target, 32 bits of FNV-1a over its name.
+    assert_eq!(dispatcher.send(&job("watch")).status(), "200");
+    let mark = "s-0".bytes().fold(2_166_136_261u32, |h, b| (h ^ u32::from(b)).wrapping_mul(16_777_619));
+    let [a, b, c, d] = mark.to_be_bytes();
+    let (told, _) = receive(&|bytes| bytes.len() == 5 && bytes.starts_with(&[a, b, c, d]));
+    assert!(told[4] <= 1, "{told:?}");
+}
+
 /// The one note in this folder.
 fn note_in(folder: &Path) -> Option<Left> {
     let files = std::fs::read_dir(folder).ok()?.flatten().map(|entry| entry.path());
--- a/crates/settings/tests/operator.rs
+++ b/crates/settings/tests/operator.rs
@@ -75,3 +75,92 @@
     let error = read(&GOOD.replace(good, bad)).unwrap_err();
     assert!(error.starts_with(message), "{error}");
 }
+
+/// Every key, with the bounds that it keeps to.
+#[rstest]
+#[case(
+    "listen = \"127.0.0.1:9901\"",
+    "listen = \"127.0.0.1:9901\"\n  connections = 0",
+    "admin.connections: must be 1 to 256"
+)]
+#[case(
+    "listen = \"127.0.0.1:9901\"",
+    "listen = \"127.0.0.1:9901\"\n  connections = 257",
+    "admin.connections: must be 1 to 256"
+)]
+#[case(
+    "listen = \"127.0.0.1:9901\"",
+    "listen = \"127.0.0.1:9901\"\n  request_ms = 0",
+    "admin.request_ms: must be 1 to 60000"
+)]
+#[case("period_ms = 500", "period_ms = 60001", "membership.period_ms: must be 50 to 60000")]
+#[case(
+    "admit = \"none\"",
+    "admit = -0.1",
+    "levels.level.trim.class.live-score.admit: must be \"all\", \"none\" or a share"
+)]
+#[case(
+    "admit = \"none\"",
+    "largest_slots = -1",
+    "levels.level.trim.class.live-score.largest_slots: must be 0 or more"
+)]
+#[case("admit = \"none\"", "attempts = 0", "levels.level.trim.class.live-score.attempts: must be 1 or more")]
+#[case(
+    "admit = \"none\"",
+    "headroom = 1001",
+    "levels.level.trim.class.live-score.headroom: must be 0 to 1000 slots"
+)]
+#[case("admit = \"none\"", "hold_ms = -1", "levels.level.trim.class.live-score.hold_ms: invalid value")]
+#[case("wait_ms = 100", "lost = 2", "levels.level.trim.enter.lost: ")]
+#[case("wait_ms = 100", "refused = 2", "levels.level.trim.enter.refused: ")]
+#[case("wait_ms = 100", "flows = -1", "levels.level.trim.enter.flows: ")]
+#[case("wait_ms = 100", "memory = 0", "levels.level.trim.enter.memory: ")]
+#[case("wait_ms = 100", "descriptors = 7", "levels.level.trim.enter.descriptors: ")]
+#[case("level = \"debug\"", "format = \"xml\"", "log.format: unknown variant")]
+fn a_figure_out_of_its_bounds_is_told_by_its_key(
+    #[case] good: &str,
+    #[case] bad: &str,
+    #[case] message: &str,
+) {
+    assert!(GOOD.contains(good));
+    let error = read(&GOOD.replace(good, bad)).unwrap_err();
+    let (_, said) = error.split_once(": ").unwrap();
+    assert!(said.starts_with(message), "{error}");
+}
+
+/// Each key of a level's block is read under its name: what it is given differs from what it is without.
+#[rstest]
+#[case("enabled = false")]
+#[case("look_ms = 90")]
+#[case("settle_in_ms = 9000")]
+#[case("usual_half_life_ms = 500000")]
+#[case("short_ms = 1000")]
+#[case("long_ms = 9000")]
+#[case("least_answers = 19")]
+#[case("step_ms = 11000")]
+#[case("relapse_ms = 50000")]
+#[case("forgive_ms = 200000")]
+#[case("hold_most_ms = 110000")]
+#[case("history = 31")]
+#[case("force_most_ms = 3500000")]
+fn each_key_of_the_levels_is_read_under_its_name(#[case] key: &str) {
+    let other = read(&GOOD.replace("levels {", &format!("levels {{\n  {key}"))).unwrap();
+    assert_ne!(other, read(GOOD).unwrap());
+}
+
+#[test]
+fn a_key_of_the_operators_file_that_is_left_out_counts_as_its_default() {
+    let spelled = "log {\n  format = \"text\"\n  level = \"info\"\n}\nadmin {\n  listen = \"127.0.0.1:9901\"\n  connections = 8
+  request_ms = 2000\n}\nmembership {\n  period_ms = 500\n}\nlevels {\n  enabled = true\n  look_ms = 100\n  settle_in_ms = 10000
+  usual_half_life_ms = 600000\n  short_ms = 2000\n  long_ms = 8000\n  least_answers = 20\n  step_ms = 12000\n  relapse_ms = 60000
+  forgive_ms = 300000\n  hold_most_ms = 120000\n  history = 32\n  force_most_ms = 3600000\n  level \"a\" {\n    enter {\n      for_ms = 500
+      wait_ms = 10\n    }\n    leave {\n      for_ms = 22000\n      wait_ms = 5\n    }\n    while_wait_ms = 0\n    retry_after_ms = 1000
+    class \"review\" {\n      admit = \"all\"\n      headroom = 0\n    }\n  }\n}\n";
+    let short =
+        "admin {\n  listen = \"127.0.0.1:9901\"\n}\nmembership {}\nlevels {\n  level \"a\" {\n    enter {
+      wait_ms = 10\n    }\n  }\n}\n";
+    assert_eq!(read(spelled).unwrap(), read(short).unwrap());
+    let parse = |text: &str| Operator::parse(Path::new("f.hcl"), text).unwrap().0;
+    let (spelled, short) = (parse(spelled), parse(short));
+    assert_eq!((spelled.log, spelled.admin, spelled.membership), (short.log, short.admin, short.membership));
+}
