--- a/crates/view/tests/agree.rs
+++ b/crates/control/view-agreement/tests/agree.rs
@@ -7,7 +7,7 @@
 use chain::{Member, Ms, View};
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use view::{Agreement, Body, ControllerView, Msg, Out, Record, Recovered};
+use view_agreement::{Agreement, Body, ControllerView, Msg, Out, Record, Recovered};
 
 /// What is wrong with the harness, to see that it is found.
 #[derive(Debug, Clone, Copy, PartialEq)]
--- a/crates/view/tests/agreement.rs
+++ b/crates/control/view-agreement/tests/agreement.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use chain::{Member, Ms, View};
 use proptest::prelude::*;
-use view::{Accepted, Agreement, Ballot, Body, ControllerView, Msg, Out, Record, Recovered};
+use view_agreement::{Accepted, Agreement, Ballot, Body, ControllerView, Msg, Out, Record, Recovered};
 
 fn addr(n: usize) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, n as u8 + 1], 7000))
--- a/crates/view/tests/byte_layout.rs
+++ b/crates/control/view-agreement/tests/byte_layout.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use chain::{BadBytes, Member, View};
-use view::{Accepted, Ballot, Body, ControllerView, Msg, Record, Recovered};
+use view_agreement::{Accepted, Ballot, Body, ControllerView, Msg, Record, Recovered};
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
--- a/crates/view/tests/strangers.rs
+++ b/crates/control/view-agreement/tests/strangers.rs
@@ -3,7 +3,7 @@
 use chain::{Member, View};
 use proptest::prelude::*;
 use std::net::SocketAddr;
-use view::{Accepted, Agreement, Ballot, Body, ControllerView, Msg, Out, Record, Recovered};
+use view_agreement::{Accepted, Agreement, Ballot, Body, ControllerView, Msg, Out, Record, Recovered};
 
 fn addr(n: u8) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, n], 7_000))
--- a/crates/view/tests/support/controller.rs
+++ b/crates/control/view-agreement/tests/support/controller.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use chain::{stays_on_fresh_word, Member, Ms, Node, Seen, Status, Write};
-use view::{next_controller_view, Agreement, ControllerView, Sizing};
+use view_agreement::{next_controller_view, Agreement, ControllerView, Sizing};
 
 use super::checker::{Checker, History};
 use super::{Dice, Faults};
@@ -99,7 +99,7 @@
         self.disk.syncing = None;
         self.disk.tickets.clear();
         let mut id = None;
-        let mut agreed = view::Recovered::default();
+        let mut agreed = view_agreement::Recovered::default();
         let mut chain = chain::Recovered::default();
         for record in &self.disk.records {
             match record {
@@ -195,14 +195,16 @@
             for out in agreed {
                 let Some(process) = self.process.as_mut() else { return send };
                 match out {
-                    view::Out::Send { to, msg } => send.push((to, Wire::View(msg.encode()))),
-                    view::Out::Write { ticket, record } => self.record(Record::View(record), false, ticket),
-                    view::Out::Chosen(value) => {
+                    view_agreement::Out::Send { to, msg } => send.push((to, Wire::View(msg.encode()))),
+                    view_agreement::Out::Write { ticket, record } => {
+                        self.record(Record::View(record), false, ticket)
+                    }
+                    view_agreement::Out::Chosen(value) => {
                         checker.views = checker.views.max(value.number());
                         process.node.enter(now, value.view);
                         process.need_since = None;
                     }
-                    view::Out::Confirmed { token, ok } => process.answer_read(token, ok, checker),
+                    view_agreement::Out::Confirmed { token, ok } => process.answer_read(token, ok, checker),
                 }
             }
             for out in chain {
@@ -270,7 +272,7 @@
                 self.node.message(now, from, chain::Msg::decode(&bytes).expect("what was sent"))
             }
             Wire::View(bytes) => {
-                self.agreement.message(now, from, view::Msg::decode(&bytes).expect("what was sent"))
+                self.agreement.message(now, from, view_agreement::Msg::decode(&bytes).expect("what was sent"))
             }
             Wire::Hello { id, status, leaving, sent, echo } => {
                 // An echo of an earlier incarnation of ours proves nothing.
--- a/crates/view/tests/support/world.rs
+++ b/crates/control/view-agreement/tests/support/world.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use chain::{Member, Ms, View};
-use view::{ControllerView, Sizing};
+use view_agreement::{ControllerView, Sizing};
 
 use super::checker::Checker;
 use super::controller::{Controller, Disk, Wire};
--- a/crates/controller/src/begin.rs
+++ b/crates/controller/src/begin.rs
@@ -47,8 +47,8 @@
     }
 
     /// What it holds of a founding.
-    pub(crate) fn founding(&self) -> Result<view::Recovered, Unreadable> {
-        let mut first = view::Recovered::default();
+    pub(crate) fn founding(&self) -> Result<view_agreement::Recovered, Unreadable> {
+        let mut first = view_agreement::Recovered::default();
         for record in &self.first_view {
             first.read(record).map_err(|e| Unreadable(e.to_string()))?;
         }
@@ -57,16 +57,18 @@
 
     /// Whether this is the disk of a founder of a version in which all founders had the identity 0.
     fn is_of_old_founder(&self, addr: SocketAddr) -> bool {
-        let chosen = |record: &Bytes| match view::Record::decode(record) {
-            Ok(view::Record::Chosen { value }) => Some(value),
+        let chosen = |record: &Bytes| match view_agreement::Record::decode(record) {
+            Ok(view_agreement::Record::Chosen { value }) => Some(value),
             _ => None,
         };
-        let zero = |value: view::ControllerView| value.acceptors.iter().any(|m| m.id == 0 && m.addr == addr);
+        let zero = |value: view_agreement::ControllerView| {
+            value.acceptors.iter().any(|m| m.id == 0 && m.addr == addr)
+        };
         self.founders.contains(&addr) && self.views.iter().filter_map(chosen).any(zero)
     }
 
-    pub(crate) fn recovered(&self) -> Result<(view::Recovered, chain::Recovered), Unreadable> {
-        let (mut views, mut writes) = (view::Recovered::default(), chain::Recovered::default());
+    pub(crate) fn recovered(&self) -> Result<(view_agreement::Recovered, chain::Recovered), Unreadable> {
+        let (mut views, mut writes) = (view_agreement::Recovered::default(), chain::Recovered::default());
         for record in &self.views {
             views.read(record).map_err(|e| Unreadable(e.to_string()))?;
         }
--- a/crates/controller/src/founding.rs
+++ b/crates/controller/src/founding.rs
@@ -14,7 +14,7 @@
 use chain::{BadBytes, Member, Ms, View};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use view::{Agreement, ControllerView, Msg};
+use view_agreement::{Agreement, ControllerView, Msg};
 
 /// How often a founder announces itself: a few times within the 0.3 s in which all start.
 const ANNOUNCE_EVERY: Ms = 100;
@@ -108,7 +108,7 @@
 
 impl Founding {
     /// A founder whose disk holds no view, with what it holds of a founding under way; all of it synced.
-    pub fn new(me: Member, mut founders: Vec<SocketAddr>, recovered: view::Recovered) -> Self {
+    pub fn new(me: Member, mut founders: Vec<SocketAddr>, recovered: view_agreement::Recovered) -> Self {
         founders.sort_unstable();
         founders.dedup();
         let by_address = Member { id: 0, addr: me.addr, since: 0 };
@@ -228,13 +228,17 @@
     fn collect(&mut self) {
         for out in self.agreement.take() {
             match out {
-                view::Out::Send { to, msg } if self.since.is_some() => {
+                view_agreement::Out::Send { to, msg } if self.since.is_some() => {
                     self.out.push(FoundingOut::Send { to, frame: Frame::Agree { msg } });
                 }
-                view::Out::Send { .. } | view::Out::Confirmed { .. } => {}
-                view::Out::Write { ticket, record } => self.out.push(FoundingOut::Write { ticket, record }),
-                view::Out::Chosen(view) if view.number() > 0 => self.out.push(FoundingOut::Founded(view)),
-                view::Out::Chosen(_) => {}
+                view_agreement::Out::Send { .. } | view_agreement::Out::Confirmed { .. } => {}
+                view_agreement::Out::Write { ticket, record } => {
+                    self.out.push(FoundingOut::Write { ticket, record })
+                }
+                view_agreement::Out::Chosen(view) if view.number() > 0 => {
+                    self.out.push(FoundingOut::Founded(view))
+                }
+                view_agreement::Out::Chosen(_) => {}
             }
         }
     }
--- a/crates/controller/src/owner.rs
+++ b/crates/controller/src/owner.rs
@@ -31,7 +31,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tier_settings::{Reread, Settings, SettingsError};
-use view::{Agreement, ControllerView};
+use view_agreement::{Agreement, ControllerView};
 
 /// Frames of the agreement of views.
 pub const VIEW: u16 = 0x0101;
@@ -232,7 +232,7 @@
             // What would be written can wait: others say it again.
             VIEW if self.saturated => {}
             CHAIN if !self.persistence.able() => {}
-            VIEW => match view::Msg::decode(body) {
+            VIEW => match view_agreement::Msg::decode(body) {
                 Ok(msg) => self.agreement.message(now, from.addr, msg),
                 Err(e) => self.odd(now, from, kind, &e),
             },
@@ -278,8 +278,8 @@
             Some(founding) => founding.message(now, from, frame),
             // There is a view already: whoever still founds learns it.
             None => {
-                let asks = view::Body::Ask { have: 0 };
-                self.agreement.message(now, from, view::Msg { from: 0, body: asks });
+                let asks = view_agreement::Body::Ask { have: 0 };
+                self.agreement.message(now, from, view_agreement::Msg { from: 0, body: asks });
             }
         }
     }
@@ -297,7 +297,10 @@
                 FoundingOut::Write { ticket, record } => self.write(Told::FirstView(ticket), record),
                 FoundingOut::Founded(value) => {
                     info!(self.log, "founded"; "founders" => addresses(&value.view.members));
-                    let msg = view::Msg { from: self.me.id, body: view::Body::Chosen { value } };
+                    let msg = view_agreement::Msg {
+                        from: self.me.id,
+                        body: view_agreement::Body::Chosen { value },
+                    };
                     self.agreement.message(now, self.me.addr, msg);
                 }
             }
@@ -443,10 +446,10 @@
             for out in self.agreement.take() {
                 idle = false;
                 match out {
-                    view::Out::Send { to, msg } => self.tell(to, VIEW, msg.encode()),
-                    view::Out::Write { ticket, record } => self.write(Told::View(ticket), record),
-                    view::Out::Chosen(next) => self.chosen(now, &next),
-                    view::Out::Confirmed { token: of, ok } => self.confirmed(of, ok),
+                    view_agreement::Out::Send { to, msg } => self.tell(to, VIEW, msg.encode()),
+                    view_agreement::Out::Write { ticket, record } => self.write(Told::View(ticket), record),
+                    view_agreement::Out::Chosen(next) => self.chosen(now, &next),
+                    view_agreement::Out::Confirmed { token: of, ok } => self.confirmed(of, ok),
                 }
             }
             for out in self.node.take() {
--- a/crates/controller/src/owner/repair.rs
+++ b/crates/controller/src/owner/repair.rs
@@ -9,7 +9,7 @@
 use slog::{info, warn};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
-use view::{ControllerView, Sizing};
+use view_agreement::{ControllerView, Sizing};
 
 /// How long a proposal is given before the next one, and how much later each next acceptor in the order tries.
 const PROPOSE_EVERY: Ms = 700;
@@ -182,7 +182,7 @@
             let unable_for = self.controllers.unable_for(now, m.addr);
             dead_for(m).max(deaf_for.unwrap_or(0)).max(unable_for.unwrap_or(0))
         };
-        let next = view::next_controller_view(&current, &seen, self.sizing(), &useless_for);
+        let next = view_agreement::next_controller_view(&current, &seen, self.sizing(), &useless_for);
         let Some(next) = next else {
             self.wanted = None;
             self.log_zones(&current, &seen);
--- a/crates/controller/tests/founding.rs
+++ b/crates/controller/tests/founding.rs
@@ -7,7 +7,7 @@
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::net::SocketAddr;
-use view::{ControllerView, Recovered};
+use view_agreement::{ControllerView, Recovered};
 
 /// Within this all that are up know the first view, once enough of them are there.
 const SOON: u64 = 500;
--- a/crates/controller/tests/heartbeats.rs
+++ b/crates/controller/tests/heartbeats.rs
@@ -131,11 +131,12 @@
     // 3 and 4 do not hear each other; the one with the disk counts.
     assert!(of(2).alive && of(4).alive && !of(3).alive);
     let founders: Vec<Member> = vec![Member { id: 1, addr: addr(1), since: 1 }];
-    let current = view::ControllerView {
+    let current = view_agreement::ControllerView {
         view: chain::View { number: 1, members: founders.clone(), joining: Vec::new() },
         acceptors: founders,
     };
-    let next = view::next_controller_view(&current, &seen, view::Sizing::new(1, 5_000), &|_| 0);
+    let next =
+        view_agreement::next_controller_view(&current, &seen, view_agreement::Sizing::new(1, 5_000), &|_| 0);
     let next = next.expect("there are others");
     let all = next.view.joining.iter().chain(&next.acceptors);
     assert!(all.clone().all(|m| m.addr != addr(3)) && all.count() == 5);
--- a/crates/controller/tests/wire.rs
+++ b/crates/controller/tests/wire.rs
@@ -9,7 +9,7 @@
 };
 use controller::owner::{CHAIN, CONTROLLER_HEARTBEAT, FOUNDING, VIEW};
 use std::net::SocketAddr;
-use view::{Body, ControllerView, Msg};
+use view_agreement::{Body, ControllerView, Msg};
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
--- a/crates/controller/tests/world/checker.rs
+++ b/crates/controller/tests/world/checker.rs
@@ -30,7 +30,7 @@
     pub map_at: u64,
     pub reads: u64,
     pub refusals: u64,
-    pub view: Option<view::ControllerView>,
+    pub view: Option<view_agreement::ControllerView>,
     pub views: u64,
     pub faults: u64,
 }
--- a/crates/controller/tests/world/planted.rs
+++ b/crates/controller/tests/world/planted.rs
@@ -50,8 +50,10 @@
     /// Whether a frame of this kind of this controller never goes out.
     pub fn withholds(&self, n: usize, kind: u16, body: &Bytes) -> bool {
         if kind == VIEW && self.has(Planted::NoViewChange) {
-            let msg = view::Msg::decode(body).map(|msg| msg.body);
-            let decides = |body| matches!(body, view::Body::Prepare { .. } | view::Body::Accept { .. });
+            let msg = view_agreement::Msg::decode(body).map(|msg| msg.body);
+            let decides = |body| {
+                matches!(body, view_agreement::Body::Prepare { .. } | view_agreement::Body::Accept { .. })
+            };
             return self.checker.view.is_some() && msg.is_ok_and(decides);
         }
         let was_cut = self.controllers[n].cut.is_some_and(|(_, until)| until <= self.now);
