--- a/crates/batch-store/examples/recovery.rs
+++ b/crates/batch-store/examples/recovery.rs
@@ -18,7 +18,7 @@
 use batch::BatchJobs;
 use batch_store::journal::ReadBack;
 use bytes::Bytes;
-use chain::{Machine, Member, Node, Recovered, Write};
+use chain_replication::{Machine, Member, Node, Recovered, Write};
 use disk_ring::{open, open_each, DiskError, DiskRing, Options, Record};
 
 const FILE_BYTES: u64 = 4 << 20;
--- a/crates/batch-store/src/core.rs
+++ b/crates/batch-store/src/core.rs
@@ -13,7 +13,7 @@
     CHAIN, GRANT, GRANTED, HEARTBEAT, HEARTBEAT_INTERVAL_MS, LEFT, MOST_PARTITIONS, RESERVE, RESERVE_NOTE,
 };
 use bytes::Bytes;
-use chain::{Member, Ms, Msg, Recovered, Write};
+use chain_replication::{Member, Ms, Msg, Recovered, Write};
 use compact_str::CompactString;
 use disk_ring::{DiskState, Persistence};
 use slog::{info, warn, Logger};
@@ -164,7 +164,7 @@
     Wire(#[from] WireError),
     /// A message of the chain that can't be read.
     #[error("{0}")]
-    Chain(#[from] chain::BadBytes),
+    Chain(#[from] chain_replication::BadBytes),
     /// A kind that a store doesn't know.
     #[error("a frame of an unknown kind")]
     Kind,
@@ -253,12 +253,12 @@
     }
 
     /// One partition's copy, if it has one.
-    pub fn node(&self, part: usize) -> Option<&chain::Node<batch::BatchJobs>> {
+    pub fn node(&self, part: usize) -> Option<&chain_replication::Node<batch::BatchJobs>> {
         self.parts.get(part)?.as_ref().map(Part::node)
     }
 
     /// The partitions of which it has a copy.
-    pub fn held(&self) -> impl Iterator<Item = (u16, &chain::Node<batch::BatchJobs>)> {
+    pub fn held(&self) -> impl Iterator<Item = (u16, &chain_replication::Node<batch::BatchJobs>)> {
         let parts = self.parts.iter().zip(0u16..);
         parts.filter_map(|(part, number)| part.as_ref().map(|part| (number, part.node())))
     }
@@ -348,7 +348,8 @@
         if self.map.as_ref().is_some_and(|old| old.number >= map.number) {
             return;
         }
-        let head = |view: &&chain::View| view.members.first().is_some_and(|m| m.addr == self.terms.addr);
+        let head =
+            |view: &&chain_replication::View| view.members.first().is_some_and(|m| m.addr == self.terms.addr);
         let heads = map.partitions.iter().filter(head).count();
         info!(self.log, "map of the stores"; "number" => map.number, "stores" => map.stores.len(), "head_of" => heads);
         let turn = Turn {
@@ -494,7 +495,7 @@
 
     /// The logs of all partitions together stay within a bound, however many there are.
     fn limit_logs(&mut self) {
-        let limit = chain::log_limit(self.held().map(|(_, node)| node.log_bytes()));
+        let limit = chain_replication::log_limit(self.held().map(|(_, node)| node.log_bytes()));
         self.parts.iter_mut().flatten().for_each(|part| part.limit_log(limit));
     }
 
@@ -531,7 +532,7 @@
 
     fn heartbeat(&mut self, now: Ms) {
         self.heartbeat_at = Some(now);
-        let status = |(number, node): (u16, &chain::Node<batch::BatchJobs>)| PartStatus {
+        let status = |(number, node): (u16, &chain_replication::Node<batch::BatchJobs>)| PartStatus {
             partition: number,
             status: node.status(),
             batch_jobs: u32::try_from(node.machine().len()).unwrap_or(u32::MAX),
--- a/crates/batch-store/src/core/calls.rs
+++ b/crates/batch-store/src/core/calls.rs
@@ -10,7 +10,7 @@
     SubmitAnswer, SubmitCall, Want, BODY, DONE, END, FETCH, HOLD, MAX_FETCH_BYTES, READ, SUBMIT,
 };
 use bytes::Bytes;
-use chain::Ms;
+use chain_replication::Ms;
 use std::net::SocketAddr;
 
 impl<R: Answer> Store<R> {
--- a/crates/batch-store/src/core/quota.rs
+++ b/crates/batch-store/src/core/quota.rs
@@ -7,7 +7,7 @@
     RESERVE, RESERVE_NOTE,
 };
 use bytes::Bytes;
-use chain::Ms;
+use chain_replication::Ms;
 
 impl<R: Answer> Store<R> {
     /// A word that is for a head which is another one now is dropped: who sent it asks again.
--- a/crates/batch-store/src/fetches.rs
+++ b/crates/batch-store/src/fetches.rs
@@ -1,7 +1,7 @@
 //! Gateways that wait for items.
 
 use batch::wire::{FetchCall, MAX_WAIT_MS};
-use chain::Ms;
+use chain_replication::Ms;
 use std::collections::VecDeque;
 
 /// Calls that may wait: one a gateway and some that were given up.
--- a/crates/batch-store/src/journal.rs
+++ b/crates/batch-store/src/journal.rs
@@ -4,7 +4,7 @@
 use batch::wire::MOST_PARTITIONS;
 use batch::BatchJobs;
 use bytes::Bytes;
-use chain::{Machine, Ms, Node, Recovered, Write};
+use chain_replication::{Machine, Ms, Node, Recovered, Write};
 use disk_ring::{DiskRing, DiskState, Record};
 use std::collections::VecDeque;
 
@@ -41,7 +41,7 @@
         /// The partition.
         part: u32,
         /// What is wrong.
-        why: chain::BadBytes,
+        why: chain_replication::BadBytes,
     },
     /// A record of no known kind.
     #[error("record {ticket} has kind {kind}, partition {part}")]
@@ -59,7 +59,7 @@
         /// The partition.
         part: u16,
         /// What is wrong.
-        why: chain::BadSnapshot,
+        why: chain_replication::BadSnapshot,
     },
 }
 
--- a/crates/batch-store/src/pace.rs
+++ b/crates/batch-store/src/pace.rs
@@ -4,7 +4,7 @@
 //! its way takes the link [`MOST_AHEAD_MS`] at most, so heartbeats and the chain's frames behind it are not late, and a
 //! store that everybody reads from at once keeps its lease.
 
-use chain::Ms;
+use chain_replication::Ms;
 
 /// What has left may be ahead of the pace by so much: a tick of the process, so that the pace is kept from tick to tick.
 const MOST_AHEAD_MS: Ms = 100;
--- a/crates/batch-store/src/part.rs
+++ b/crates/batch-store/src/part.rs
@@ -11,7 +11,7 @@
 };
 use batch::{BatchJobs, Owner, QuotaOwner};
 use bytes::Bytes;
-use chain::{Member, Ms, Msg, Node, Out, Recovered, View, Write};
+use chain_replication::{Member, Ms, Msg, Node, Out, Recovered, View, Write};
 use compact_str::CompactString;
 use quota::Reserving;
 use slog::{debug, info, Logger};
--- a/crates/batch-store/src/part/calls.rs
+++ b/crates/batch-store/src/part/calls.rs
@@ -7,7 +7,7 @@
     SubmitAnswer, SubmitCall, MAX_READ_BYTES, MAX_WAIT_MS,
 };
 use batch::{End, Quota, Submit};
-use chain::Ms;
+use chain_replication::Ms;
 
 /// Results are proposed in pieces of about so many bytes.
 const PIECE: usize = 512 << 10;
--- a/crates/batch-store/src/part/quota.rs
+++ b/crates/batch-store/src/part/quota.rs
@@ -7,7 +7,7 @@
     SubmitCall, AUDIT, GRANTED, RESERVE, RESERVE_NOTE,
 };
 use batch::{most_tokens, Decision, Quota};
-use chain::Ms;
+use chain_replication::Ms;
 use compact_str::CompactString;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/batch-store/src/process.rs
+++ b/crates/batch-store/src/process.rs
@@ -118,7 +118,7 @@
 struct Found {
     ring: DiskRing,
     bytes: u64,
-    parts: Vec<(u16, chain::Recovered)>,
+    parts: Vec<(u16, chain_replication::Recovered)>,
     identity: u64,
 }
 
@@ -381,7 +381,7 @@
         least: faults_at_once(&settings.budget) + 1,
         most_bytes: usize::try_from(settings.limits.ram_mb * 1_000_000 / MEMORY_PART)
             .unwrap_or(usize::MAX)
-            .min(chain::MOST_SNAPSHOT_BYTES as usize * 7 / 8),
+            .min(chain_replication::MOST_SNAPSHOT_BYTES as usize * 7 / 8),
         incarnation: draw(),
         answer_bytes_per_ms: (settings.limits.link_mbps * BYTES_PER_MS_OF_A_MBIT * ANSWER_SHARE) as u64,
     };
--- a/crates/batch-store/tests/journal.rs
+++ b/crates/batch-store/tests/journal.rs
@@ -5,7 +5,7 @@
 use batch::BatchJobs;
 use batch_store::journal::{read_back, BadRecord, Journal, ReadBack};
 use bytes::Bytes;
-use chain::{Machine as _, Member, Node, Out, Recovered, View, Write};
+use chain_replication::{Machine as _, Member, Node, Out, Recovered, View, Write};
 use disk_ring::{open, Options, Record};
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64;
--- a/crates/batch-store/tests/refused.rs
+++ b/crates/batch-store/tests/refused.rs
@@ -4,7 +4,7 @@
 use batch::wire::*;
 use batch_store::{Answer, Effect, Odd, Store, Terms};
 use bytes::Bytes;
-use chain::{Member, View, Write};
+use chain_replication::{Member, View, Write};
 use disk_ring::DiskState;
 use proptest::prelude::*;
 use slog::{o, Discard, Logger};
--- a/crates/batch-store/tests/store.rs
+++ b/crates/batch-store/tests/store.rs
@@ -3,7 +3,7 @@
 use batch::wire::*;
 use batch_store::{Answer, Disk, Effect, Store, Terms};
 use bytes::Bytes;
-use chain::{Member, View};
+use chain_replication::{Member, View};
 use disk_ring::DiskState;
 use slog::{o, Discard, Logger};
 use std::cell::RefCell;
@@ -575,7 +575,7 @@
     let command = Bytes::from(vec![0xFF; 100_000]);
     let entries: Vec<(u64, u64, Bytes)> = (1..=80).map(|number| (1, number, command.clone())).collect();
     let parts = (0..PARTITIONS as u16)
-        .map(|part| (part, chain::Recovered { entries: entries.clone(), ..Default::default() }))
+        .map(|part| (part, chain_replication::Recovered { entries: entries.clone(), ..Default::default() }))
         .collect();
     let mut one = One::with_id(1, 1);
     let terms = Terms {
--- a/crates/batch-store/tests/stored_data.rs
+++ b/crates/batch-store/tests/stored_data.rs
@@ -6,7 +6,7 @@
 use batch_store::journal::{Journal, ReadBack};
 use batch_store::{Answer, Effect, Store, Terms};
 use bytes::Bytes;
-use chain::{Member, View};
+use chain_replication::{Member, View};
 use disk_ring::{Options, Record};
 use flate2::read::GzDecoder;
 use slog::{o, Discard, Logger};
@@ -174,7 +174,7 @@
     /// Until all that was handed over is on the disk.
     fn settle(&mut self) {
         self.until("all is on the disk", |disk| {
-            let committed = |(part, node): (u16, &chain::Node<BatchJobs>)| {
+            let committed = |(part, node): (u16, &chain_replication::Node<BatchJobs>)| {
                 part == UNCOMMITTED || node.committed() == node.received() && node.active()
             };
             !disk.journal.disk().behind && disk.store.held().all(committed)
@@ -428,7 +428,7 @@
     let mut journal = Journal::new(opened.ring, 0, 0);
     let entry = |number, bytes: usize| {
         let command = (0..bytes).map(|n| n as u8).collect::<Vec<u8>>().into();
-        chain::Write::Entry { view: 1, number, command }
+        chain_replication::Write::Entry { view: 1, number, command }
     };
     let (short, long) = (entry(1, 3), entry(2, 300_000));
     journal.write(3, 1, &short);
--- a/crates/batch-store/tests/world/losses.rs
+++ b/crates/batch-store/tests/world/losses.rs
@@ -4,7 +4,7 @@
 
 use super::{addr, Disk, Event, Process, World};
 use batch::BatchJobs;
-use chain::{Member, Node, Recovered, Write};
+use chain_replication::{Member, Node, Recovered, Write};
 use rand_pcg::rand_core::RngCore;
 
 /// `SyncS` of the deployment with the shortest one.
--- a/crates/batch-store/tests/world/mod.rs
+++ b/crates/batch-store/tests/world/mod.rs
@@ -9,7 +9,7 @@
 use batch::wire::{Heartbeat, Listed, Message, MOST_PARTITIONS};
 use batch_store::{Answer, Effect, Store, Terms};
 use bytes::Bytes;
-use chain::{Recovered, Write};
+use chain_replication::{Recovered, Write};
 use controller::Controller;
 use disk_ring::DiskState;
 use gateway::Gateways;
--- a/crates/batch/src/leases.rs
+++ b/crates/batch/src/leases.rs
@@ -1,7 +1,7 @@
 //! Who holds which item, and since when it was last said so.
 
 use crate::wire::HOLDER_SILENT_MS;
-use chain::Ms;
+use chain_replication::Ms;
 use std::collections::HashMap;
 
 /// An item of a batch job: the batch job's key at its head, the item's index.
--- a/crates/batch/src/owner.rs
+++ b/crates/batch/src/owner.rs
@@ -17,7 +17,7 @@
     Done, Held, Leased, Outcome, State, SubmitAnswer, SubmitCall, Want, MAX_FETCH_BYTES, MAX_ITEMS,
 };
 use bytes::Bytes;
-use chain::{Ms, MOST_COMMAND_BYTES};
+use chain_replication::{Ms, MOST_COMMAND_BYTES};
 use compact_str::CompactString;
 use std::collections::{BTreeSet, HashMap};
 
--- a/crates/batch/src/owner/time.rs
+++ b/crates/batch/src/owner/time.rs
@@ -5,7 +5,7 @@
 use crate::table::BatchJobs;
 use crate::wire::State;
 use bytes::Bytes;
-use chain::Ms;
+use chain_replication::Ms;
 use compact_str::CompactString;
 
 /// How often silent holders are looked for.
--- a/crates/batch/src/quota.rs
+++ b/crates/batch/src/quota.rs
@@ -9,7 +9,7 @@
 use crate::table::BatchJobs;
 use crate::wire::{AuditCall, AuditLot, Left, LeftWord, ReserveCall};
 use bytes::Bytes;
-use chain::Ms;
+use chain_replication::Ms;
 use compact_str::CompactString;
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
--- a/crates/batch/src/table.rs
+++ b/crates/batch/src/table.rs
@@ -9,7 +9,7 @@
 use binrw::io::{Cursor, Write};
 use binrw::{BinRead, BinWrite};
 use bytes::Bytes;
-use chain::{BadSnapshot, Machine};
+use chain_replication::{BadSnapshot, Machine};
 use compact_str::CompactString;
 use std::collections::BTreeMap;
 
--- a/crates/batch/src/wire/map.rs
+++ b/crates/batch/src/wire/map.rs
@@ -6,7 +6,7 @@
 };
 use binrw::binrw;
 use bytes::Bytes;
-use chain::{Status, View};
+use chain_replication::{Status, View};
 use compact_str::CompactString;
 use std::net::SocketAddr;
 
@@ -237,7 +237,7 @@
 pub struct ChainFrame {
     /// The partition.
     pub partition: u16,
-    /// What `chain::Msg` encodes to.
+    /// What `chain_replication::Msg` encodes to.
     #[br(parse_with = bytes_of, args(8 << 20))]
     #[bw(write_with = put_bytes, args(8 << 20))]
     pub body: Bytes,
--- a/crates/batch/tests/frame_bytes.rs
+++ b/crates/batch/tests/frame_bytes.rs
@@ -5,7 +5,7 @@
 use batch::wire::*;
 use batch::{BatchJobs, ItemState};
 use bytes::Bytes;
-use chain::{Machine, Member, Status, View};
+use chain_replication::{Machine, Member, Status, View};
 use std::collections::BTreeMap;
 use std::fmt::{Debug, Write};
 use std::net::SocketAddr;
--- a/crates/batch/tests/owner.rs
+++ b/crates/batch/tests/owner.rs
@@ -4,7 +4,7 @@
 use batch::wire::*;
 use batch::{BatchJobs, End, ItemState, Owner, Quota, Submit, OPEN_AFTER_MS};
 use bytes::Bytes;
-use chain::Machine;
+use chain_replication::Machine;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64;
 use std::collections::{BTreeMap, BTreeSet};
@@ -380,7 +380,7 @@
     };
     let commands = head.owner.done(701, 1, leased.iter().map(done).collect());
     assert_eq!(commands.len(), 3);
-    assert!(commands.iter().all(|command| command.len() < chain::MOST_COMMAND_BYTES));
+    assert!(commands.iter().all(|command| command.len() < chain_replication::MOST_COMMAND_BYTES));
     let mut huge = call("b", 8);
     for item in &mut huge.items {
         item.body = Bytes::from(vec![0; 600_000]);
--- a/crates/batch/tests/quota.rs
+++ b/crates/batch/tests/quota.rs
@@ -4,7 +4,7 @@
 use batch::wire::*;
 use batch::{BatchJobs, Decision, Owner, QuotaOwner};
 use bytes::Bytes;
-use chain::Machine;
+use chain_replication::Machine;
 use std::net::SocketAddr;
 
 const HOST: &str = "h.example";
--- a/crates/batch/tests/table.rs
+++ b/crates/batch/tests/table.rs
@@ -4,7 +4,7 @@
 use batch::wire::{Item, Listed, Message, State, MAX_READ_BYTES};
 use batch::{BatchJobs, ItemState};
 use bytes::Bytes;
-use chain::Machine;
+use chain_replication::Machine;
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
--- a/crates/batch/tests/wire.rs
+++ b/crates/batch/tests/wire.rs
@@ -4,7 +4,7 @@
 use batch::wire::*;
 use batch::BatchJobs;
 use bytes::Bytes;
-use chain::{Member, Status, View};
+use chain_replication::{Member, Status, View};
 use proptest::prelude::*;
 use std::fmt::Debug;
 
@@ -292,8 +292,8 @@
     let _ = ChainFrame::decode(bytes);
     let _ = Command::decode(bytes);
     let mut batch_jobs = BatchJobs::new();
-    chain::Machine::apply(&mut batch_jobs, 1, bytes);
-    if chain::Machine::restore(&mut batch_jobs, bytes).is_err() {
+    chain_replication::Machine::apply(&mut batch_jobs, 1, bytes);
+    if chain_replication::Machine::restore(&mut batch_jobs, bytes).is_err() {
         assert!(batch_jobs.is_empty() || Command::decode(bytes).is_ok());
     }
 }
--- a/crates/chain/tests/byte_layout.rs
+++ b/crates/control/chain-replication/tests/byte_layout.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use bytes::Bytes;
-use chain::{BadBytes, Body, Item, Member, Msg, SnapshotId, Status, View, Write};
+use chain_replication::{BadBytes, Body, Item, Member, Msg, SnapshotId, Status, View, Write};
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
--- a/crates/chain/tests/catch_up_world/disk.rs
+++ b/crates/control/chain-replication/tests/catch_up_world/disk.rs
@@ -1,7 +1,7 @@
 //! A disk of 64 MB with slow syncs, which is written anew as a controller's is: what the world asks of it, and a model of
 //! it by the same rule. The real ring stands beside it (`ring.rs`).
 
-use chain::{Node, Recovered, Write};
+use chain_replication::{Node, Recovered, Write};
 
 use super::table::Table;
 use super::{Us, MS};
--- a/crates/chain/tests/catch_up_world/events.rs
+++ b/crates/control/chain-replication/tests/catch_up_world/events.rs
@@ -1,6 +1,6 @@
 //! What happens at a time.
 
-use chain::Msg;
+use chain_replication::Msg;
 
 use super::Us;
 
--- a/crates/chain/tests/catch_up_world/machines.rs
+++ b/crates/control/chain-replication/tests/catch_up_world/machines.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use chain::{Body, Member, Msg, Node, Out};
+use chain_replication::{Body, Member, Msg, Node, Out};
 use rand_pcg::rand_core::RngCore as _;
 
 use super::events::Event;
--- a/crates/chain/tests/catch_up_world/mod.rs
+++ b/crates/control/chain-replication/tests/catch_up_world/mod.rs
@@ -9,7 +9,7 @@
 mod machines;
 mod operator;
 pub mod ring;
-#[path = "../../../disk-ring/tests/support/mod.rs"]
+#[path = "../../../../disk-ring/tests/support/mod.rs"]
 pub mod support;
 pub mod table;
 mod terms;
@@ -20,7 +20,7 @@
 use std::net::SocketAddr;
 
 use bytes::Bytes;
-use chain::{Body, Machine, Member, Msg, Node, Status, View};
+use chain_replication::{Body, Machine, Member, Msg, Node, Status, View};
 use disk::{Disk, ModelDisk};
 use events::{Event, Queued};
 use rand_pcg::rand_core::{RngCore, SeedableRng};
@@ -283,7 +283,7 @@
 }
 
 /// A table that stands for the control state: its digests say which changes it took, its newest body weighs.
-pub fn replayed(recovered: chain::Recovered) -> Table {
+pub fn replayed(recovered: chain_replication::Recovered) -> Table {
     let mut table = Table::default();
     if let Some((_, _, body)) = &recovered.snapshot {
         table.restore(body).expect("a snapshot that was written");
--- a/crates/chain/tests/catch_up_world/operator.rs
+++ b/crates/control/chain-replication/tests/catch_up_world/operator.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use bytes::Bytes;
-use chain::{Member, Node};
+use chain_replication::{Member, Node};
 
 use super::table::Table;
 use super::{Process, World, LEAST, MS};
--- a/crates/chain/tests/catch_up_world/ring.rs
+++ b/crates/control/chain-replication/tests/catch_up_world/ring.rs
@@ -5,7 +5,7 @@
 use std::collections::VecDeque;
 
 use bytes::Bytes;
-use chain::{Node, Recovered, Write};
+use chain_replication::{Node, Recovered, Write};
 use disk_ring::{prepare, DiskRing, Options, Record, Shared, StdMonitor, Writer};
 
 use super::disk::{Disk, FILES_MOST, FILE_BYTES, RATE, SYNC};
--- a/crates/chain/tests/catch_up_world/table.rs
+++ b/crates/control/chain-replication/tests/catch_up_world/table.rs
@@ -1,7 +1,7 @@
 //! The replicated table of the runs: it takes one body in place of the one before, as a configuration does.
 
 use bytes::Bytes;
-use chain::{BadSnapshot, Machine};
+use chain_replication::{BadSnapshot, Machine};
 
 #[derive(Debug, Clone, Default)]
 pub struct Table {
--- a/crates/chain/tests/catch_up_world/views.rs
+++ b/crates/control/chain-replication/tests/catch_up_world/views.rs
@@ -1,6 +1,6 @@
 //! The choice of the next view: the real rule, over what was last heard of each machine.
 
-use chain::{next_view, stays_on_fresh_word, Member, Seen, View};
+use chain_replication::{next_view, stays_on_fresh_word, Member, Seen, View};
 
 use super::{Joining, World, FAILURE_TIMEOUT, KEPT_LOG_BYTES, LEAST, MS, WANTED};
 
--- a/crates/chain/tests/chain.rs
+++ b/crates/control/chain-replication/tests/chain.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use bytes::Bytes;
-use chain::{Body, Msg, MOST_COMMAND_BYTES};
+use chain_replication::{Body, Msg, MOST_COMMAND_BYTES};
 use common::{member, view, Net};
 
 fn three() -> Net {
@@ -224,7 +224,7 @@
 }
 
 /// A joiner so late that the log before it was let go.
-fn late_joiner() -> (Net, chain::View) {
+fn late_joiner() -> (Net, chain_replication::View) {
     let mut net = three();
     for n in 0..300u32 {
         let mut command = vec![b'x'; 60_000];
@@ -323,7 +323,7 @@
         net.settle();
     }
     for n in 1..=3 {
-        let mut disk = chain::Recovered::default();
+        let mut disk = chain_replication::Recovered::default();
         for write in net.node(n).whole() {
             disk.replay(write);
         }
--- a/crates/chain/tests/common/mod.rs
+++ b/crates/control/chain-replication/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use bytes::Bytes;
-use chain::{BadSnapshot, Body, Machine, Member, Msg, Node, Out, Recovered, View, Write};
+use chain_replication::{BadSnapshot, Body, Machine, Member, Msg, Node, Out, Recovered, View, Write};
 
 /// The table: the commands, in order.
 #[derive(Debug, Clone, Default, PartialEq)]
--- a/crates/chain/tests/copies.rs
+++ b/crates/control/chain-replication/tests/copies.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use bytes::Bytes;
-use chain::{Body, Msg, Recovered, PARTS_IN_FLIGHT, PART_BYTES};
+use chain_replication::{Body, Msg, Recovered, PARTS_IN_FLIGHT, PART_BYTES};
 use common::{member, view, Net};
 
 /// Words of the table that is copied, and bytes of each in a snapshot.
--- a/crates/chain/tests/crash_points.rs
+++ b/crates/control/chain-replication/tests/crash_points.rs
@@ -85,9 +85,9 @@
                 net.back(*n);
             }
             // The others' statuses are enough for the rule to name a head.
-            let seen: Vec<chain::Seen> = left
+            let seen: Vec<chain_replication::Seen> = left
                 .iter()
-                .map(|n| chain::Seen {
+                .map(|n| chain_replication::Seen {
                     member: member(*n, 0),
                     alive: true,
                     status: Some(net.node(*n).status()),
@@ -97,7 +97,7 @@
                 })
                 .collect();
             let now_view = view(1, &[(1, 1), (2, 1), (3, 1)], &[]);
-            let next = chain::next_view(&now_view, &seen, 3, 2).expect("a head remains");
+            let next = chain_replication::next_view(&now_view, &seen, 3, 2).expect("a head remains");
             net.enter(&next);
             net.settle();
             net.pass(1_000);
--- a/crates/chain/tests/lagging.rs
+++ b/crates/control/chain-replication/tests/lagging.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use bytes::Bytes;
-use chain::{Body, Msg, SnapshotId, MOST_COMMAND_BYTES};
+use chain_replication::{Body, Msg, SnapshotId, MOST_COMMAND_BYTES};
 use common::{member, view, Net};
 
 /// Three members whose log has let its beginning go, and a machine that joins.
@@ -136,7 +136,7 @@
     for n in [1, 2, 3] {
         let mut net = late_joiner(60);
         let writes = net.node(n).whole();
-        let mut disk = chain::Recovered::default();
+        let mut disk = chain_replication::Recovered::default();
         writes.into_iter().for_each(|write| disk.replay(write));
         disk.snapshot = disk.snapshot.map(|(view, number, body)| (view, number, vec![0xFF; body.len()]));
         let words = net.words(n % 3 + 1);
--- a/crates/chain/tests/log_budget.rs
+++ b/crates/control/chain-replication/tests/log_budget.rs
@@ -2,7 +2,7 @@
 //! few of them are busy.
 
 use bytes::Bytes;
-use chain::{log_limit, BadSnapshot, Machine, Member, Node, Out, Recovered, View};
+use chain_replication::{log_limit, BadSnapshot, Machine, Member, Node, Out, Recovered, View};
 use proptest::prelude::*;
 
 const MIB: u64 = 1 << 20;
--- a/crates/chain/tests/next_view.rs
+++ b/crates/control/chain-replication/tests/next_view.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use chain::{next_view, Seen, Status, View};
+use chain_replication::{next_view, Seen, Status, View};
 use common::{member, view};
 
 fn seen(n: u64, now: &View) -> Seen {
--- a/crates/chain/tests/recovered.rs
+++ b/crates/control/chain-replication/tests/recovered.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use bytes::Bytes;
-use chain::{Machine as _, Node, Recovered, View, Write};
+use chain_replication::{Machine as _, Node, Recovered, View, Write};
 use common::{member, Words};
 use proptest::prelude::*;
 
--- a/crates/chain/tests/strangers.rs
+++ b/crates/control/chain-replication/tests/strangers.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use bytes::Bytes;
-use chain::{Body, Item, Msg, SnapshotId, Write};
+use chain_replication::{Body, Item, Msg, SnapshotId, Write};
 use common::*;
 use proptest::prelude::*;
 use std::net::SocketAddr;
--- a/crates/chain/tests/wire.rs
+++ b/crates/control/chain-replication/tests/wire.rs
@@ -1,7 +1,7 @@
 //! Whatever bytes come, reading them gives a value or an error; what was written is read back.
 
 use bytes::Bytes;
-use chain::{Body, Item, Member, Msg, SnapshotId, Status, View, Write};
+use chain_replication::{Body, Item, Member, Msg, SnapshotId, Status, View, Write};
 use proptest::prelude::*;
 
 fn member() -> impl Strategy<Value = Member> {
--- a/crates/control/view-agreement/src/agreement.rs
+++ b/crates/control/view-agreement/src/agreement.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use bytes::Bytes;
-use chain::{Member, Ms};
+use chain_replication::{Member, Ms};
 
 use crate::propose::Proposal;
 use crate::pulse::Pulse;
--- a/crates/control/view-agreement/src/next.rs
+++ b/crates/control/view-agreement/src/next.rs
@@ -3,7 +3,7 @@
 use std::borrow::Cow;
 use std::collections::BTreeMap;
 
-use chain::{next_view, Member, Ms, Seen};
+use chain_replication::{next_view, Member, Ms, Seen};
 
 use crate::wire::{ControllerView, MOST_ACCEPTORS};
 
@@ -72,7 +72,7 @@
     counts.into_iter().take(most).sum()
 }
 
-/// The next view by rule: the chain by [`chain::next_view`], and the acceptors. None if nothing is to change or nothing
+/// The next view by rule: the chain by [`chain_replication::next_view`], and the acceptors. None if nothing is to change or nothing
 /// can.
 ///
 /// An acceptor whose machine lost its disk (another id is alive at its address) is replaced by that newcomer at once;
@@ -85,7 +85,7 @@
 /// ones until such a loss leaves a majority, and a chain that stands in too few zones takes in a member of another one and
 /// then lets one of the fullest go. Both end where there are no spares of other zones.
 ///
-/// The owner proposes what comes of it only if [`chain::stays_on_fresh_word`] agrees.
+/// The owner proposes what comes of it only if [`chain_replication::stays_on_fresh_word`] agrees.
 pub fn next_controller_view(
     current: &ControllerView,
     seen: &[Seen],
--- a/crates/control/view-agreement/src/propose.rs
+++ b/crates/control/view-agreement/src/propose.rs
@@ -1,6 +1,6 @@
 //! A controller's part as a proposer.
 
-use chain::{Member, Ms};
+use chain_replication::{Member, Ms};
 
 use crate::agreement::Agreement;
 use crate::wire::{Accepted, Ballot, Body, ControllerView};
--- a/crates/control/view-agreement/src/pulse.rs
+++ b/crates/control/view-agreement/src/pulse.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-use chain::{Member, Ms};
+use chain_replication::{Member, Ms};
 
 use crate::agreement::{Agreement, Out};
 use crate::wire::Body;
--- a/crates/control/view-agreement/src/records.rs
+++ b/crates/control/view-agreement/src/records.rs
@@ -2,7 +2,7 @@
 
 use binrw::binrw;
 use bytes::Bytes;
-use chain::BadBytes;
+use chain_replication::BadBytes;
 
 use crate::wire::{Accepted, Ballot, ControllerView};
 
@@ -39,12 +39,12 @@
 impl Record {
     /// As bytes for the disk.
     pub fn encode(&self) -> Bytes {
-        chain::to_bytes(self)
+        chain_replication::to_bytes(self)
     }
 
     /// From the disk's bytes.
     pub fn decode(bytes: &[u8]) -> Result<Record, BadRecord> {
-        chain::from_bytes(bytes)
+        chain_replication::from_bytes(bytes)
     }
 }
 
--- a/crates/control/view-agreement/src/wire.rs
+++ b/crates/control/view-agreement/src/wire.rs
@@ -4,7 +4,7 @@
 
 use binrw::binrw;
 use bytes::Bytes;
-use chain::{read_addr, write_addr, BadBytes, Member, View};
+use chain_replication::{read_addr, write_addr, BadBytes, Member, View};
 
 /// Acceptors at most: as many as the largest core that still bears one decision a view change.
 pub const MOST_ACCEPTORS: u32 = 9;
@@ -42,12 +42,12 @@
 
     /// As bytes.
     pub fn encode(&self) -> Bytes {
-        chain::to_bytes(self)
+        chain_replication::to_bytes(self)
     }
 
     /// From bytes.
     pub fn decode(bytes: &[u8]) -> Result<ControllerView, BadBytes> {
-        chain::from_bytes(bytes)
+        chain_replication::from_bytes(bytes)
     }
 }
 
@@ -174,11 +174,11 @@
 impl Msg {
     /// As bytes for a frame.
     pub fn encode(&self) -> Bytes {
-        chain::to_bytes(self)
+        chain_replication::to_bytes(self)
     }
 
     /// From a frame's bytes.
     pub fn decode(bytes: &[u8]) -> Result<Msg, BadBytes> {
-        chain::from_bytes(bytes)
+        chain_replication::from_bytes(bytes)
     }
 }
--- a/crates/control/view-agreement/tests/agree.rs
+++ b/crates/control/view-agreement/tests/agree.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use chain::{Member, Ms, View};
+use chain_replication::{Member, Ms, View};
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use view_agreement::{Agreement, Body, ControllerView, Msg, Out, Record, Recovered};
--- a/crates/control/view-agreement/tests/agreement.rs
+++ b/crates/control/view-agreement/tests/agreement.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use bytes::Bytes;
-use chain::{Member, Ms, View};
+use chain_replication::{Member, Ms, View};
 use proptest::prelude::*;
 use view_agreement::{Accepted, Agreement, Ballot, Body, ControllerView, Msg, Out, Record, Recovered};
 
--- a/crates/control/view-agreement/tests/byte_layout.rs
+++ b/crates/control/view-agreement/tests/byte_layout.rs
@@ -3,7 +3,7 @@
 use std::fmt::Debug;
 
 use bytes::Bytes;
-use chain::{BadBytes, Member, View};
+use chain_replication::{BadBytes, Member, View};
 use view_agreement::{Accepted, Ballot, Body, ControllerView, Msg, Record, Recovered};
 
 fn hex(bytes: &[u8]) -> String {
--- a/crates/control/view-agreement/tests/next_controller.rs
+++ b/crates/control/view-agreement/tests/next_controller.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use chain::{stays_on_fresh_word, Member, Ms, Seen, Status, View, FRESH_MS};
+use chain_replication::{stays_on_fresh_word, Member, Ms, Seen, Status, View, FRESH_MS};
 use view_agreement::{next_controller_view, ControllerView, Sizing};
 
 /// One loss at once, the next one 6 s later at the earliest.
--- a/crates/control/view-agreement/tests/strangers.rs
+++ b/crates/control/view-agreement/tests/strangers.rs
@@ -1,6 +1,6 @@
 //! Words of strangers and of views that are over: they count for nothing that is decided.
 
-use chain::{Member, View};
+use chain_replication::{Member, View};
 use proptest::prelude::*;
 use std::net::SocketAddr;
 use view_agreement::{Accepted, Agreement, Ballot, Body, ControllerView, Msg, Out, Record, Recovered};
--- a/crates/control/view-agreement/tests/support/checker.rs
+++ b/crates/control/view-agreement/tests/support/checker.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use chain::{BadSnapshot, Machine};
+use chain_replication::{BadSnapshot, Machine};
 
 /// The table of the trials: the commands' ids by number, in order.
 #[derive(Debug, Clone, Default)]
--- a/crates/control/view-agreement/tests/support/controller.rs
+++ b/crates/control/view-agreement/tests/support/controller.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use bytes::Bytes;
-use chain::{stays_on_fresh_word, Member, Ms, Node, Seen, Status, Write};
+use chain_replication::{stays_on_fresh_word, Member, Ms, Node, Seen, Status, Write};
 use view_agreement::{next_controller_view, Agreement, ControllerView, Sizing};
 
 use super::checker::{Checker, History};
@@ -100,7 +100,7 @@
         self.disk.tickets.clear();
         let mut id = None;
         let mut agreed = view_agreement::Recovered::default();
-        let mut chain = chain::Recovered::default();
+        let mut chain = chain_replication::Recovered::default();
         for record in &self.disk.records {
             match record {
                 Record::Id(own) => id = Some(*own),
@@ -210,8 +210,8 @@
             for out in chain {
                 let Some(process) = self.process.as_mut() else { return send };
                 match out {
-                    chain::Out::Send { to, msg } => send.push((to, Wire::Chain(msg.encode()))),
-                    chain::Out::Write { ticket, write } => {
+                    chain_replication::Out::Send { to, msg } => send.push((to, Wire::Chain(msg.encode()))),
+                    chain_replication::Out::Write { ticket, write } => {
                         let drop = faults.drops_in_sync && matches!(write, Write::InSync { .. });
                         if drop {
                             self.disk.tickets.push_back((self.disk.records.len(), true, ticket));
@@ -219,8 +219,8 @@
                             self.record(Record::Chain(write.encode()), true, ticket);
                         }
                     }
-                    chain::Out::Committed { .. } => process.committed(checker),
-                    chain::Out::Reset => {
+                    chain_replication::Out::Committed { .. } => process.committed(checker),
+                    chain_replication::Out::Reset => {
                         checker.restored += 1;
                         process.waiting.clear();
                         process.checked = 0;
@@ -269,7 +269,7 @@
     pub fn message(&mut self, now: Ms, from: SocketAddr, wire: Wire) {
         match wire {
             Wire::Chain(bytes) => {
-                self.node.message(now, from, chain::Msg::decode(&bytes).expect("what was sent"))
+                self.node.message(now, from, chain_replication::Msg::decode(&bytes).expect("what was sent"))
             }
             Wire::View(bytes) => {
                 self.agreement.message(now, from, view_agreement::Msg::decode(&bytes).expect("what was sent"))
--- a/crates/control/view-agreement/tests/support/losses.rs
+++ b/crates/control/view-agreement/tests/support/losses.rs
@@ -1,7 +1,7 @@
 //! Machines that are lost in a row: as many at once as are to be survived, and the next ones as soon as the platform may
 //! take them, which is [`SYNC_MS`] after the ones before were made good.
 
-use chain::Ms;
+use chain_replication::Ms;
 
 use super::controller::Disk;
 use super::world::{World, SYNC_MS};
--- a/crates/control/view-agreement/tests/support/world.rs
+++ b/crates/control/view-agreement/tests/support/world.rs
@@ -4,7 +4,7 @@
 use std::collections::BinaryHeap;
 use std::net::SocketAddr;
 
-use chain::{Member, Ms, View};
+use chain_replication::{Member, Ms, View};
 use view_agreement::{ControllerView, Sizing};
 
 use super::checker::Checker;
--- a/crates/controller/src/begin.rs
+++ b/crates/controller/src/begin.rs
@@ -1,7 +1,7 @@
 //! How a controller begins: who it is, who founded the tier, and what its disk gives back.
 
 use bytes::Bytes;
-use chain::Member;
+use chain_replication::Member;
 use replicated_state::{decode_addresses, encode_addresses};
 use std::net::SocketAddr;
 use tier_settings::Settings;
@@ -67,13 +67,16 @@
         self.founders.contains(&addr) && self.views.iter().filter_map(chosen).any(zero)
     }
 
-    pub(crate) fn recovered(&self) -> Result<(view_agreement::Recovered, chain::Recovered), Unreadable> {
-        let (mut views, mut writes) = (view_agreement::Recovered::default(), chain::Recovered::default());
+    pub(crate) fn recovered(
+        &self,
+    ) -> Result<(view_agreement::Recovered, chain_replication::Recovered), Unreadable> {
+        let (mut views, mut writes) =
+            (view_agreement::Recovered::default(), chain_replication::Recovered::default());
         for record in &self.views {
             views.read(record).map_err(|e| Unreadable(e.to_string()))?;
         }
         for record in &self.writes {
-            writes.replay(chain::Write::decode(record).map_err(|e| Unreadable(e.to_string()))?);
+            writes.replay(chain_replication::Write::decode(record).map_err(|e| Unreadable(e.to_string()))?);
         }
         Ok((views, writes))
     }
--- a/crates/controller/src/control.rs
+++ b/crates/controller/src/control.rs
@@ -3,7 +3,7 @@
 
 use binrw::{binrw, BinRead, BinWrite};
 use bytes::Bytes;
-use chain::{BadSnapshot, Machine};
+use chain_replication::{BadSnapshot, Machine};
 use std::collections::VecDeque;
 use std::io::Cursor;
 
--- a/crates/controller/src/dispatchers.rs
+++ b/crates/controller/src/dispatchers.rs
@@ -1,7 +1,7 @@
 //! The dispatchers that say to this controller that they are there, and the entries about them.
 
 use bytes::Bytes;
-use chain::Ms;
+use chain_replication::Ms;
 use peer_link::Peer;
 use relay_tree::{Stamp, StateTable};
 use replicated_state::{Dispatcher, HELLO_EVERY, NODES};
--- a/crates/controller/src/founding.rs
+++ b/crates/controller/src/founding.rs
@@ -11,7 +11,7 @@
 
 use binrw::binrw;
 use bytes::Bytes;
-use chain::{BadBytes, Member, Ms, View};
+use chain_replication::{BadBytes, Member, Ms, View};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use view_agreement::{Agreement, ControllerView, Msg};
@@ -48,7 +48,7 @@
 impl Frame {
     /// As bytes for a frame.
     pub fn encode(&self) -> Bytes {
-        chain::to_bytes(self)
+        chain_replication::to_bytes(self)
     }
 
     /// From a frame's bytes.
@@ -56,7 +56,7 @@
     /// # Errors
     /// They are no such frame.
     pub fn decode(bytes: &[u8]) -> Result<Frame, BadBytes> {
-        chain::from_bytes(bytes)
+        chain_replication::from_bytes(bytes)
     }
 }
 
--- a/crates/controller/src/heartbeats.rs
+++ b/crates/controller/src/heartbeats.rs
@@ -2,7 +2,7 @@
 
 use binrw::{binrw, BinRead, BinWrite};
 use bytes::Bytes;
-use chain::{Ms, Seen, Status};
+use chain_replication::{Ms, Seen, Status};
 use replicated_state::Address;
 use std::collections::BTreeMap;
 use std::io::Cursor;
@@ -264,7 +264,7 @@
                 seen.push(Seen { alive: true, ..own.clone() });
             } else if let Some(other) = self.others.get(&addr) {
                 let heartbeat = &other.heartbeat;
-                let member = chain::Member { id: heartbeat.id, addr, since: 0 };
+                let member = chain_replication::Member { id: heartbeat.id, addr, since: 0 };
                 let status = Some(heartbeat.status.status(heartbeat.id));
                 let (zone, leaving) = (heartbeat.zone, heartbeat.flags & LEAVING != 0);
                 let unwanted = heartbeat.flags & NO_DISK != 0;
--- a/crates/controller/src/journal.rs
+++ b/crates/controller/src/journal.rs
@@ -4,7 +4,7 @@
 use crate::begin::{Found, Kind};
 use crate::owner::{Owner, Told};
 use bytes::Bytes;
-use chain::Ms;
+use chain_replication::Ms;
 use disk_ring::{DiskError, DiskRing, DiskState, Record};
 use replicated_state::encode_addresses;
 use std::collections::VecDeque;
--- a/crates/controller/src/owner.rs
+++ b/crates/controller/src/owner.rs
@@ -19,7 +19,7 @@
 use batch::wire::{Heartbeat, StoreMap, HEARTBEAT};
 use bytes::Bytes;
 use calls::Pending;
-use chain::{Member, Ms, Node};
+use chain_replication::{Member, Ms, Node};
 use contact::QuorumContact;
 use disk_ring::{DiskState, Persistence};
 use peer_link::Peer;
@@ -236,7 +236,7 @@
                 Ok(msg) => self.agreement.message(now, from.addr, msg),
                 Err(e) => self.odd(now, from, kind, &e),
             },
-            CHAIN => match chain::Msg::decode(body) {
+            CHAIN => match chain_replication::Msg::decode(body) {
                 Ok(msg) => self.node.message(now, from.addr, msg),
                 Err(e) => self.odd(now, from, kind, &e),
             },
@@ -456,11 +456,13 @@
                 idle = false;
                 match out {
                     // Without a disk it has no part in the chain.
-                    chain::Out::Send { .. } if !self.persistence.able() => {}
-                    chain::Out::Send { to, msg } => self.tell(to, CHAIN, msg.encode()),
-                    chain::Out::Write { ticket, write } => self.write(Told::Chain(ticket), write.encode()),
-                    chain::Out::Committed { .. } => self.committed(now),
-                    chain::Out::Reset => {
+                    chain_replication::Out::Send { .. } if !self.persistence.able() => {}
+                    chain_replication::Out::Send { to, msg } => self.tell(to, CHAIN, msg.encode()),
+                    chain_replication::Out::Write { ticket, write } => {
+                        self.write(Told::Chain(ticket), write.encode())
+                    }
+                    chain_replication::Out::Committed { .. } => self.committed(now),
+                    chain_replication::Out::Reset => {
                         info!(self.log, "control state taken over");
                         // What was read from the state before may never have been kept.
                         self.map = None;
@@ -569,7 +571,7 @@
 
     /// Records that hold all that counts, for a file begun anew: of the agreement, then of the chain.
     pub fn whole(&self) -> (Vec<Bytes>, Vec<Bytes>) {
-        (self.agreement.whole(), self.node.whole().iter().map(chain::Write::encode).collect())
+        (self.agreement.whole(), self.node.whole().iter().map(chain_replication::Write::encode).collect())
     }
 }
 
--- a/crates/controller/src/owner/calls.rs
+++ b/crates/controller/src/owner/calls.rs
@@ -5,7 +5,7 @@
 use crate::op::{Answer, Ask};
 use crate::plan::NotRetired;
 use batch::wire::StoreState;
-use chain::{Member, Ms};
+use chain_replication::{Member, Ms};
 use relay_tree::Stamp;
 use route_config::Config;
 use slog::{info, warn};
--- a/crates/controller/src/owner/contact.rs
+++ b/crates/controller/src/owner/contact.rs
@@ -3,7 +3,7 @@
 //! these go by the agreement's own word on the present view.
 
 use super::{Owner, STALE};
-use chain::Ms;
+use chain_replication::Ms;
 use std::net::SocketAddr;
 
 /// When a majority answered last, and since when without a gap.
--- a/crates/controller/src/owner/duty.rs
+++ b/crates/controller/src/owner/duty.rs
@@ -5,7 +5,7 @@
 use crate::plan::LEASE;
 use batch::wire::Message as _;
 use batch::wire::{Grant, StoreMap, GRANT};
-use chain::Ms;
+use chain_replication::Ms;
 use slog::info;
 use std::net::SocketAddr;
 
--- a/crates/controller/src/owner/repair.rs
+++ b/crates/controller/src/owner/repair.rs
@@ -5,7 +5,7 @@
     zone_number, ControllerHeartbeat, StatusFrame, EVERY, LEAVING, NO_DISK, SILENT, UNABLE_TO_PERSIST,
 };
 use crate::plan::Lengths;
-use chain::{Member, Ms, Seen};
+use chain_replication::{Member, Ms, Seen};
 use slog::{info, warn};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -189,7 +189,7 @@
             return;
         };
         let silent_for = |m: &Member| if m.addr == self.me.addr { 0 } else { dead_for(m) };
-        if !chain::stays_on_fresh_word(&current.view, &next.view, &silent_for) {
+        if !chain_replication::stays_on_fresh_word(&current.view, &next.view, &silent_for) {
             return;
         }
         let since = match &self.wanted {
--- a/crates/controller/src/owner/spread.rs
+++ b/crates/controller/src/owner/spread.rs
@@ -4,7 +4,7 @@
 use batch::wire::Message as _;
 use batch::wire::StoreMap;
 use bytes::Bytes;
-use chain::Ms;
+use chain_replication::Ms;
 use relay_tree::Stamp;
 use replicated_state::{decode_addresses, encode_addresses};
 use slog::{info, warn};
--- a/crates/controller/src/plan.rs
+++ b/crates/controller/src/plan.rs
@@ -1,7 +1,7 @@
 //! The map of stores, a singleton duty of the head of the controllers: which stores form the chain of each partition of batch jobs.
 
 use batch::wire::{Heartbeat, Placement, StoreInfo, StoreMap, StoreState, MOST_PARTITIONS};
-use chain::{Member, Ms, Seen, Status, View};
+use chain_replication::{Member, Ms, Seen, Status, View};
 use compact_str::CompactString;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -158,14 +158,16 @@
                 let heard = self.by_addr.get(&m.addr).filter(|h| h.heartbeat.id == m.id);
                 heard.map_or(now, |h| now.saturating_sub(h.at))
             };
-            let wanted = chain::next_view(view, &seen, lengths.wanted, lengths.least);
+            let wanted = chain_replication::next_view(view, &seen, lengths.wanted, lengths.least);
             let dropped_too_early = |next: &View| {
                 let mut dropped = view.members.iter().filter(|m| next.place(m).is_none());
                 !settled && dropped.any(|m| !self.is_replaced(m))
             };
             let wanted = wanted.filter(|next| !dropped_too_early(next));
             // Where a store is dropped, all that stay must have been heard of late.
-            if let Some(view) = wanted.filter(|next| chain::stays_on_fresh_word(view, next, &silent_for)) {
+            if let Some(view) =
+                wanted.filter(|next| chain_replication::stays_on_fresh_word(view, next, &silent_for))
+            {
                 if let Some(place) = next.partitions.get_mut(partition) {
                     loads.moved(partition, place, &view);
                     *place = view;
--- a/crates/controller/src/status.rs
+++ b/crates/controller/src/status.rs
@@ -3,17 +3,19 @@
 use crate::op::Answer;
 use crate::owner::Owner;
 use batch::wire::StoreState;
-use chain::Ms;
+use chain_replication::Ms;
 use jzon::{object, JsonValue};
 use runner_registry::{Runner, RunnerState};
 
 /// The answer to `GET /-/status`.
 pub fn answer(owner: &Owner, now: Ms) -> Answer {
     let view = owner.agreement.current();
-    let address = |m: Option<&chain::Member>| m.map_or(JsonValue::Null, |m| m.addr.to_string().into());
+    let address =
+        |m: Option<&chain_replication::Member>| m.map_or(JsonValue::Null, |m| m.addr.to_string().into());
     let chain = view.map(|v| v.view.members.as_slice()).unwrap_or_default();
-    let names =
-        |list: &[chain::Member]| list.iter().map(|m| m.addr.to_string().into()).collect::<Vec<JsonValue>>();
+    let names = |list: &[chain_replication::Member]| {
+        list.iter().map(|m| m.addr.to_string().into()).collect::<Vec<JsonValue>>()
+    };
     let (mut up, mut draining) = (0, 0);
     for runner in owner.state_table.under("runner/").filter_map(|f| Runner::read(f).ok()) {
         match runner.state {
--- a/crates/controller/tests/answers.rs
+++ b/crates/controller/tests/answers.rs
@@ -156,7 +156,7 @@
             let statuses = statuses.filter_map(|(partition, view)| {
                 let joins = view.joining.iter().any(|m| m.addr == store(*n));
                 let inside = joins || view.members.iter().any(|m| m.addr == store(*n));
-                let status = chain::Status {
+                let status = chain_replication::Status {
                     id: u64::from(*n),
                     view: view.number,
                     in_sync_view: if joins { 0 } else { view.number },
--- a/crates/controller/tests/founding.rs
+++ b/crates/controller/tests/founding.rs
@@ -2,7 +2,7 @@
 //! soon where it is possible, and none by a disk that was lost.
 
 use bytes::Bytes;
-use chain::Member;
+use chain_replication::Member;
 use controller::founding::{Founding, FoundingOut, Frame, FOUNDING_WAIT};
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -106,7 +106,7 @@
         machine.began = now;
         if self.planted == Planted::FoundsAtOnce && machine.view.is_none() {
             let members = vec![Member { since: 1, ..me }];
-            let view = chain::View { number: 1, members: members.clone(), joining: vec![] };
+            let view = chain_replication::View { number: 1, members: members.clone(), joining: vec![] };
             return self.knows(n, ControllerView { view, acceptors: members });
         }
         if machine.view.is_none() {
--- a/crates/controller/tests/heartbeats.rs
+++ b/crates/controller/tests/heartbeats.rs
@@ -1,6 +1,6 @@
 //! Who of the controllers counts as alive.
 
-use chain::{Member, Seen, Status};
+use chain_replication::{Member, Seen, Status};
 use controller::heartbeats::{
     zone_number, ControllerHeartbeat, Controllers, StatusFrame, NO_DISK, SILENT, UNABLE_TO_PERSIST,
 };
@@ -132,7 +132,7 @@
     assert!(of(2).alive && of(4).alive && !of(3).alive);
     let founders: Vec<Member> = vec![Member { id: 1, addr: addr(1), since: 1 }];
     let current = view_agreement::ControllerView {
-        view: chain::View { number: 1, members: founders.clone(), joining: Vec::new() },
+        view: chain_replication::View { number: 1, members: founders.clone(), joining: Vec::new() },
         acceptors: founders,
     };
     let next =
--- a/crates/controller/tests/plan.rs
+++ b/crates/controller/tests/plan.rs
@@ -1,7 +1,7 @@
 //! The map of stores.
 
 use batch::wire::{Heartbeat, PartStatus, StoreMap, StoreState};
-use chain::Status;
+use chain_replication::Status;
 use controller::plan::{partitions_for, tails_lost, Lengths, NotRetired, Stores, DEAF, SETTLE, SILENT};
 use std::net::SocketAddr;
 
@@ -374,7 +374,7 @@
     // Nobody waits for a lease of the process that has ended; the one that runs at its address has one.
     assert!(stores.lent(since + 301, &[addr(3)]) && tails_lost(&map, &next) == vec![addr(3)]);
     assert_eq!(stores.tails_to_outlast(&map, &next), vec![]);
-    let ids = |view: &chain::View| view.members.iter().map(|m| m.id).collect::<Vec<_>>();
+    let ids = |view: &chain_replication::View| view.members.iter().map(|m| m.id).collect::<Vec<_>>();
     assert!(next
         .partitions
         .iter()
@@ -418,7 +418,7 @@
     let (_, map) = begun(&up);
     assert_eq!(map.partitions.len(), partitions_for(13));
     assert_eq!((partitions_for(3), partitions_for(13), partitions_for(36)), (16, 32, 128));
-    let count = |place: fn(&chain::View, u64) -> bool| {
+    let count = |place: fn(&chain_replication::View, u64) -> bool| {
         let of = |id: u64| map.partitions.iter().filter(|view| place(view, id)).count();
         let counts: Vec<usize> = up.iter().map(|(_, id)| of(*id)).collect();
         (counts.iter().min().copied().unwrap(), counts.iter().max().copied().unwrap())
--- a/crates/controller/tests/refused.rs
+++ b/crates/controller/tests/refused.rs
@@ -3,7 +3,7 @@
 
 use batch::wire::HEARTBEAT;
 use bytes::Bytes;
-use chain::Status;
+use chain_replication::Status;
 use controller::begin::{Begin, Found};
 use controller::heartbeats::{zone_number, ControllerHeartbeat, StatusFrame};
 use controller::op::{Answer, Ask};
--- a/crates/controller/tests/stored_data.rs
+++ b/crates/controller/tests/stored_data.rs
@@ -130,7 +130,7 @@
 fn recovered(cluster: &Cluster, index: usize) -> String {
     let process = cluster.process(index);
     let view = process.owner.view().expect("a view");
-    let members = |list: &[chain::Member]| {
+    let members = |list: &[chain_replication::Member]| {
         list.iter().map(|m| format!("{:x}@{} since {}", m.id, m.addr, m.since)).collect::<Vec<_>>().join(", ")
     };
     let node = process.owner.node();
--- a/crates/controller/tests/wire.rs
+++ b/crates/controller/tests/wire.rs
@@ -1,6 +1,6 @@
 //! The bytes of what controllers send each other, of the commands of the chain, and of the state that its snapshots hold.
 
-use chain::{Machine, Member, Status, View};
+use chain_replication::{Machine, Member, Status, View};
 use controller::begin::Kind;
 use controller::control::{digest, Change, Command, Control, TAKEN_MOST};
 use controller::founding::Frame;
--- a/crates/controller/tests/world/budget.rs
+++ b/crates/controller/tests/world/budget.rs
@@ -186,7 +186,7 @@
     /// members is lost.
     fn state_is_in_reach(&self) -> bool {
         let Some(view) = &self.checker.view else { return true };
-        let there = |m: &&chain::Member| {
+        let there = |m: &&chain_replication::Member| {
             let machine = self.controllers.iter().find(|k| k.is_up() && k.is(m));
             machine.filter(|k| !k.standing.is_lost(self.now))
         };
--- a/crates/controller/tests/world/controllers.rs
+++ b/crates/controller/tests/world/controllers.rs
@@ -143,7 +143,7 @@
     }
 
     /// The identity of its disk, as members of views have it.
-    pub fn is(&self, member: &chain::Member) -> bool {
+    pub fn is(&self, member: &chain_replication::Member) -> bool {
         self.addr == member.addr && self.process.as_ref().is_none_or(|p| p.id == member.id)
     }
 
--- a/crates/controller/tests/world/day.rs
+++ b/crates/controller/tests/world/day.rs
@@ -462,7 +462,7 @@
         let mut broken = Vec::new();
         let live: Vec<_> = self.controllers.iter().filter(|k| k.is_up()).map(|k| k.addr).collect();
         if let Some(view) = &self.checker.view {
-            let there = |list: &[chain::Member]| list.iter().all(|m| live.contains(&m.addr));
+            let there = |list: &[chain_replication::Member]| list.iter().all(|m| live.contains(&m.addr));
             if view.view.members.len() != self.chain_wanted() || !there(&view.view.members) {
                 broken.push(format!("the chain is {:?}", view.view.members));
             }
@@ -484,7 +484,9 @@
             }
             let Some(map) = &d.map else { continue };
             for (partition, view) in map.partitions.iter().enumerate() {
-                let alive = |m: &chain::Member| self.stores.iter().any(|s| s.addr == m.addr && s.id == m.id);
+                let alive = |m: &chain_replication::Member| {
+                    self.stores.iter().any(|s| s.addr == m.addr && s.id == m.id)
+                };
                 if view.members.len() != self.copies_wanted() || !view.members.iter().all(alive) {
                     broken.push(format!("partition {partition} has the chain {:?}", view.members));
                 }
--- a/crates/controller/tests/world/stores.rs
+++ b/crates/controller/tests/world/stores.rs
@@ -3,7 +3,7 @@
 use super::{Actor, Event, World, PEER};
 use batch::wire::{Grant, Heartbeat, Message, PartStatus, StoreMap, GRANT, HEARTBEAT, HEARTBEAT_INTERVAL_MS};
 use bytes::Bytes;
-use chain::{Status, View};
+use chain_replication::{Status, View};
 use relay_tree::{Follow, Msg, StateTable};
 use replicated_state::{decode_addresses, CONTROLLERS, RELAY};
 use std::collections::BTreeMap;
--- a/crates/gateway/tests/common/store.rs
+++ b/crates/gateway/tests/common/store.rs
@@ -2,7 +2,7 @@
 
 use batch::wire::{Placement, StoreInfo, StoreMap, StoreState};
 use bytes::Bytes;
-use chain::{Member, View};
+use chain_replication::{Member, View};
 use gateway::gateway::Gateway;
 use peer_link::{Handler, Links, Me, Peer, Reply};
 use std::cell::RefCell;
