--- a/crates/dispatcher-ring/tests/bytes.rs
+++ b/crates/control/failure-detector/tests/bytes.rs
@@ -1,6 +1,6 @@
 //! The bytes of each datagram between dispatchers, exactly, written and read.
 
-use dispatcher_ring::Msg;
+use failure_detector::Msg;
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
--- a/crates/dispatcher-ring/tests/common/mod.rs
+++ b/crates/control/failure-detector/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use compact_str::format_compact;
-use dispatcher_ring::{Dispatcher, Ms, Msg, Out, Ring, Verdict};
+use failure_detector::{Dispatcher, Ms, Msg, Out, Ring, Verdict};
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64;
 
@@ -120,7 +120,7 @@
     }
 
     pub fn watchers(&self, n: usize) -> Vec<usize> {
-        let watchers = dispatcher_ring::watchers(&self.list, self.list[n].id);
+        let watchers = failure_detector::watchers(&self.list, self.list[n].id);
         watchers.iter().map(|one| self.by_addr[&one.addr]).collect()
     }
 }
--- a/crates/dispatcher-ring/tests/ring.rs
+++ b/crates/control/failure-detector/tests/ring.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use common::{dispatcher, World};
-use dispatcher_ring::{watchers, Msg, Out, Ring, Verdict, MAX_DISPATCHERS, WATCHERS};
+use failure_detector::{watchers, Msg, Out, Ring, Verdict, MAX_DISPATCHERS, WATCHERS};
 use proptest::prelude::*;
 
 #[test]
