--- a/crates/gateway/gateway/src/sending.rs
+++ b/crates/gateway/gateway/src/sending.rs
@@ -3,8 +3,8 @@
 use crate::choice::{Choosing, Key};
 use crate::request::RUNNER_LOAD;
 use compact_str::CompactString;
-use engine_choice::{End, SendId};
 use hyper::HeaderMap;
+use runner_selection::{End, SendId};
 use std::rc::Rc;
 use tokio::sync::Notify;
 
--- a/crates/gateway/gateway/tests/calls_model.rs
+++ b/crates/gateway/gateway/tests/calls_model.rs
@@ -4,9 +4,9 @@
 //! The checker: a request runs at most once, one that was refused never runs, each caller gets its own answer. Planted
 //! faults, each in one of these decisions, are found by it.
 
-use engine_choice::RunnerKey;
 use gateway::pool::{ConnectionNumber, Pool, Pooled};
 use gateway::verdict::{after, belongs, Belongs, Ended, HeadSigns, SoFar, Step};
+use runner_selection::RunnerKey;
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::rc::Rc;
--- a/crates/gateway/gateway/tests/connections.rs
+++ b/crates/gateway/gateway/tests/connections.rs
@@ -7,7 +7,6 @@
     chunk, declined, done, event, request, run, run_paused, stream_head, unchunked, whole, write, Act, Rig,
     Seen, StandIn, CONFIG, SEAL,
 };
-use engine_choice::RunnerKey;
 use gateway::choice::{Ask, Choice, Key};
 use gateway::connect_wait::ConnectWait;
 use gateway::exchange::{send, RouteTerms, Sent, Tried, LEAST_LEFT_MS};
@@ -15,6 +14,7 @@
 use gateway::request::Request;
 use gateway::upstream::Upstream;
 use runner_registry::RunnerState;
+use runner_selection::RunnerKey;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/crates/gateway/gateway/tests/pool_tasks.rs
+++ b/crates/gateway/gateway/tests/pool_tasks.rs
@@ -5,8 +5,8 @@
 //! `calls_model.rs` plays whole events in every order up to a depth; here tasks with loops of their own run into each other,
 //! with more requests than that, and the ids of answers are not compared: the pool alone has to keep them apart.
 
-use engine_choice::RunnerKey;
 use gateway::pool::{ConnectionNumber, Pool, Pooled};
+use runner_selection::RunnerKey;
 use shuttle::future::{block_on, spawn_local, yield_now};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
--- a/crates/engine-choice/tests/anything.rs
+++ b/crates/gateway/runner-selection/tests/anything.rs
@@ -4,9 +4,9 @@
 mod common;
 
 use common::{listed, llm, plain};
-use engine_choice::{Choice, End, Engines, Report, RunnerKey, SendId, SvcTerms, Want};
 use proptest::prelude::*;
 use runner_registry::RunnerState;
+use runner_selection::{Choice, End, Engines, Report, RunnerKey, SendId, SvcTerms, Want};
 
 #[derive(Debug, Clone)]
 enum Call {
--- a/crates/engine-choice/tests/choice.rs
+++ b/crates/gateway/runner-selection/tests/choice.rs
@@ -3,10 +3,10 @@
 mod common;
 
 use common::{engines, listed, llm, plain, unit, want, SVC};
-use engine_choice::{Choice, End, Engines, Report, RunnerKey, Want};
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use runner_registry::RunnerState;
+use runner_selection::{Choice, End, Engines, Report, RunnerKey, Want};
 use std::collections::HashMap;
 
 fn keys(engines: &Engines, many: usize) -> Vec<RunnerKey> {
--- a/crates/engine-choice/tests/common/fleet.rs
+++ b/crates/gateway/runner-selection/tests/common/fleet.rs
@@ -2,9 +2,9 @@
 
 use super::model::{Event, Job, Make, Model};
 use super::{exponential, listed, llm, SVC};
-use engine_choice::{Choice, End, Engines, Ms, Report, RunnerKey, SendId, Want};
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
+use runner_selection::{Choice, End, Engines, Ms, Report, RunnerKey, SendId, Want};
 use std::collections::{BTreeMap, VecDeque};
 
 #[derive(Debug, Clone, Copy)]
--- a/crates/engine-choice/tests/common/mod.rs
+++ b/crates/gateway/runner-selection/tests/common/mod.rs
@@ -4,10 +4,10 @@
 pub mod fleet;
 pub mod model;
 
-use engine_choice::{Engines, SvcTerms, Want};
 use rand_pcg::rand_core::RngCore;
 use rand_pcg::Pcg64Mcg;
 use runner_registry::{Runner, RunnerState};
+use runner_selection::{Engines, SvcTerms, Want};
 
 pub const SVC: &str = "lm";
 
