--- a/crates/admin/src/server.rs
+++ b/crates/admin/src/server.rs
@@ -3,9 +3,9 @@
 use crate::calls::{call, Call, NoCall};
 use crate::figures::export;
 use crate::view::{self, Levels};
-use api::Micros;
 use bytes::Bytes;
 use desk::{Ask, Window};
+use dispatch_api::Micros;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
 use hyper::header::{HeaderValue, ALLOW, CONTENT_TYPE};
--- a/crates/admin/src/view.rs
+++ b/crates/admin/src/view.rs
@@ -1,6 +1,6 @@
 //! What operators are shown, as JSON. Times are Unix time in milliseconds.
 
-use api::Micros;
+use dispatch_api::Micros;
 use levels::{Cause, Change, Gauge, LevelStatus, Status};
 use percent_encoding::percent_decode_str;
 use serde::{Deserialize, Serialize};
--- a/crates/council/src/lib.rs
+++ b/crates/council/src/lib.rs
@@ -2,7 +2,7 @@
 //! targets are taken out for work, in which order (crate `maintenance`). Datagrams, times and operators' words go in; sends, rulings
 //! on targets and what is to be said in the log come out. Free of I/O, clock and randomness.
 
-use api::Micros;
+use dispatch_api::Micros;
 use maintenance::{Kept, Look, Maintenance, Plan, PlanError, Progress, Standing};
 use membership::{Change, Message, Swim, MOST_MEMBERS};
 
--- a/crates/decide/src/figures.rs
+++ b/crates/decide/src/figures.rs
@@ -1,7 +1,7 @@
 //! What is believed and counted, for those who watch over the service. Nothing is decided here.
 
 use super::{Dispatcher, Lane, Worker, AGEING, RUN_CAP, SAMPLE};
-use api::*;
+use dispatch_api::*;
 use roster::{Kind, Loads};
 use std::collections::{BTreeMap, VecDeque};
 
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -16,9 +16,9 @@
 mod repeating;
 mod terms;
 
-use api::told::kin;
-use api::*;
 use constants::*;
+use dispatch_api::told::kin;
+use dispatch_api::*;
 use kept::*;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/crates/decide/src/memory.rs
+++ b/crates/decide/src/memory.rs
@@ -1,7 +1,7 @@
 //! What passes from one process of a dispatcher to the next. Nothing is decided here.
 
 use super::Dispatcher;
-use api::*;
+use dispatch_api::*;
 use roster::Kind;
 
 /// What is known of single workers is believed for so long; kinds and classes change slowly.
--- a/crates/decide/src/terms.rs
+++ b/crates/decide/src/terms.rs
@@ -1,7 +1,7 @@
 //! What a level of reduced service asks: which jobs are turned away, and how long others wait for a place.
 
 use super::{span, unit, Dispatcher, Timer};
-use api::*;
+use dispatch_api::*;
 use std::cmp::Reverse;
 use std::sync::Arc;
 
--- a/crates/decide/tests/cold_fleet.rs
+++ b/crates/decide/tests/cold_fleet.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use api::*;
 use common::*;
+use dispatch_api::*;
 use rstest::rstest;
 use std::collections::BTreeMap;
 
--- a/crates/decide/tests/decisions.rs
+++ b/crates/decide/tests/decisions.rs
@@ -1,8 +1,8 @@
 //! The ordinary path: back-off, pick and holding; and each failure found, without the bench.
 
 mod common;
-use api::*;
 use common::*;
+use dispatch_api::*;
 use std::collections::BTreeMap;
 
 /// The pushes among the actions, or the first to come after them.
--- a/crates/decide/tests/few_known.rs
+++ b/crates/decide/tests/few_known.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use api::*;
 use common::*;
+use dispatch_api::*;
 
 const WORKERS: u32 = 60;
 
--- a/crates/decide/tests/rules.rs
+++ b/crates/decide/tests/rules.rs
@@ -1,8 +1,8 @@
 //! The four rules: single cases, and random legal event sequences against an independent checker.
 
 mod common;
-use api::*;
 use common::*;
+use dispatch_api::*;
 use proptest::prelude::*;
 use proptest::test_runner::{RngAlgorithm, TestRng, TestRunner};
 use std::collections::BTreeMap;
--- a/crates/decide/tests/size.rs
+++ b/crates/decide/tests/size.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use api::*;
 use common::*;
+use dispatch_api::*;
 use std::collections::BTreeMap;
 
 const DISPATCHERS: u32 = 100;
--- a/crates/decide/tests/terms.rs
+++ b/crates/decide/tests/terms.rs
@@ -1,8 +1,8 @@
 //! What a level of reduced service asks of the decisions.
 
 mod common;
-use api::*;
 use common::*;
+use dispatch_api::*;
 use std::sync::Arc;
 
 fn terms(class: ClassTerms) -> Event {
--- a/crates/desk/src/clock.rs
+++ b/crates/desk/src/clock.rs
@@ -1,6 +1,6 @@
 //! The one clock: monotonic, and aligned with Unix time once, at the start.
 
-use api::Micros;
+use dispatch_api::Micros;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 /// Microseconds that start as Unix time and never run back or jump.
--- a/crates/desk/src/lib.rs
+++ b/crates/desk/src/lib.rs
@@ -10,8 +10,8 @@
 use window::Reply;
 pub use window::{Ask, Window};
 
-use api::{JobId, JobSpec, Micros};
 use bytes::Bytes;
+use dispatch_api::{JobId, JobSpec, Micros};
 use settings::report::ReportNames;
 use state::{reduce, Answer, ConnId, Effect, Input, Seen, State};
 use std::cell::{Cell, RefCell};
--- a/crates/desk/src/seldom.rs
+++ b/crates/desk/src/seldom.rs
@@ -1,6 +1,6 @@
 //! Says what fails again and again only now and then: a hundred dispatchers must not drown in their logs.
 
-use api::Micros;
+use dispatch_api::Micros;
 
 /// The shortest time between two lines about the same failure.
 const EVERY: Micros = 10_000_000;
--- a/crates/desk/src/window.rs
+++ b/crates/desk/src/window.rs
@@ -1,6 +1,6 @@
 //! What operators see of the loop, and ask it, from another thread.
 
-use api::Micros;
+use dispatch_api::Micros;
 use state::{Input, Seen, State, Wanted, WantedError};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -5,10 +5,10 @@
 
 pub use kept::Kept;
 
-use api::told;
-use api::{CallLost, ListKind, Micros, Status};
 use bytes::Bytes;
 use desk::{Clock, Desk, Seldom};
+use dispatch_api::told;
+use dispatch_api::{CallLost, ListKind, Micros, Status};
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper::{Request, StatusCode};
--- a/crates/api/tests/bytes.rs
+++ b/crates/dispatcher/dispatch-api/tests/bytes.rs
@@ -1,7 +1,7 @@
 //! What dispatchers tell each other of held slots, byte for byte, and the JSON that one process leaves to the next.
 
-use api::told::{entries, entry, kin, mark, ENTRY_BYTES, MESSAGE_BYTES};
-use api::{ClassKnown, Known, WorkerKnown};
+use dispatch_api::told::{entries, entry, kin, mark, ENTRY_BYTES, MESSAGE_BYTES};
+use dispatch_api::{ClassKnown, Known, WorkerKnown};
 
 #[test]
 fn a_worker_goes_by_the_fnv_1a_of_its_name() {
--- a/crates/fordrelay/src/lifecycle.rs
+++ b/crates/fordrelay/src/lifecycle.rs
@@ -5,9 +5,9 @@
 use crate::peers::Peers;
 use crate::succession::Succession;
 use crate::usage;
-use api::{ListKind, Micros, SettingsError};
 use desk::{run, Bounds, Clock, Desk, Order, Outlets};
 use discovery::Places;
+use dispatch_api::{ListKind, Micros, SettingsError};
 use http1::{Listener, Phase, Terms};
 use settings::operator::{Operator, OperatorError};
 use settings::platform::{Config, ConfigError};
@@ -302,7 +302,7 @@
     }
     let (watches, wanted) = mpsc::unbounded_channel();
     let (discovery_at, discovery) = watch::channel(config.discovery);
-    let pushed = config.settings.discovery == api::Discovery::Pushed;
+    let pushed = config.settings.discovery == dispatch_api::Discovery::Pushed;
     spawn_local(discovery::watch(discovery, places, Rc::clone(&desk), wanted, pushed));
     spawn_local(reload(hangup, files.clone(), logs, Rc::clone(&desk), classes.clone(), discovery_at));
     spawn_local(usage::watch(Rc::clone(&desk), limits));
--- a/crates/fordrelay/src/peers.rs
+++ b/crates/fordrelay/src/peers.rs
@@ -1,7 +1,7 @@
 //! Datagrams between dispatchers.
 
-use api::told::{ENTRY_BYTES, MESSAGE_BYTES};
 use desk::{Desk, Seldom};
+use dispatch_api::told::{ENTRY_BYTES, MESSAGE_BYTES};
 use membership::Message;
 use settings::platform::PeerAddrs;
 use state::{Input, Odd};
--- a/crates/fordrelay/src/succession.rs
+++ b/crates/fordrelay/src/succession.rs
@@ -1,9 +1,9 @@
 //! Taking over from another process of this dispatcher, and being taken over from.
 
 use crate::folder::{path, Folder};
-use api::Known;
 use desk::{Bounds, Clock, Desk};
 use discovery::Kept;
+use dispatch_api::Known;
 use handover::{Event, Note, Place, Word};
 use http1::Listener;
 use settings::list::{List, State as Listed};
--- a/crates/fordrelay/tests/outer_forms.rs
+++ b/crates/fordrelay/tests/outer_forms.rs
@@ -18,7 +18,7 @@
 struct Knowledge {
     classes: Vec<String>,
     kinds: Vec<String>,
-    known: api::Known,
+    known: dispatch_api::Known,
     maintenance: Option<maintenance::Kept>,
 }
 
@@ -511,7 +511,7 @@
     assert_eq!((&after.classes, &after.kinds), (&before.classes, &before.kinds));
     assert_eq!(after.known.kinds, before.known.kinds);
     assert_eq!(after.known.classes[0].run, before.known.classes[0].run);
-    let marks = |known: &api::Known| known.workers.iter().map(|w| w.mark).collect::<Vec<_>>();
+    let marks = |known: &dispatch_api::Known| known.workers.iter().map(|w| w.mark).collect::<Vec<_>>();
     assert_eq!(marks(&after.known), marks(&before.known));
     assert_eq!(after.maintenance.unwrap().plan, before.maintenance.unwrap().plan);
 }
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -15,7 +15,7 @@
 pub use socket::{Socket, SocketIo};
 pub use target::connection;
 
-use api::Micros;
+use dispatch_api::Micros;
 
 /// A span in seconds, as the headers have it.
 fn seconds(span: Micros) -> String {
--- a/crates/http1/src/target.rs
+++ b/crates/http1/src/target.rs
@@ -2,9 +2,9 @@
 
 use crate::io::{Observed, Observer};
 use crate::seconds;
-use api::{LoadReport, Micros, Outcome};
 use bytes::{Bytes, BytesMut};
 use desk::{Desk, Order, Passed};
+use dispatch_api::{LoadReport, Micros, Outcome};
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
 use hyper::client::conn::http1::{self, SendRequest};
--- a/crates/http1/tests/target.rs
+++ b/crates/http1/tests/target.rs
@@ -1,8 +1,8 @@
 //! The client of targets over loopback: what is looked at last before a request is written.
 
-use api::{JobId, JobSpec};
 use bytes::Bytes;
 use desk::{Bounds, Clock, Desk, Order, Passed};
+use dispatch_api::{JobId, JobSpec};
 use settings::report::ReportNames;
 use state::{ConnId, Input};
 use std::rc::Rc;
--- a/crates/lab/src/checker.rs
+++ b/crates/lab/src/checker.rs
@@ -1,7 +1,7 @@
 //! The rules, checked from outside: what each client was answered, and what each box was sent.
 
 use crate::scenario::{Arrival, JobClass};
-use api::Micros;
+use dispatch_api::Micros;
 use std::collections::BTreeMap;
 
 /// How a client was answered.
--- a/crates/lab/src/engine.rs
+++ b/crates/lab/src/engine.rs
@@ -1,7 +1,7 @@
 //! A model of one engine box, without I/O: slots, cores that are shared, a queue, a cold start, keys that are kept,
 //! and the ways in which boxes fail. The stand-in on sockets and the emulator in virtual time drive the same one.
 
-use api::Micros;
+use dispatch_api::Micros;
 use std::collections::VecDeque;
 
 /// In which order a box starts what waits.
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -3,8 +3,8 @@
 use crate::checker::Reply;
 use crate::fleet::{JobBody, World};
 use crate::scenario::Arrival;
-use api::Micros;
 use bytes::Bytes;
+use dispatch_api::Micros;
 use http_body_util::{BodyExt, Full};
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper::{Request, StatusCode};
--- a/crates/lab/src/members.rs
+++ b/crates/lab/src/members.rs
@@ -1,7 +1,7 @@
 //! Any number of members in virtual time: the state machine of crate `membership` over a network that loses, delays,
 //! duplicates, reorders and splits, with members that die, pause and come back. One seed, one outcome.
 
-use api::Micros;
+use dispatch_api::Micros;
 use membership::{Change, Effect, Message, State, Swim};
 use rand::Rng;
 use rand_pcg::rand_core::SeedableRng;
--- a/crates/lab/src/records.rs
+++ b/crates/lab/src/records.rs
@@ -1,6 +1,6 @@
 //! What the processes of a fleet wrote of maintenance in their logs, put together: who had which target out, and when.
 
-use api::Micros;
+use dispatch_api::Micros;
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
--- a/crates/lab/src/relay.rs
+++ b/crates/lab/src/relay.rs
@@ -5,7 +5,7 @@
 //! datagram. What comes on the address for `a` to `b` goes out to `b` from the relay's address for `b` to `a`, from
 //! where `b` expects `a`.
 
-use api::Micros;
+use dispatch_api::Micros;
 use rand::Rng;
 use rand_pcg::rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
--- a/crates/lab/src/rig/faults.rs
+++ b/crates/lab/src/rig/faults.rs
@@ -1,7 +1,7 @@
 //! What happens on the rig, drawn from the seed.
 
 use super::{Terms, SECOND};
-use api::Micros;
+use dispatch_api::Micros;
 use rand::seq::index::sample;
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
--- a/crates/lab/src/rig/mod.rs
+++ b/crates/lab/src/rig/mod.rs
@@ -12,7 +12,7 @@
 use crate::scenario::{Addresses, Fault as Sickness, Scenario, SECOND};
 use crate::witness::{Closed, Down, Witness};
 use admin::view::{Maintenance, Member};
-use api::Micros;
+use dispatch_api::Micros;
 pub use faults::{Case, Fault};
 use hyper::Method;
 use maintenance::Standing;
--- a/crates/lab/src/rig/seat.rs
+++ b/crates/lab/src/rig/seat.rs
@@ -1,7 +1,7 @@
 //! One dispatcher of the rig: its processes, files and addresses.
 
 use super::{ASK, READY, STOP};
-use api::Micros;
+use dispatch_api::Micros;
 use hyper::Method;
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -2,7 +2,7 @@
 
 use crate::engine::{Order, Shape};
 use crate::registry::Service;
-use api::Micros;
+use dispatch_api::Micros;
 use rand::Rng;
 use rand_distr::{Distribution, Exp1, LogNormal, Zipf};
 use rand_pcg::rand_core::SeedableRng;
--- a/crates/lab/src/size.rs
+++ b/crates/lab/src/size.rs
@@ -3,7 +3,7 @@
 use crate::model::{self, Outcomes};
 use crate::registry::Service;
 use crate::scenario::{Fault, Scenario, SECOND};
-use api::Micros;
+use dispatch_api::Micros;
 use rand::seq::SliceRandom;
 use rand::Rng;
 use rand_pcg::rand_core::SeedableRng;
--- a/crates/lab/src/sockets.rs
+++ b/crates/lab/src/sockets.rs
@@ -6,7 +6,7 @@
 use crate::model::{LevelChange, Outcomes, Sums};
 use crate::scenario::{Scenario, SECOND};
 use admin::view::Levels;
-use api::Micros;
+use dispatch_api::Micros;
 use std::path::Path;
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/lab/src/swings.rs
+++ b/crates/lab/src/swings.rs
@@ -4,7 +4,7 @@
 use crate::model::{self, LevelChange, Outcomes};
 use crate::scenario::{Scenario, SECOND};
 use crate::sockets;
-use api::Micros;
+use dispatch_api::Micros;
 use levels::Spec;
 use rayon::prelude::*;
 use serde::Serialize;
--- a/crates/lab/src/upgrade.rs
+++ b/crates/lab/src/upgrade.rs
@@ -6,7 +6,7 @@
 use crate::fleet::{Fleet, World};
 use crate::load::Clients;
 use crate::scenario::{Addresses, Fault, Scenario, SECOND};
-use api::Micros;
+use dispatch_api::Micros;
 use hyper::Method;
 use rand::Rng;
 use rand_pcg::rand_core::SeedableRng;
--- a/crates/lab/src/witness.rs
+++ b/crates/lab/src/witness.rs
@@ -1,7 +1,7 @@
 //! What the processes of a fleet wrote of each other in their logs, held against what really happened. Times are Unix time in
 //! microseconds.
 
-use api::Micros;
+use dispatch_api::Micros;
 use serde::Deserialize;
 use std::collections::BTreeSet;
 use std::path::Path;
--- a/crates/lab/tests/levels.rs
+++ b/crates/lab/tests/levels.rs
@@ -1,6 +1,6 @@
 //! Levels against whole failures, in virtual time: the program's own reducer and decisions before modelled boxes.
 
-use api::Micros;
+use dispatch_api::Micros;
 use lab::model::{run, LevelChange, Outcomes};
 use lab::scenario::{Fault, Scenario, SECOND};
 use lab::swings::Swings;
--- a/crates/levels/src/gauges.rs
+++ b/crates/levels/src/gauges.rs
@@ -1,7 +1,7 @@
 //! What is read off the decisions' figures.
 
 use crate::spec::{Gauge, Spec};
-use api::{Figures, Micros};
+use dispatch_api::{Figures, Micros};
 use std::collections::{BTreeMap, VecDeque};
 
 /// How much of the program's own limits is in use, each a share of its limit.
--- a/crates/levels/src/governed.rs
+++ b/crates/levels/src/governed.rs
@@ -3,8 +3,8 @@
 use crate::gauges::{Gauges, Readings, Usage};
 use crate::ladder::{Cause, Change, Ladder};
 use crate::spec::Spec;
-use api::{Action, Event, JobId, Known, ListKind, Micros, Settings, SettingsError, WorkerId};
 use decide::Dispatcher;
+use dispatch_api::{Action, Event, JobId, Known, ListKind, Micros, Settings, SettingsError, WorkerId};
 use std::sync::Arc;
 
 /// The decisions with the levels before them, or without any. It is handled as the decisions are.
@@ -63,7 +63,7 @@
     /// Now.
     pub now: Micros,
     /// What the decisions believe and count.
-    pub figures: api::Figures,
+    pub figures: dispatch_api::Figures,
     /// The levels, where there are any.
     pub levels: Option<LevelStatus>,
 }
--- a/crates/levels/src/ladder.rs
+++ b/crates/levels/src/ladder.rs
@@ -2,7 +2,7 @@
 
 use crate::gauges::Readings;
 use crate::spec::{Gauge, Spec};
-use api::Micros;
+use dispatch_api::Micros;
 use std::collections::{BTreeMap, VecDeque};
 
 /// Why a level changed.
--- a/crates/levels/src/spec.rs
+++ b/crates/levels/src/spec.rs
@@ -1,6 +1,6 @@
 //! What operators write of levels, in the units of the decisions, and the checks on it.
 
-use api::{Micros, Terms};
+use dispatch_api::{Micros, Terms};
 use std::collections::BTreeSet;
 use std::fmt;
 
--- a/crates/levels/tests/ladder.rs
+++ b/crates/levels/tests/ladder.rs
@@ -1,6 +1,6 @@
 //! Levels without decisions: readings made for the test go in, changes come out.
 
-use api::{ClassTerms, Micros, Terms};
+use dispatch_api::{ClassTerms, Micros, Terms};
 use levels::{Bounds, Cause, Change, Gauge, Ladder, Level, Readings, Spec};
 use proptest::prelude::*;
 
--- a/crates/maintenance/src/member.rs
+++ b/crates/maintenance/src/member.rs
@@ -2,7 +2,7 @@
 
 use crate::plan::{Plan, PlanError, MOST_TARGETS};
 use crate::wire::{Message, Words, MOST_WORDS};
-use api::Micros;
+use dispatch_api::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/membership/src/hearing.rs
+++ b/crates/membership/src/hearing.rs
@@ -4,7 +4,7 @@
 //! here says first that it takes the receiver for gone, if it does. An answer to that normally reaches it, directly or through
 //! others; if the word stays the same, none does.
 
-use api::Micros;
+use dispatch_api::Micros;
 use std::collections::BTreeMap;
 
 /// Periods in a row without a datagram of anybody, after which a member takes itself for deaf.
--- a/crates/membership/src/swim.rs
+++ b/crates/membership/src/swim.rs
@@ -14,7 +14,7 @@
 use crate::hearing::Hearing;
 use crate::serial::{newer, next};
 use crate::wire::{Change, Kind, Message, State, MOST_CHANGES};
-use api::Micros;
+use dispatch_api::Micros;
 use std::collections::BTreeMap;
 
 /// Members that are told apart at most.
--- a/crates/roster/src/lib.rs
+++ b/crates/roster/src/lib.rs
@@ -21,7 +21,7 @@
 pub use load::{held_per_core, Loads, LARGEST_WEIGHT};
 pub use reach::Reach;
 
-use api::{CallLost, Discovery, Micros};
+use dispatch_api::{CallLost, Discovery, Micros};
 
 /// Room that is left to each dispatcher beyond two for one call to discovery. It must be no less than a turn of
 /// discovery takes, or a start of all together fills its queue; the longer, the later a restarted dispatcher learns
--- a/crates/roster/src/load.rs
+++ b/crates/roster/src/load.rs
@@ -5,7 +5,7 @@
 //! load is interpreted as in M. Dahlin, "Interpreting Stale Load Information" (ICDCS 1999, basic algorithm): of the
 //! work that comes before the next news, each worker is given what raises it to the level that all come to.
 
-use api::Micros;
+use dispatch_api::Micros;
 
 /// The largest weight that is believed: no machine has so many cores, and one absurd size would have all others of its
 /// kind look full.
--- a/crates/roster/tests/herd.rs
+++ b/crates/roster/tests/herd.rs
@@ -1,6 +1,6 @@
 //! A hundred dispatchers before one discovery that handles their calls in turn.
 
-use api::{CallLost, Discovery, Micros};
+use dispatch_api::{CallLost, Discovery, Micros};
 use proptest::prelude::*;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/crates/settings/src/facts.rs
+++ b/crates/settings/src/facts.rs
@@ -2,8 +2,8 @@
 //! Each field is the key of its name, and means what the platform says of that key.
 #![allow(missing_docs)]
 
-use api::told::{ENTRY_BYTES, MESSAGE_BYTES};
-use api::*;
+use dispatch_api::told::{ENTRY_BYTES, MESSAGE_BYTES};
+use dispatch_api::*;
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
--- a/crates/settings/src/operator.rs
+++ b/crates/settings/src/operator.rs
@@ -1,7 +1,7 @@
 //! The operators' file: HCL, with what is this program's own. Every key is checked, and an error names file, line
 //! and key and says what would be right.
 
-use api::{ClassTerms, Micros, Terms};
+use dispatch_api::{ClassTerms, Micros, Terms};
 use hcl_edit::structure::{Body, Structure};
 use hcl_edit::Span;
 use indexmap::IndexMap;
--- a/crates/settings/src/platform.rs
+++ b/crates/settings/src/platform.rs
@@ -3,7 +3,7 @@
 use crate::facts::{micros, settings, Facts};
 use crate::list::List;
 use crate::report::ReportNames;
-use api::{Micros, Settings, SettingsError};
+use dispatch_api::{Micros, Settings, SettingsError};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
--- a/crates/settings/src/report.rs
+++ b/crates/settings/src/report.rs
@@ -1,6 +1,6 @@
 //! Load reports as targets write them.
 
-use api::LoadReport;
+use dispatch_api::LoadReport;
 use serde_json::{Map, Value};
 
 /// The names that the fields of a load report may have: the simulator's and the settings'.
--- a/crates/settings/tests/platform.rs
+++ b/crates/settings/tests/platform.rs
@@ -1,6 +1,6 @@
 //! The configuration: defaults, and messages that name the faulty key.
 
-use api::Reports;
+use dispatch_api::Reports;
 use rstest::rstest;
 use settings::platform::Config;
 
@@ -90,7 +90,7 @@
 "goal":{"whole":1},"peers-total":2,"rules":{"cold-ms":1,"fall-ms":1,"start-capacity":0.1,"tip-multiple":3},"tick-ms":5}}"#;
 
 /// What a file comes to, whatever its parts are called within the program.
-fn comes_to(text: &str) -> (String, api::Settings) {
+fn comes_to(text: &str) -> (String, dispatch_api::Settings) {
     let config = parse(text).unwrap_or_else(|fault| panic!("{fault}: {text}"));
     let summary = serde_json::to_string(&config.summary()).unwrap();
     let rest = (config.seed, config.me, config.memory_bytes, config.descriptors, config.reports.x0_is_slots);
--- a/crates/simwire/src/lib.rs
+++ b/crates/simwire/src/lib.rs
@@ -1,7 +1,7 @@
-//! Translation between the simulator's wire and [`api`]. Nothing is decided here.
+//! Translation between the simulator's wire and [`dispatch_api`]. Nothing is decided here.
 //!
 //! ```rust
-//! use api::{Action, Event, ListKind, Listing, Status, WorkerId};
+//! use dispatch_api::{Action, Event, ListKind, Listing, Status, WorkerId};
 //! use simwire::Host;
 //!
 //! // The simulator's wire: one line in, one line out. An empty batch gets an empty reply.
@@ -14,8 +14,8 @@
 //! let _action = Action::Watch;
 //! ```
 
-use api::told::{self, mark};
-use api::*;
+use dispatch_api::told::{self, mark};
+use dispatch_api::*;
 use levels::Governed;
 use serde::{Deserialize, Serialize};
 use settings::facts::{micros, settings, Facts};
--- a/crates/state/src/flows.rs
+++ b/crates/state/src/flows.rs
@@ -1,7 +1,7 @@
 //! The flows taken and not yet done with.
 
 use super::ConnId;
-use api::{JobId, Micros};
+use dispatch_api::{JobId, Micros};
 use std::collections::HashMap;
 
 /// One flow.
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -14,8 +14,10 @@
 pub use reducer::{reduce, Seen, State, Watched};
 pub use upkeep::{Upkeep, Wanted, WantedError};
 
-use api::{CallLost, JobId, JobSpec, Known, ListKind, LoadReport, Micros, Outcome, Settings, Status};
 use bytes::Bytes;
+use dispatch_api::{
+    CallLost, JobId, JobSpec, Known, ListKind, LoadReport, Micros, Outcome, Settings, Status,
+};
 use levels::{Spec, Usage};
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/state/src/pool.rs
+++ b/crates/state/src/pool.rs
@@ -1,7 +1,7 @@
 //! The accounts of the connections to targets: which there are, what each carries and when its time is up.
 
 use super::ConnId;
-use api::{JobId, Micros, Outcome, WorkerId};
+use dispatch_api::{JobId, Micros, Outcome, WorkerId};
 use std::collections::{BTreeSet, HashMap};
 
 /// What a connection carries.
--- a/crates/state/src/reducer.rs
+++ b/crates/state/src/reducer.rs
@@ -6,13 +6,13 @@
 use super::targets::TargetGroup;
 use super::upkeep::Upkeep;
 use super::{Answer, ConnId, Effect, Input, Joining, Odd, Ruling, Setup};
-use api::told;
-use api::{
+use bytes::Bytes;
+use council::{Council, Targets};
+use dispatch_api::told;
+use dispatch_api::{
     Action, Event, Idempotency, JobId, Known, ListKind, LoadReport, Micros, Outcome, Reports, SettingsError,
     WorkerId,
 };
-use bytes::Bytes;
-use council::{Council, Targets};
 use levels::{Governed, Status};
 use membership::{Change, Swim};
 use std::collections::{BTreeSet, VecDeque};
--- a/crates/state/src/targets.rs
+++ b/crates/state/src/targets.rs
@@ -1,8 +1,8 @@
 //! The target group: every target that a list has named, numbered for the decisions, and the operators' word on some.
 
 use super::{Listed, Ruling};
-use api::told;
-use api::{ListKind, Listing, Micros, Status, WorkerId};
+use dispatch_api::told;
+use dispatch_api::{ListKind, Listing, Micros, Status, WorkerId};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
 
--- a/crates/state/src/upkeep.rs
+++ b/crates/state/src/upkeep.rs
@@ -1,7 +1,7 @@
 //! Maintenance as operators ask for it and see it: by names, where members go by marks.
 
 use super::reducer::State;
-use api::told;
+use dispatch_api::told;
 use maintenance::{Limits, Plan, Progress, Standing, Target, MOST_KINDS};
 use std::collections::BTreeMap;
 
--- a/crates/state/tests/service.rs
+++ b/crates/state/tests/service.rs
@@ -3,8 +3,8 @@
 #[path = "../../decide/tests/common/mod.rs"]
 mod common;
 
-use api::*;
 use common::*;
+use dispatch_api::*;
 use proptest::prelude::*;
 use state::{reduce, Answer, ConnId, Effect, Input, Listed, Ruling, Setup, State};
 
--- a/crates/state/tests/upkeep.rs
+++ b/crates/state/tests/upkeep.rs
@@ -3,8 +3,8 @@
 #[path = "../../decide/tests/common/mod.rs"]
 mod common;
 
-use api::*;
 use common::*;
+use dispatch_api::*;
 use state::{reduce, Effect, Input, Joining, Listed, Setup, State, Wanted, WantedError};
 
 /// Two dispatchers that hear each other, or not, before four targets of two kinds.
