--- a/crates/decide/tests/common/mod.rs
+++ b/crates/dispatcher/dispatch-policy/tests/common/mod.rs
@@ -1,8 +1,8 @@
 //! A dispatcher under test with its clock.
 #![allow(dead_code)]
 
-use decide::Dispatcher;
 use dispatch_api::*;
+use dispatch_policy::Dispatcher;
 
 pub const MS: Micros = 1_000;
 pub const START: Micros = 1_000_000_000;
--- a/crates/decide/tests/decisions.rs
+++ b/crates/dispatcher/dispatch-policy/tests/decisions.rs
@@ -380,7 +380,7 @@
 
 #[test]
 fn unusable_settings_are_a_typed_error() {
-    use decide::Dispatcher;
+    use dispatch_policy::Dispatcher;
     let error = |s: Settings| Dispatcher::new(s, 1).err();
     assert_eq!(error(settings(vec![])), Some(SettingsError::NoClasses));
     let mut s = settings(vec![safe()]);
--- a/crates/decide/tests/rules.rs
+++ b/crates/dispatcher/dispatch-policy/tests/rules.rs
@@ -91,8 +91,13 @@
     let mut s = settings(vec![safe()]);
     s.discovery = Discovery::OnRequest { ask_within: 10_000 * MS };
     let watches = |actions: &[Action]| actions.iter().filter(|a| **a == Action::Watch).count();
-    let mut rig =
-        Rig { d: decide::Dispatcher::new(s, 1).unwrap(), now: START, expires_in: 0, work: None, key: None };
+    let mut rig = Rig {
+        d: dispatch_policy::Dispatcher::new(s, 1).unwrap(),
+        now: START,
+        expires_in: 0,
+        work: None,
+        key: None,
+    };
     assert_eq!(watches(&rig.list(ListKind::Inherited, vec![listing(0)])), 1);
     for _ in 0..20 {
         assert_eq!(watches(&rig.event(Event::ListFailed(CallLost::Failed))), 0, "paced");
--- a/crates/gateway/runner-selection/src/engines.rs
+++ b/crates/gateway/runner-selection/src/engines.rs
@@ -7,7 +7,7 @@
 use crate::service::Svc;
 use crate::{Learned, Ms, RunnerKey, SvcTerms};
 use compact_str::CompactString;
-use decide::Sleeper;
+use dispatch_policy::Sleeper;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use runner_registry::RunnerState;
--- a/crates/gateway/runner-selection/src/health.rs
+++ b/crates/gateway/runner-selection/src/health.rs
@@ -2,7 +2,7 @@
 
 use crate::constants::*;
 use crate::Ms;
-use decide::{Sleeper, SleeperTerms};
+use dispatch_policy::{Sleeper, SleeperTerms};
 use rand_pcg::Pcg64Mcg;
 
 /// Whether a runner gets anything.
--- a/crates/gateway/runner-selection/src/runner.rs
+++ b/crates/gateway/runner-selection/src/runner.rs
@@ -5,7 +5,7 @@
 use crate::service::Svc;
 use crate::Ms;
 use compact_str::CompactString;
-use decide::Sleeper;
+use dispatch_policy::Sleeper;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
--- a/crates/gateway/runner-selection/src/service.rs
+++ b/crates/gateway/runner-selection/src/service.rs
@@ -4,7 +4,7 @@
 use crate::parts::Parts;
 use crate::{Ms, RunnerKey, SvcTerms, Want};
 use compact_str::CompactString;
-use decide::SleeperTerms;
+use dispatch_policy::SleeperTerms;
 
 /// Mean and mean deviation that forget.
 #[derive(Debug, Clone, Copy)]
--- a/crates/gateway/runner-selection/tests/sleepers.rs
+++ b/crates/gateway/runner-selection/tests/sleepers.rs
@@ -1,6 +1,6 @@
 //! The law of the sleepers that both programs share.
 
-use decide::{Sleeper, SleeperTerms};
+use dispatch_policy::{Sleeper, SleeperTerms};
 use rand_pcg::rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/levels/src/governed.rs
+++ b/crates/levels/src/governed.rs
@@ -3,8 +3,8 @@
 use crate::gauges::{Gauges, Readings, Usage};
 use crate::ladder::{Cause, Change, Ladder};
 use crate::spec::Spec;
-use decide::Dispatcher;
 use dispatch_api::{Action, Event, JobId, Known, ListKind, Micros, Settings, SettingsError, WorkerId};
+use dispatch_policy::Dispatcher;
 use std::sync::Arc;
 
 /// The decisions with the levels before them, or without any. It is handled as the decisions are.
--- a/crates/state/tests/reducer.rs
+++ b/crates/state/tests/reducer.rs
@@ -1,6 +1,6 @@
 //! The reducer of the network code, without any socket.
 
-#[path = "../../decide/tests/common/mod.rs"]
+#[path = "../../dispatcher/dispatch-policy/tests/common/mod.rs"]
 mod common;
 
 use common::*;
--- a/crates/state/tests/service.rs
+++ b/crates/state/tests/service.rs
@@ -1,6 +1,6 @@
 //! What operators do and see: targets out by hand, and figures that add up whatever becomes of a job.
 
-#[path = "../../decide/tests/common/mod.rs"]
+#[path = "../../dispatcher/dispatch-policy/tests/common/mod.rs"]
 mod common;
 
 use common::*;
--- a/crates/state/tests/upkeep.rs
+++ b/crates/state/tests/upkeep.rs
@@ -1,6 +1,6 @@
 //! Maintenance through the reducer: what a plan has out gets nothing, is back when its work is done, and outlives a process.
 
-#[path = "../../decide/tests/common/mod.rs"]
+#[path = "../../dispatcher/dispatch-policy/tests/common/mod.rs"]
 mod common;
 
 use common::*;
