--- a/crates/admin/src/figures.rs
+++ b/crates/admin/src/figures.rs
@@ -1,10 +1,10 @@
 //! What is counted, as Prometheus text.
 
 use crate::view::Levels;
+use dispatcher_state::{Odd, Seen};
 use membership::State;
 use metrics::{counter, describe_counter, describe_gauge, gauge};
 use metrics_exporter_prometheus::{BuildError, PrometheusBuilder, PrometheusHandle};
-use state::{Odd, Seen};
 
 /// Sets up what counts, for the whole program. To be called before anything counts.
 ///
--- a/crates/admin/src/view.rs
+++ b/crates/admin/src/view.rs
@@ -1,10 +1,10 @@
 //! What operators are shown, as JSON. Times are Unix time in milliseconds.
 
 use dispatch_api::Micros;
+use dispatcher_state::Wanted;
 use levels::{Cause, Change, Gauge, LevelStatus, Status};
 use percent_encoding::percent_decode_str;
 use serde::{Deserialize, Serialize};
-use state::Wanted;
 use std::collections::BTreeMap;
 use std::fmt;
 use std::str::FromStr;
@@ -97,7 +97,7 @@
 }
 
 impl Maintenance {
-    pub(crate) fn new(upkeep: &state::Upkeep) -> Self {
+    pub(crate) fn new(upkeep: &dispatcher_state::Upkeep) -> Self {
         let maintenance::Progress { plan, gone, over, paused, targets } = upkeep.progress.clone();
         let target = |(name, t): (&String, maintenance::TargetShown)| MaintenanceTarget {
             target: name.clone(),
--- a/crates/desk/src/window.rs
+++ b/crates/desk/src/window.rs
@@ -1,7 +1,7 @@
 //! What operators see of the loop, and ask it, from another thread.
 
 use dispatch_api::Micros;
-use state::{Input, Seen, State, Wanted, WantedError};
+use dispatcher_state::{Input, Seen, State, Wanted, WantedError};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/discovery/src/odd.rs
+++ b/crates/discovery/src/odd.rs
@@ -2,8 +2,8 @@
 //! counted by name.
 
 use crate::Places;
+use dispatcher_state::Odd;
 use settings::list::{List, State};
-use state::Odd;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A whole list with less than this share of the targets that were listed before it is worth a word.
--- a/crates/state/tests/reducer.rs
+++ b/crates/dispatcher/dispatcher-state/tests/reducer.rs
@@ -1,12 +1,12 @@
 //! The reducer of the network code, without any socket.
 
-#[path = "../../dispatcher/dispatch-policy/tests/common/mod.rs"]
+#[path = "../../dispatch-policy/tests/common/mod.rs"]
 mod common;
 
 use common::*;
 use dispatch_api::*;
+use dispatcher_state::{reduce, Answer, ConnId, Effect, Input, Listed, Setup, State};
 use rstest::rstest;
-use state::{reduce, Answer, ConnId, Effect, Input, Listed, Setup, State};
 
 struct Bench {
     state: State,
--- a/crates/state/tests/service.rs
+++ b/crates/dispatcher/dispatcher-state/tests/service.rs
@@ -1,12 +1,12 @@
 //! What operators do and see: targets out by hand, and figures that add up whatever becomes of a job.
 
-#[path = "../../dispatcher/dispatch-policy/tests/common/mod.rs"]
+#[path = "../../dispatch-policy/tests/common/mod.rs"]
 mod common;
 
 use common::*;
 use dispatch_api::*;
+use dispatcher_state::{reduce, Answer, ConnId, Effect, Input, Listed, Ruling, Setup, State};
 use proptest::prelude::*;
-use state::{reduce, Answer, ConnId, Effect, Input, Listed, Ruling, Setup, State};
 
 struct Bench {
     state: State,
@@ -286,7 +286,7 @@
                 }
             }
             let counts = b.state.seen().counts;
-            let sum = |of: fn(&state::ClassCounts) -> u64| counts.classes.iter().map(of).sum::<u64>();
+            let sum = |of: fn(&dispatcher_state::ClassCounts) -> u64| counts.classes.iter().map(of).sum::<u64>();
             prop_assert_eq!(sum(|c| c.taken), jobs + turned);
             prop_assert_eq!(sum(|c| c.taken), sum(|c| c.ended()) + counts.active());
             prop_assert_eq!(sum(|c| c.ok), answers[0]);
--- a/crates/state/tests/upkeep.rs
+++ b/crates/dispatcher/dispatcher-state/tests/upkeep.rs
@@ -1,11 +1,11 @@
 //! Maintenance through the reducer: what a plan has out gets nothing, is back when its work is done, and outlives a process.
 
-#[path = "../../dispatcher/dispatch-policy/tests/common/mod.rs"]
+#[path = "../../dispatch-policy/tests/common/mod.rs"]
 mod common;
 
 use common::*;
 use dispatch_api::*;
-use state::{reduce, Effect, Input, Joining, Listed, Setup, State, Wanted, WantedError};
+use dispatcher_state::{reduce, Effect, Input, Joining, Listed, Setup, State, Wanted, WantedError};
 
 /// Two dispatchers that hear each other, or not, before four targets of two kinds.
 struct Pair {
--- a/crates/fordrelay/src/peers.rs
+++ b/crates/fordrelay/src/peers.rs
@@ -2,9 +2,9 @@
 
 use desk::{Desk, Seldom};
 use dispatch_api::told::{ENTRY_BYTES, MESSAGE_BYTES};
+use dispatcher_state::{Input, Odd};
 use membership::Message;
 use settings::platform::PeerAddrs;
-use state::{Input, Odd};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/fordrelay/src/usage.rs
+++ b/crates/fordrelay/src/usage.rs
@@ -1,8 +1,8 @@
 //! How much of the program's own limits is in use.
 
 use desk::Desk;
+use dispatcher_state::Input;
 use levels::Usage;
-use state::Input;
 use std::rc::Rc;
 use std::time::Duration;
 
--- a/crates/http1/tests/target.rs
+++ b/crates/http1/tests/target.rs
@@ -3,8 +3,8 @@
 use bytes::Bytes;
 use desk::{Bounds, Clock, Desk, Order, Passed};
 use dispatch_api::{JobId, JobSpec};
+use dispatcher_state::{ConnId, Input};
 use settings::report::ReportNames;
-use state::{ConnId, Input};
 use std::rc::Rc;
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpListener;
