--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -6,10 +6,10 @@
 pub use kept::Kept;
 
 use bytes::Bytes;
-use desk::{Clock, Desk, Seldom};
 use dispatch_api::told;
 use dispatch_api::{CallLost, ListKind, Micros, Status};
 use dispatcher_state::{Input, Listed, Odd};
+use event_loop::{Clock, Desk, Seldom};
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper::{Request, StatusCode};
--- a/crates/discovery/src/odd.rs
+++ b/crates/discovery/src/odd.rs
@@ -83,7 +83,7 @@
 
     fn places() -> Places {
         let names = |names: &[&str]| names.iter().map(|n| (*n).to_owned()).collect();
-        Places { zones: names(&["a"]), kinds: names(&["k"]), clock: desk::Clock::start(), kept: None }
+        Places { zones: names(&["a"]), kinds: names(&["k"]), clock: event_loop::Clock::start(), kept: None }
     }
 
     fn list(version: u64, full: bool, lines: &[(&str, u16, &str, &str, f64)]) -> List {
--- a/crates/fordrelay/src/peers.rs
+++ b/crates/fordrelay/src/peers.rs
@@ -1,8 +1,8 @@
 //! Datagrams between dispatchers.
 
-use desk::{Desk, Seldom};
 use dispatch_api::told::{ENTRY_BYTES, MESSAGE_BYTES};
 use dispatcher_state::{Input, Odd};
+use event_loop::{Desk, Seldom};
 use membership::Message;
 use settings::platform::PeerAddrs;
 use std::cell::RefCell;
--- a/crates/fordrelay/src/succession.rs
+++ b/crates/fordrelay/src/succession.rs
@@ -1,10 +1,10 @@
 //! Taking over from another process of this dispatcher, and being taken over from.
 
 use crate::folder::{path, Folder};
-use desk::{Bounds, Clock, Desk};
 use discovery::Kept;
 use dispatch_api::Known;
 use dispatcher_state::{Input, Ruling, State};
+use event_loop::{Bounds, Clock, Desk};
 use handover::{Event, Note, Place, Word};
 use http1::Listener;
 use settings::list::{List, State as Listed};
--- a/crates/fordrelay/src/usage.rs
+++ b/crates/fordrelay/src/usage.rs
@@ -1,7 +1,7 @@
 //! How much of the program's own limits is in use.
 
-use desk::Desk;
 use dispatcher_state::Input;
+use event_loop::Desk;
 use levels::Usage;
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/http1/src/listener.rs
+++ b/crates/http1/src/listener.rs
@@ -3,10 +3,10 @@
 use crate::connections::{Answers, Asked, Connections, Phase, Reading};
 use crate::seconds;
 use bytes::Bytes;
-use desk::{Desk, Passed, Unclaimed};
 use dispatch_api::told;
 use dispatch_api::{JobId, JobSpec, Micros};
 use dispatcher_state::{Answer, Input};
+use event_loop::{Desk, Passed, Unclaimed};
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
 use hyper::header::{HeaderValue, ALLOW, CONNECTION, RETRY_AFTER, TRANSFER_ENCODING};
--- a/crates/http1/src/target.rs
+++ b/crates/http1/src/target.rs
@@ -3,9 +3,9 @@
 use crate::io::{Observed, Observer};
 use crate::seconds;
 use bytes::{Bytes, BytesMut};
-use desk::{Desk, Order, Passed};
 use dispatch_api::{LoadReport, Micros, Outcome};
 use dispatcher_state::{ConnId, Input};
+use event_loop::{Desk, Order, Passed};
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
 use hyper::client::conn::http1::{self, SendRequest};
--- a/crates/http1/tests/target.rs
+++ b/crates/http1/tests/target.rs
@@ -1,9 +1,9 @@
 //! The client of targets over loopback: what is looked at last before a request is written.
 
 use bytes::Bytes;
-use desk::{Bounds, Clock, Desk, Order, Passed};
 use dispatch_api::{JobId, JobSpec};
 use dispatcher_state::{ConnId, Input};
+use event_loop::{Bounds, Clock, Desk, Order, Passed};
 use settings::report::ReportNames;
 use std::rc::Rc;
 use tokio::io::AsyncReadExt;
@@ -33,7 +33,7 @@
             let bounds = Bounds { flows: 10, bytes: 1_000 };
             let (desk, mut reports) = Desk::new(Clock::start(), ReportNames { x0_is_slots: true }, bounds);
             let (orders, receiver) = mpsc::unbounded_channel();
-            let order = |flow: &desk::Flow, id| {
+            let order = |flow: &event_loop::Flow, id| {
                 orders.send(Order::Job {
                     flow: flow.id(),
                     passed: Rc::new(passed(&desk, id)),
