--- a/crates/admin/src/view.rs
+++ b/crates/admin/src/view.rs
@@ -1,8 +1,8 @@
 //! What operators are shown, as JSON. Times are Unix time in milliseconds.
 
+use degradation::{Cause, Change, Gauge, LevelStatus, Status};
 use dispatch_api::Micros;
 use dispatcher_state::Wanted;
-use levels::{Cause, Change, Gauge, LevelStatus, Status};
 use percent_encoding::percent_decode_str;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
--- a/crates/levels/tests/ladder.rs
+++ b/crates/dispatcher/degradation/tests/ladder.rs
@@ -1,7 +1,7 @@
 //! Levels without decisions: readings made for the test go in, changes come out.
 
+use degradation::{Bounds, Cause, Change, Gauge, Ladder, Level, Readings, Spec};
 use dispatch_api::{ClassTerms, Micros, Terms};
-use levels::{Bounds, Cause, Change, Gauge, Ladder, Level, Readings, Spec};
 use proptest::prelude::*;
 
 const S: Micros = 1_000_000;
--- a/crates/dispatcher/dispatcher-state/src/lib.rs
+++ b/crates/dispatcher/dispatcher-state/src/lib.rs
@@ -15,10 +15,10 @@
 pub use upkeep::{Upkeep, Wanted, WantedError};
 
 use bytes::Bytes;
+use degradation::{Spec, Usage};
 use dispatch_api::{
     CallLost, JobId, JobSpec, Known, ListKind, LoadReport, Micros, Outcome, Settings, Status,
 };
-use levels::{Spec, Usage};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
--- a/crates/dispatcher/dispatcher-state/src/reducer.rs
+++ b/crates/dispatcher/dispatcher-state/src/reducer.rs
@@ -8,12 +8,12 @@
 use super::{Answer, ConnId, Effect, Input, Joining, Odd, Ruling, Setup};
 use bytes::Bytes;
 use council::{Council, Targets};
+use degradation::{Governed, Status};
 use dispatch_api::told;
 use dispatch_api::{
     Action, Event, Idempotency, JobId, Known, ListKind, LoadReport, Micros, Outcome, Reports, SettingsError,
     WorkerId,
 };
-use levels::{Governed, Status};
 use membership::{Change, Swim};
 use std::collections::{BTreeSet, VecDeque};
 use tracing::{debug, info};
@@ -89,7 +89,7 @@
     }
 
     /// The level of service in force, where there are levels, and the last change.
-    pub fn level(&self) -> Option<(&str, Option<&levels::Change>)> {
+    pub fn level(&self) -> Option<(&str, Option<&degradation::Change>)> {
         self.decisions.level()
     }
 
--- a/crates/fordrelay/src/lifecycle.rs
+++ b/crates/fordrelay/src/lifecycle.rs
@@ -93,7 +93,7 @@
     /// The operators'.
     pub operator: Operator,
     /// The levels of reduced service in it.
-    pub levels: Option<Arc<levels::Spec>>,
+    pub levels: Option<Arc<degradation::Spec>>,
 }
 
 impl Files {
--- a/crates/fordrelay/src/usage.rs
+++ b/crates/fordrelay/src/usage.rs
@@ -1,8 +1,8 @@
 //! How much of the program's own limits is in use.
 
+use degradation::Usage;
 use dispatcher_state::Input;
 use event_loop::Desk;
-use levels::Usage;
 use std::rc::Rc;
 use std::time::Duration;
 
--- a/crates/lab/tests/levels.rs
+++ b/crates/lab/tests/levels.rs
@@ -1,11 +1,11 @@
 //! Levels against whole failures, in virtual time: the program's own reducer and decisions before modelled boxes.
 
+use degradation::Spec;
 use dispatch_api::Micros;
 use dispatcher_state::Input;
 use lab::model::{run, LevelChange, Outcomes};
 use lab::scenario::{Fault, Scenario, SECOND};
 use lab::swings::Swings;
-use levels::Spec;
 use rstest::rstest;
 use settings::operator::Operator;
 use std::path::Path;
--- a/crates/settings/src/operator.rs
+++ b/crates/settings/src/operator.rs
@@ -1,11 +1,11 @@
 //! The operators' file: HCL, with what is this program's own. Every key is checked, and an error names file, line
 //! and key and says what would be right.
 
+use degradation::{Bounds, Gauge, Level, Spec};
 use dispatch_api::{ClassTerms, Micros, Terms};
 use hcl_edit::structure::{Body, Structure};
 use hcl_edit::Span;
 use indexmap::IndexMap;
-use levels::{Bounds, Gauge, Level, Spec};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::net::SocketAddr;
--- a/crates/settings/src/platform.rs
+++ b/crates/settings/src/platform.rs
@@ -234,7 +234,7 @@
 
 impl Config {
     /// What the reducer takes of it, with levels of reduced service or without.
-    pub fn setup(&self, levels: Option<Arc<levels::Spec>>) -> dispatcher_state::Setup {
+    pub fn setup(&self, levels: Option<Arc<degradation::Spec>>) -> dispatcher_state::Setup {
         dispatcher_state::Setup {
             settings: self.settings.clone(),
             seed: self.seed,
--- a/crates/settings/tests/operator.rs
+++ b/crates/settings/tests/operator.rs
@@ -30,7 +30,7 @@
     ["live-score", "review", "settle"].map(str::to_owned).to_vec()
 }
 
-fn read(text: &str) -> Result<Option<levels::Spec>, String> {
+fn read(text: &str) -> Result<Option<degradation::Spec>, String> {
     let parsed = Operator::parse(Path::new("f.hcl"), text).map_err(|e| e.to_string())?;
     parsed.0.spec(&classes(), &parsed.1).map_err(|e| e.to_string())
 }
--- a/crates/simwire/src/lib.rs
+++ b/crates/simwire/src/lib.rs
@@ -14,9 +14,9 @@
 //! let _action = Action::Watch;
 //! ```
 
+use degradation::Governed;
 use dispatch_api::told::{self, mark};
 use dispatch_api::*;
-use levels::Governed;
 use serde::{Deserialize, Serialize};
 use settings::facts::{micros, settings, Facts};
 use settings::operator::{Operator, Source};
