--- a/crates/roster/tests/draw.rs
+++ b/crates/dispatcher/discovery-pacing/tests/draw.rs
@@ -1,8 +1,8 @@
 //! A few keys that everybody wants, and a list that all dispatchers have late.
 
+use discovery_pacing::Draw;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use roster::Draw;
 
 const WORKERS: usize = 100;
 const SLOTS: f64 = 7.0;
--- a/crates/roster/tests/herd.rs
+++ b/crates/dispatcher/discovery-pacing/tests/herd.rs
@@ -1,10 +1,10 @@
 //! A hundred dispatchers before one discovery that handles their calls in turn.
 
+use discovery_pacing::{Pace, ANSWER_WAIT, CALL_TAKES, CALL_WAITS, TOLD_AFTER, WATCH_WAIT};
 use dispatch_api::{CallLost, Discovery, Micros};
 use proptest::prelude::*;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use roster::{Pace, ANSWER_WAIT, CALL_TAKES, CALL_WAITS, TOLD_AFTER, WATCH_WAIT};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
--- a/crates/roster/tests/load.rs
+++ b/crates/dispatcher/discovery-pacing/tests/load.rs
@@ -1,6 +1,6 @@
 //! Loads as lists tell them.
 
-use roster::{held_per_core, Kind, Loads};
+use discovery_pacing::{held_per_core, Kind, Loads};
 
 #[test]
 fn a_weight_tells_what_was_held() {
--- a/crates/roster/tests/reach.rs
+++ b/crates/dispatcher/discovery-pacing/tests/reach.rs
@@ -1,6 +1,6 @@
 //! Zones that can't be reached.
 
-use roster::Reach;
+use discovery_pacing::Reach;
 
 #[test]
 fn a_zone_that_fails_is_left_after_two_failures_and_comes_back_with_successes() {
--- a/crates/dispatcher/discovery/src/lib.rs
+++ b/crates/dispatcher/discovery/src/lib.rs
@@ -26,14 +26,14 @@
 use tokio::time::timeout;
 use tracing::{debug, warn};
 
-/// How long a watch asks discovery to wait, see [`roster`].
-const WATCH_WAIT: Duration = Duration::from_micros(roster::WATCH_WAIT);
+/// How long a watch asks discovery to wait, see [`discovery_pacing`].
+const WATCH_WAIT: Duration = Duration::from_micros(discovery_pacing::WATCH_WAIT);
 /// ... and its first call, which is to say what was missed: hardly at all.
 const NO_WAIT: Duration = Duration::from_millis(1);
 /// How long an answer may take beyond that ...
-const ANSWER_WAIT: Duration = Duration::from_micros(roster::ANSWER_WAIT);
+const ANSWER_WAIT: Duration = Duration::from_micros(discovery_pacing::ANSWER_WAIT);
 /// ... and a call that has to wait for its turn first.
-const TURN_WAIT: Duration = Duration::from_micros(roster::CALL_WAITS);
+const TURN_WAIT: Duration = Duration::from_micros(discovery_pacing::CALL_WAITS);
 /// Where lists are pushed, the agent on this machine has nobody else to answer, and what it has counts at once, also what it
 /// hears right after an outage. It is silent meanwhile, and a call that was made then is never answered: so a watch there is
 /// short, and one that is not answered in time has others made beside it. From the agent's return to its answer it takes
--- a/crates/dispatcher/discovery/src/odd.rs
+++ b/crates/dispatcher/discovery/src/odd.rs
@@ -46,7 +46,10 @@
                     odd(Odd::UnknownPlace, format!("{name:?} of {} is not in the settings", entry.id));
                 }
             }
-            if entry.weight.is_some_and(|w| !(w.is_finite() && (0.0..=roster::LARGEST_WEIGHT).contains(&w))) {
+            if entry
+                .weight
+                .is_some_and(|w| !(w.is_finite() && (0.0..=discovery_pacing::LARGEST_WEIGHT).contains(&w)))
+            {
                 odd(Odd::Weight, format!("{:?} of {}", entry.weight, entry.id));
             }
         }
--- a/crates/dispatcher/dispatch-policy/src/figures.rs
+++ b/crates/dispatcher/dispatch-policy/src/figures.rs
@@ -1,8 +1,8 @@
 //! What is believed and counted, for those who watch over the service. Nothing is decided here.
 
 use super::{Dispatcher, Lane, Worker, AGEING, RUN_CAP, SAMPLE};
+use discovery_pacing::{Kind, Loads};
 use dispatch_api::*;
-use roster::{Kind, Loads};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Progress notes missed in a row, or capped runs where there are none, after which a worker is silent.
--- a/crates/dispatcher/dispatch-policy/src/lib.rs
+++ b/crates/dispatcher/dispatch-policy/src/lib.rs
@@ -17,13 +17,13 @@
 mod terms;
 
 use constants::*;
+use discovery_pacing::{Draw, Kind, Loads, Pace, Reach};
 use dispatch_api::told::kin;
 use dispatch_api::*;
 use kept::*;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use repeating::Budget;
-use roster::{Draw, Kind, Loads, Pace, Reach};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 use std::sync::Arc;
--- a/crates/dispatcher/dispatch-policy/src/memory.rs
+++ b/crates/dispatcher/dispatch-policy/src/memory.rs
@@ -1,8 +1,8 @@
 //! What passes from one process of a dispatcher to the next. Nothing is decided here.
 
 use super::Dispatcher;
+use discovery_pacing::Kind;
 use dispatch_api::*;
-use roster::Kind;
 
 /// What is known of single workers is believed for so long; kinds and classes change slowly.
 const WORKERS_AGE: Micros = 10_000_000;
--- a/crates/lab/src/registry.rs
+++ b/crates/lab/src/registry.rs
@@ -1,8 +1,8 @@
 //! Discovery in virtual time: one service for all dispatchers, which takes their calls in turn. A call whose caller has
 //! stopped waiting takes its turn all the same; a watch that is kept up takes none. No I/O, clock or randomness.
 
+use discovery_pacing::{ANSWER_WAIT, CALL_WAITS};
 use dispatch_api::Micros;
-use roster::{ANSWER_WAIT, CALL_WAITS};
 use std::collections::BTreeMap;
 
 /// How discovery is.
