--- a/crates/dispatcher/discovery/src/kept.rs
+++ b/crates/dispatcher/discovery/src/kept.rs
@@ -1,6 +1,6 @@
 //! The list as discovery told it, with every target that it ever named.
 
-use settings::list::{Entry, List, State};
+use dispatcher_settings::list::{Entry, List, State};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -48,7 +48,7 @@
 #[cfg(test)]
 mod tests {
     use super::Kept;
-    use settings::list::{List, State};
+    use dispatcher_settings::list::{List, State};
 
     #[test]
     fn what_was_ever_named_stays_known_as_gone() {
--- a/crates/dispatcher/discovery/src/odd.rs
+++ b/crates/dispatcher/discovery/src/odd.rs
@@ -2,8 +2,8 @@
 //! counted by name.
 
 use crate::Places;
+use dispatcher_settings::list::{List, State};
 use dispatcher_state::Odd;
-use settings::list::{List, State};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A whole list with less than this share of the targets that were listed before it is worth a word.
@@ -135,7 +135,7 @@
         #[test]
         fn no_list_is_too_odd(ids in prop::collection::vec((0u8..4, 0u16..3, any::<f64>(), 0u8..3), 0..40), full: bool) {
             let mut lists = Lists::default();
-            let servers = ids.into_iter().map(|(id, port, weight, state)| settings::list::Entry {
+            let servers = ids.into_iter().map(|(id, port, weight, state)| dispatcher_settings::list::Entry {
                 id: id.to_string(),
                 addr: ([127, 0, 0, 1], port).into(),
                 zone: "a".into(),
--- a/crates/settings/tests/operator.rs
+++ b/crates/dispatcher/dispatcher-settings/tests/operator.rs
@@ -1,7 +1,7 @@
 //! The operators' file: what is in force without a word, and messages that name line, key and what would be right.
 
+use dispatcher_settings::operator::{Format, Operator};
 use rstest::rstest;
-use settings::operator::{Format, Operator};
 use std::path::Path;
 
 const GOOD: &str = r#"log { level = "debug" }
@@ -40,7 +40,7 @@
     let (empty, source) = Operator::parse(Path::new("f.hcl"), "").unwrap();
     assert_eq!((empty.log.format, empty.admin.clone()), (Format::Text, None));
     assert_eq!(empty.spec(&classes(), &source).unwrap(), None);
-    for text in [GOOD, include_str!("../../../deploy/fordrelay.hcl")] {
+    for text in [GOOD, include_str!("../../../../deploy/fordrelay.hcl")] {
         let (good, _) = Operator::parse(Path::new("f.hcl"), text).unwrap();
         let printed = hcl::to_string(&good).unwrap();
         assert_eq!(Operator::parse(Path::new("f.hcl"), &printed).unwrap().0, good, "{printed}");
--- a/crates/settings/tests/platform.rs
+++ b/crates/dispatcher/dispatcher-settings/tests/platform.rs
@@ -1,8 +1,8 @@
 //! The configuration: defaults, and messages that name the faulty key.
 
 use dispatch_api::Reports;
+use dispatcher_settings::platform::Config;
 use rstest::rstest;
-use settings::platform::Config;
 
 const GOOD: &str = r#"{"name":"n3","listen":"127.0.0.1:80","discovery":"127.0.0.1:85","seed":"8c1f",
 "limits":{"memory_mb":192,"sockets":1024},"peer_listen":"127.0.0.1:90","peers":["127.0.0.1:90","127.0.0.2:90"],
@@ -218,7 +218,7 @@
 
 #[test]
 fn a_list_keeps_the_keys_of_discovery_both_ways() {
-    use settings::list::List;
+    use dispatcher_settings::list::List;
     let full = r#"{"version":4,"full":true,"servers":[{"id":"s","addr":"127.0.0.1:81","zone":"a","kind":"k","cell":3,"state":"ready","started_ms":1.5,"weight":2.5},{"id":"t","addr":"127.0.0.1:82","zone":"","kind":"","cell":0,"state":"draining","started_ms":0.0,"weight":null},{"id":"u","addr":"127.0.0.1:83","zone":"","kind":"","cell":0,"state":"gone","started_ms":0.0,"weight":null}]}"#;
     let list: List = serde_json::from_str(full).unwrap();
     assert_eq!(serde_json::to_string(&list).unwrap(), full);
--- a/crates/dispatcher/event-loop/src/lib.rs
+++ b/crates/dispatcher/event-loop/src/lib.rs
@@ -12,8 +12,8 @@
 
 use bytes::Bytes;
 use dispatch_api::{JobId, JobSpec, Micros};
+use dispatcher_settings::report::ReportNames;
 use dispatcher_state::{reduce, Answer, ConnId, Effect, Input, Seen, State};
-use settings::report::ReportNames;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
--- a/crates/dispatcher/http1/tests/target.rs
+++ b/crates/dispatcher/http1/tests/target.rs
@@ -2,9 +2,9 @@
 
 use bytes::Bytes;
 use dispatch_api::{JobId, JobSpec};
+use dispatcher_settings::report::ReportNames;
 use dispatcher_state::{ConnId, Input};
 use event_loop::{Bounds, Clock, Desk, Order, Passed};
-use settings::report::ReportNames;
 use std::rc::Rc;
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpListener;
--- a/crates/fordrelay/src/commands.rs
+++ b/crates/fordrelay/src/commands.rs
@@ -2,11 +2,11 @@
 
 use crate::lifecycle::{Files, Told};
 use admin::view::Levels;
+use dispatcher_settings::operator::Operator;
+use dispatcher_settings::platform::Summary;
 use hyper::Method;
 use percent_encoding::{utf8_percent_encode, NON_ALPHANUMERIC};
 use serde::Serialize;
-use settings::operator::Operator;
-use settings::platform::Summary;
 use std::net::SocketAddr;
 use std::time::Duration;
 
--- a/crates/fordrelay/src/log.rs
+++ b/crates/fordrelay/src/log.rs
@@ -1,6 +1,6 @@
 //! What is logged, how, and the change of it while the program runs.
 
-use settings::operator::{Format, Log};
+use dispatcher_settings::operator::{Format, Log};
 use tracing::warn;
 use tracing_subscriber::filter::ParseError;
 use tracing_subscriber::layer::SubscriberExt;
--- a/crates/fordrelay/src/peers.rs
+++ b/crates/fordrelay/src/peers.rs
@@ -1,10 +1,10 @@
 //! Datagrams between dispatchers.
 
 use dispatch_api::told::{ENTRY_BYTES, MESSAGE_BYTES};
+use dispatcher_settings::platform::PeerAddrs;
 use dispatcher_state::{Input, Odd};
 use event_loop::{Desk, Seldom};
 use membership::Message;
-use settings::platform::PeerAddrs;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/fordrelay/src/succession.rs
+++ b/crates/fordrelay/src/succession.rs
@@ -3,12 +3,12 @@
 use crate::folder::{path, Folder};
 use discovery::Kept;
 use dispatch_api::Known;
+use dispatcher_settings::list::{List, State as Listed};
+use dispatcher_settings::platform::Config;
 use dispatcher_state::{Input, Ruling, State};
 use event_loop::{Bounds, Clock, Desk};
 use handover::{Event, Note, Place, Word};
 use http1::Listener;
-use settings::list::{List, State as Listed};
-use settings::platform::Config;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::path::Path;
--- a/crates/fordrelay/tests/outer_forms.rs
+++ b/crates/fordrelay/tests/outer_forms.rs
@@ -4,9 +4,9 @@
 mod common;
 
 use common::*;
+use dispatcher_settings::list::List;
 use handover::Note;
 use serde::{Deserialize, Serialize};
-use settings::list::List;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
 use std::path::{Path, PathBuf};
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,6 +1,7 @@
 //! The command line of the lab.
 
 use bpaf::{construct, long, OptionParser, Parser};
+use dispatcher_settings::operator::{Operator, Source};
 use fordrelay::lifecycle::{self, Files};
 use lab::calls;
 use lab::members;
@@ -9,7 +10,6 @@
 use lab::swings::Swings;
 use lab::up::{self, Terms};
 use lab::upgrade;
-use settings::operator::{Operator, Source};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::sync::Arc;
--- a/crates/lab/src/size.rs
+++ b/crates/lab/src/size.rs
@@ -4,12 +4,12 @@
 use crate::registry::Service;
 use crate::scenario::{Fault, Scenario, SECOND};
 use dispatch_api::Micros;
+use dispatcher_settings::platform::ConfigError;
 use rand::seq::SliceRandom;
 use rand::Rng;
 use rand_pcg::rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
-use settings::platform::ConfigError;
 use std::fmt;
 use std::str::FromStr;
 
--- a/crates/lab/tests/levels.rs
+++ b/crates/lab/tests/levels.rs
@@ -2,12 +2,12 @@
 
 use degradation::Spec;
 use dispatch_api::Micros;
+use dispatcher_settings::operator::Operator;
 use dispatcher_state::Input;
 use lab::model::{run, LevelChange, Outcomes};
 use lab::scenario::{Fault, Scenario, SECOND};
 use lab::swings::Swings;
 use rstest::rstest;
-use settings::operator::Operator;
 use std::path::Path;
 use std::sync::Arc;
 
--- a/crates/simwire/src/lib.rs
+++ b/crates/simwire/src/lib.rs
@@ -17,9 +17,9 @@
 use degradation::Governed;
 use dispatch_api::told::{self, mark};
 use dispatch_api::*;
+use dispatcher_settings::facts::{micros, settings, Facts};
+use dispatcher_settings::operator::{Operator, Source};
 use serde::{Deserialize, Serialize};
-use settings::facts::{micros, settings, Facts};
-use settings::operator::{Operator, Source};
 use std::collections::{BTreeMap, HashMap};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::sync::Arc;
--- a/crates/simwire/src/main.rs
+++ b/crates/simwire/src/main.rs
@@ -1,7 +1,7 @@
 //! Speaks the simulator's wire on standard input and output.
 
 use bpaf::{long, Parser};
-use settings::operator::Operator;
+use dispatcher_settings::operator::Operator;
 use simwire::Host;
 use std::io::{self, BufRead, Write};
 use std::path::PathBuf;
