--- a/crates/handover/tests/bytes.rs
+++ b/crates/dispatcher/hot-restart/tests/bytes.rs
@@ -1,6 +1,6 @@
 //! The bytes of the note between two processes: each reads what a process of another version wrote.
 
-use handover::{Note, Word, LARGEST, VERSION};
+use hot_restart::{Note, Word, LARGEST, VERSION};
 
 type Plain = Note<Vec<String>, u32>;
 
--- a/crates/handover/tests/handover.rs
+++ b/crates/dispatcher/hot-restart/tests/handover.rs
@@ -1,6 +1,6 @@
 //! Files that are cut, changed, foreign or newer, and every order of what can happen to a process.
 
-use handover::{Event, Note, NoteError, Place, Stage, Word};
+use hot_restart::{Event, Note, NoteError, Place, Stage, Word};
 use proptest::prelude::*;
 
 type Plain = Note<Vec<String>, u32>;
--- a/crates/fordrelay/src/folder.rs
+++ b/crates/fordrelay/src/folder.rs
@@ -4,7 +4,7 @@
 //! renamed, and a lock, which it holds for as long as it lives, however it ends. All others' notes are read. What a
 //! dead one left is removed once it has been taken over by one that lives.
 
-use handover::{Note, NoteError, LARGEST};
+use hot_restart::{Note, NoteError, LARGEST};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -157,7 +157,7 @@
 #[cfg(test)]
 mod tests {
     use super::{path, Folder, NOTE};
-    use handover::{Note, Word};
+    use hot_restart::{Note, Word};
 
     type Plain = Note<u32, u32>;
 
--- a/crates/fordrelay/src/succession.rs
+++ b/crates/fordrelay/src/succession.rs
@@ -7,7 +7,7 @@
 use dispatcher_settings::platform::Config;
 use dispatcher_state::{Input, Ruling, State};
 use event_loop::{Bounds, Clock, Desk};
-use handover::{Event, Note, Place, Word};
+use hot_restart::{Event, Note, Place, Word};
 use http1::Listener;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
--- a/crates/fordrelay/tests/outer_forms.rs
+++ b/crates/fordrelay/tests/outer_forms.rs
@@ -5,7 +5,7 @@
 
 use common::*;
 use dispatcher_settings::list::List;
-use handover::Note;
+use hot_restart::Note;
 use serde::{Deserialize, Serialize};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
