--- a/crates/dispatcher/dispatcher-state/src/reducer.rs
+++ b/crates/dispatcher/dispatcher-state/src/reducer.rs
@@ -7,7 +7,7 @@
 use super::upkeep::Upkeep;
 use super::{Answer, ConnId, Effect, Input, Joining, Odd, Ruling, Setup};
 use bytes::Bytes;
-use council::{Council, Targets};
+use coordination::{Council, Targets};
 use degradation::{Governed, Status};
 use dispatch_api::told;
 use dispatch_api::{
@@ -349,36 +349,38 @@
     }
 
     /// Asks the council, which may look at what is known of targets, and does what comes of it.
-    fn asks(&mut self, ask: impl FnOnce(&mut Council, Micros, &dyn Targets) -> Vec<council::Effect>) {
+    fn asks(&mut self, ask: impl FnOnce(&mut Council, Micros, &dyn Targets) -> Vec<coordination::Effect>) {
         let State { council, targets, pool, .. } = &mut *self.state;
         let effects = ask(council, self.now, &Here { targets, pool });
         self.settled(effects);
     }
 
     /// What the dispatchers have settled.
-    fn settled(&mut self, effects: Vec<council::Effect>) {
+    fn settled(&mut self, effects: Vec<coordination::Effect>) {
         for effect in effects {
             match effect {
-                council::Effect::Send { to, message } => self.effects.push(Effect::TellOne { to, message }),
-                council::Effect::Rule { mark, out } => self.ban(mark, out),
-                council::Effect::Joined { me, members, incarnation } => {
+                coordination::Effect::Send { to, message } => {
+                    self.effects.push(Effect::TellOne { to, message })
+                }
+                coordination::Effect::Rule { mark, out } => self.ban(mark, out),
+                coordination::Effect::Joined { me, members, incarnation } => {
                     info!(me, members, incarnation, "joined the dispatchers");
                 }
-                council::Effect::Changed(Change { member, incarnation, state }) => {
+                coordination::Effect::Changed(Change { member, incarnation, state }) => {
                     info!(member, state = state.word(), incarnation, "a dispatcher");
                 }
-                council::Effect::HeardBy { member, heard } => {
+                coordination::Effect::HeardBy { member, heard } => {
                     info!(member, heard, "whether a dispatcher hears this one");
                 }
-                council::Effect::Stands { mark, standing, forced } => {
+                coordination::Effect::Stands { mark, standing, forced } => {
                     let target = self.state.targets.named_by(mark).unwrap_or("unknown");
                     info!(target, ?standing, forced, "maintenance");
                 }
-                council::Effect::NotFollowed(e) => info!("a plan of maintenance can't be followed: {e}"),
-                council::Effect::CalledOff(called_off) => {
+                coordination::Effect::NotFollowed(e) => info!("a plan of maintenance can't be followed: {e}"),
+                coordination::Effect::CalledOff(called_off) => {
                     info!(called_off, "a plan of maintenance is called off");
                 }
-                council::Effect::Odd => self.state.counts.was_odd(Odd::CutDatagram, 1),
+                coordination::Effect::Odd => self.state.counts.was_odd(Odd::CutDatagram, 1),
             }
         }
     }
