--- a/crates/simwire/src/lib.rs
+++ b/crates/dispatcher/simulator-protocol/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! ```rust
 //! use dispatch_api::{Action, Event, ListKind, Listing, Status, WorkerId};
-//! use simwire::Host;
+//! use simulator_protocol::Host;
 //!
 //! // The simulator's wire: one line in, one line out. An empty batch gets an empty reply.
 //! let reply = Host::default().answer(r#"{"sim-time-ms":1.0,"n":1,"dispatchers":[]}"#);
--- a/crates/simwire/src/main.rs
+++ b/crates/dispatcher/simulator-protocol/src/main.rs
@@ -2,7 +2,7 @@
 
 use bpaf::{long, Parser};
 use dispatcher_settings::operator::Operator;
-use simwire::Host;
+use simulator_protocol::Host;
 use std::io::{self, BufRead, Write};
 use std::path::PathBuf;
 use std::process::ExitCode;
--- a/crates/simwire/tests/wire.rs
+++ b/crates/dispatcher/simulator-protocol/tests/wire.rs
@@ -1,6 +1,6 @@
 //! The wire: lines written for the test in, replies out, through the host and the real program.
 
-use simwire::Host;
+use simulator_protocol::Host;
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
