--- a/crates/fordrelay/tests/outer_forms.rs
+++ b/crates/dispatcher/fordrelay/tests/outer_forms.rs
@@ -231,7 +231,7 @@
     let config = std::env::temp_dir().join(format!("fordrelay-check-{}.json", std::process::id()));
     std::fs::write(&config, CONFIG).unwrap();
     let path = config.display().to_string();
-    let operator = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/fordrelay.hcl");
+    let operator = concat!(env!("CARGO_MANIFEST_DIR"), "/../../../deploy/fordrelay.hcl");
     let operator = [operator, concat!(env!("CARGO_MANIFEST_DIR"), "/../../../deploy/fordrelay.hcl")]
         .into_iter()
         .find(|path| Path::new(path).exists())
--- a/crates/fordrelay/tests/tier/offline.rs
+++ b/crates/dispatcher/fordrelay/tests/tier/offline.rs
@@ -87,7 +87,7 @@
 /// beside that may follow.
 #[test]
 fn the_page_of_result_codes_is_what_the_program_says() {
-    let page = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/result-codes.md");
+    let page = concat!(env!("CARGO_MANIFEST_DIR"), "/../../../docs/result-codes.md");
     let (page, said) = (std::fs::read_to_string(page).unwrap(), tier(&["codes"]).out);
     assert!(page.starts_with(&said), "docs/result-codes.md does not begin with:\n{said}");
 }
@@ -96,7 +96,7 @@
 /// the page.
 #[test]
 fn every_number_means_one_thing_and_stands_in_the_page() {
-    let root = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
+    let root = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../..");
     let page = std::fs::read_to_string(root.join("docs/result-codes.md")).unwrap();
     let listed: Vec<u32> =
         page.lines().filter_map(|line| line.strip_prefix("| ")?.split(' ').next()?.parse().ok()).collect();
