--- a/crates/batch/batch-store/src/answer.rs
+++ b/crates/batch/batch-store/src/answer.rs
@@ -8,7 +8,7 @@
     fn answer(self, body: Bytes);
 }
 
-impl Answer for peer_link::Reply {
+impl Answer for peer_transport::Reply {
     fn answer(self, body: Bytes) {
         self.send(body);
     }
--- a/crates/batch/batch-store/src/process.rs
+++ b/crates/batch/batch-store/src/process.rs
@@ -5,7 +5,7 @@
 use batch::wire::{Message, StoreMap};
 use bytes::Bytes;
 use disk_ring::{DiskError, DiskRing, Opened, Options};
-use peer_link::{Event, Handler, Links, Me, Peer, Reply};
+use peer_transport::{Event, Handler, Links, Me, Peer, Reply};
 use relay_tree::{Follow, StateTable};
 use replicated_state::{decode_addresses, CONTROLLERS, RELAY};
 use slog::{crit, error, info, warn, Logger};
--- a/crates/peer-link/tests/bytes.rs
+++ b/crates/common/peer-transport/tests/bytes.rs
@@ -1,7 +1,7 @@
 //! The bytes of a hello and of each kind of frame, exactly, written and read. The page is docs/peer-frames.md.
 
 use bytes::Bytes;
-use peer_link::frame::{Decoder, Frame, Hello, Item, Use, HEAD, VERSION};
+use peer_transport::frame::{Decoder, Frame, Hello, Item, Use, HEAD, VERSION};
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
--- a/crates/peer-link/tests/frames.rs
+++ b/crates/common/peer-transport/tests/frames.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use insta::assert_snapshot;
-use peer_link::frame::{Decoder, Frame, FrameError, Hello, Item, Use, HEAD, VERSION};
+use peer_transport::frame::{Decoder, Frame, FrameError, Hello, Item, Use, HEAD, VERSION};
 use proptest::prelude::*;
 use std::net::SocketAddr;
 
--- a/crates/peer-link/tests/pending.rs
+++ b/crates/common/peer-transport/tests/pending.rs
@@ -1,7 +1,7 @@
 //! Every order of calls, answers and ends of connections up to a depth: the table of pending calls is the real one, the
 //! wire and the peer are played. Each caller gets the answer to its own call, once, or an error.
 
-use peer_link::pending::PendingCalls;
+use peer_transport::pending::PendingCalls;
 use std::collections::VecDeque;
 
 /// Events in a row.
--- a/crates/peer-link/tests/pending_threads.rs
+++ b/crates/common/peer-transport/tests/pending_threads.rs
@@ -5,7 +5,7 @@
 //! `pending.rs` plays whole events in every order; here a step may come amid another, as it could were one of them split
 //! by a wait.
 
-use peer_link::pending::PendingCalls;
+use peer_transport::pending::PendingCalls;
 use shuttle::sync::mpsc::{channel, Receiver, Sender};
 use shuttle::sync::Mutex;
 use shuttle::thread;
--- a/crates/peer-link/tests/sockets.rs
+++ b/crates/common/peer-transport/tests/sockets.rs
@@ -3,8 +3,8 @@
 mod support;
 
 use bytes::Bytes;
-use peer_link::frame::{Frame, Item, Use, HEAD};
-use peer_link::{CallError, MOST_BODY, MOST_QUEUED, MOST_QUEUED_TELLS};
+use peer_transport::frame::{Frame, Item, Use, HEAD};
+use peer_transport::{CallError, MOST_BODY, MOST_QUEUED, MOST_QUEUED_TELLS};
 use std::time::Duration;
 use support::*;
 use tokio::task::spawn_local;
@@ -347,8 +347,8 @@
     run(async {
         let other = process(2).await;
         let (_listener, addr) = listener().await;
-        let me = peer_link::Me { addr, id: 1, node: "node-1".into(), zone: "zone".into() };
-        let links = peer_link::Links::new(me);
+        let me = peer_transport::Me { addr, id: 1, node: "node-1".into(), zone: "zone".into() };
+        let links = peer_transport::Links::new(me);
         links.tell(other.addr, 5, number(1));
         other.notes.until(|notes| notes.told.borrow().len() == 1).await;
         assert_eq!(other.links.peer(addr).unwrap().id, 1);
--- a/crates/peer-link/tests/spoilt.rs
+++ b/crates/common/peer-transport/tests/spoilt.rs
@@ -2,7 +2,7 @@
 //! read of the rest is bounded by what came, and nothing panics.
 
 use bytes::Bytes;
-use peer_link::frame::{Decoder, Frame, Hello, Item, Use, HEAD};
+use peer_transport::frame::{Decoder, Frame, Hello, Item, Use, HEAD};
 use proptest::prelude::*;
 
 const MOST: usize = 4_000;
--- a/crates/peer-link/tests/support/mod.rs
+++ b/crates/common/peer-transport/tests/support/mod.rs
@@ -2,8 +2,8 @@
 #![allow(dead_code)]
 
 use bytes::Bytes;
-use peer_link::frame::{Decoder, Frame, Hello, Item};
-use peer_link::{Handler, Links, Me, Peer, Reply};
+use peer_transport::frame::{Decoder, Frame, Hello, Item};
+use peer_transport::{Handler, Links, Me, Peer, Reply};
 use std::cell::RefCell;
 use std::future::Future;
 use std::net::SocketAddr;
@@ -116,7 +116,7 @@
 
 impl Raw {
     pub fn new(stream: TcpStream) -> Self {
-        Self { stream, decoder: Decoder::new(peer_link::MOST_BODY) }
+        Self { stream, decoder: Decoder::new(peer_transport::MOST_BODY) }
     }
 
     pub async fn connect(to: SocketAddr) -> Self {
--- a/crates/peer-link/tests/times.rs
+++ b/crates/common/peer-transport/tests/times.rs
@@ -3,8 +3,10 @@
 mod support;
 
 use bytes::Bytes;
-use peer_link::frame::{Frame, Item, Use};
-use peer_link::{CallError, Links, Me, CONNECT_WITHIN, HELLO_WITHIN, IDLE_CLOSE, LEAST_PAUSE, MOST_PAUSE};
+use peer_transport::frame::{Frame, Item, Use};
+use peer_transport::{
+    CallError, Links, Me, CONNECT_WITHIN, HELLO_WITHIN, IDLE_CLOSE, LEAST_PAUSE, MOST_PAUSE,
+};
 use std::cell::Cell;
 use std::future::Future;
 use std::net::SocketAddr;
--- a/crates/control/controller/src/dispatchers.rs
+++ b/crates/control/controller/src/dispatchers.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use chain_replication::Ms;
-use peer_link::Peer;
+use peer_transport::Peer;
 use relay_tree::{Stamp, StateTable};
 use replicated_state::{Dispatcher, HELLO_EVERY, NODES};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/control/controller/src/op.rs
+++ b/crates/control/controller/src/op.rs
@@ -1,7 +1,7 @@
 //! What callers ask of the one owner of a controller's tables, and what it answers.
 
 use bytes::Bytes;
-use peer_link::Peer;
+use peer_transport::Peer;
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
--- a/crates/control/controller/src/owner.rs
+++ b/crates/control/controller/src/owner.rs
@@ -22,7 +22,7 @@
 use chain_replication::{Member, Ms, Node};
 use contact::QuorumContact;
 use disk_ring::{DiskState, Persistence};
-use peer_link::Peer;
+use peer_transport::Peer;
 use relay_tree::{Follow, StateTable};
 use replicated_state::{HELLO, RELAY};
 use runner_registry::{Registry, RegistryTerms};
--- a/crates/control/controller/src/shell.rs
+++ b/crates/control/controller/src/shell.rs
@@ -7,7 +7,7 @@
 use crate::owner::{Out, Owner, TICK};
 use bytes::Bytes;
 use disk_ring::{DiskError, Options};
-use peer_link::{Event, Handler, Links, Me, Peer};
+use peer_transport::{Event, Handler, Links, Me, Peer};
 use slog::{crit, info, warn, Logger};
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -81,7 +81,7 @@
         }
     }
 
-    fn called(&self, _: &Rc<Peer>, _: u16, _: Bytes, _: peer_link::Reply) {
+    fn called(&self, _: &Rc<Peer>, _: u16, _: Bytes, _: peer_transport::Reply) {
         // Nothing is asked of controllers by frames; the caller hears at once that there is no answer.
     }
 }
--- a/crates/control/controller/tests/answers.rs
+++ b/crates/control/controller/tests/answers.rs
@@ -7,7 +7,7 @@
 use batch::wire::{Heartbeat, Message as _, PartStatus, StoreMap, HEARTBEAT};
 use cluster::{config_body, Cluster};
 use controller::op::{Answer, Ask};
-use peer_link::Peer;
+use peer_transport::Peer;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
--- a/crates/control/controller/tests/dispatchers.rs
+++ b/crates/control/controller/tests/dispatchers.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use controller::dispatchers::Dispatchers;
-use peer_link::Peer;
+use peer_transport::Peer;
 use relay_tree::{Follow, Stamp, StateTable};
 use replicated_state::{Dispatcher, NODES};
 use std::net::SocketAddr;
--- a/crates/control/controller/tests/largest.rs
+++ b/crates/control/controller/tests/largest.rs
@@ -11,4 +11,4 @@
 }
 
 // A frame holds it, with room for the frame's own fields and for those of the messages within.
-const _: () = assert!(chain_replication::MOST_COMMAND_BYTES + 4_096 <= peer_link::MOST_BODY);
+const _: () = assert!(chain_replication::MOST_COMMAND_BYTES + 4_096 <= peer_transport::MOST_BODY);
--- a/crates/control/controller/tests/refused.rs
+++ b/crates/control/controller/tests/refused.rs
@@ -8,7 +8,7 @@
 use controller::heartbeats::{zone_number, ControllerHeartbeat, StatusFrame};
 use controller::op::{Answer, Ask};
 use controller::owner::{Out, Owner, CHAIN, CONTROLLER_HEARTBEAT, FOUNDING, TICK, VIEW};
-use peer_link::Peer;
+use peer_transport::Peer;
 use proptest::prelude::*;
 use replicated_state::{HELLO, RELAY};
 use slog::{Drain, Logger, OwnedKVList, Record};
--- a/crates/control/controller/tests/support/cluster.rs
+++ b/crates/control/controller/tests/support/cluster.rs
@@ -6,7 +6,7 @@
 use controller::op::{Answer, Ask};
 use controller::owner::{Out, Owner, TICK};
 use disk_ring::{holder, prepare_for, Folder, Options, Prepared, Record, Shared, StdMonitor, Writer};
-use peer_link::Peer;
+use peer_transport::Peer;
 use slog::Logger;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
--- a/crates/control/controller/tests/world/controllers.rs
+++ b/crates/control/controller/tests/world/controllers.rs
@@ -7,7 +7,7 @@
 use controller::op::Ask;
 use controller::owner::{Out, Owner, Told, TICK};
 use disk_ring::DiskState;
-use peer_link::Peer;
+use peer_transport::Peer;
 use slog::{Drain, Logger, OwnedKVList, Record, KV};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/crates/gateway/gateway/src/batch_front.rs
+++ b/crates/gateway/gateway/src/batch_front.rs
@@ -16,7 +16,7 @@
 use hyper::header::{HeaderValue, ALLOW, CONTENT_TYPE};
 use hyper::http::request::Parts;
 use hyper::{Method, Response, StatusCode};
-use peer_link::CallError;
+use peer_transport::CallError;
 use percent_encoding::percent_decode_str;
 use route_config::Kind;
 use std::net::SocketAddr;
--- a/crates/gateway/gateway/src/control.rs
+++ b/crates/gateway/gateway/src/control.rs
@@ -6,7 +6,7 @@
 use batch::wire::{Message, StoreMap};
 use bytes::Bytes;
 use compact_str::CompactString;
-use peer_link::{Handler, Peer, Reply};
+use peer_transport::{Handler, Peer, Reply};
 use relay_tree::{tree_parents, Follow, Msg, Stamp, StateTable};
 use replicated_state::{decode_addresses, Dispatcher, CONTROLLERS, HELLO, HELLO_EVERY, NODES, RELAY};
 use route_config::Config;
--- a/crates/gateway/gateway/src/gateway.rs
+++ b/crates/gateway/gateway/src/gateway.rs
@@ -12,7 +12,7 @@
 use batch::wire::StoreMap;
 use http1::{Connections, Phase};
 use hyper::http::response::Parts;
-use peer_link::Links;
+use peer_transport::Links;
 use route_config::Config;
 use slog::{warn, Logger};
 use std::cell::{Cell, RefCell};
--- a/crates/gateway/gateway/src/run.rs
+++ b/crates/gateway/gateway/src/run.rs
@@ -10,7 +10,7 @@
 use crate::memory::Memory;
 use crate::{limits, ready, report, stop};
 use http1::{Connections, Phase};
-use peer_link::{Event, Links, Me};
+use peer_transport::{Event, Links, Me};
 use slog::{crit, error, info, warn, Logger};
 use std::cell::{Cell, RefCell};
 use std::collections::hash_map::RandomState;
--- a/crates/gateway/gateway/tests/common/controller.rs
+++ b/crates/gateway/gateway/tests/common/controller.rs
@@ -1,7 +1,7 @@
 //! A stand-in of a controller: a root of the tree of relays that tells what a test sets.
 
 use bytes::Bytes;
-use peer_link::{Handler, Links, Me, Peer, Reply};
+use peer_transport::{Handler, Links, Me, Peer, Reply};
 use relay_tree::{Follow, Msg, Stamp, StateTable};
 use replicated_state::{encode_addresses, CONTROLLERS, HELLO, RELAY};
 use std::cell::{Cell, RefCell};
--- a/crates/gateway/gateway/tests/common/store.rs
+++ b/crates/gateway/gateway/tests/common/store.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use chain_replication::{Member, View};
 use gateway::gateway::Gateway;
-use peer_link::{Handler, Links, Me, Peer, Reply};
+use peer_transport::{Handler, Links, Me, Peer, Reply};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
