--- a/crates/batch/batch-store/examples/recovery.rs
+++ b/crates/batch/batch-store/examples/recovery.rs
@@ -19,7 +19,7 @@
 use batch_store::journal::ReadBack;
 use bytes::Bytes;
 use chain_replication::{Machine, Member, Node, Recovered, Write};
-use disk_ring::{open, open_each, DiskError, DiskRing, Options, Record};
+use write_ahead_log::{open, open_each, DiskError, DiskRing, Options, Record};
 
 const FILE_BYTES: u64 = 4 << 20;
 /// Of the disk so much is the ring's, as in a store.
--- a/crates/batch/batch-store/src/core.rs
+++ b/crates/batch/batch-store/src/core.rs
@@ -15,13 +15,13 @@
 use bytes::Bytes;
 use chain_replication::{Member, Ms, Msg, Recovered, Write};
 use compact_str::CompactString;
-use disk_ring::{DiskState, Persistence};
 use slog::{info, warn, Logger};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tier_log::Rarely;
+use write_ahead_log::{DiskState, Persistence};
 
 /// A longer lease than this is none: several times what controllers give, and short beside what a tail that was replaced
 /// could do harm with.
--- a/crates/batch/batch-store/src/journal.rs
+++ b/crates/batch/batch-store/src/journal.rs
@@ -5,8 +5,8 @@
 use batch::BatchJobs;
 use bytes::Bytes;
 use chain_replication::{Machine, Ms, Node, Recovered, Write};
-use disk_ring::{DiskRing, DiskState, Record};
 use std::collections::VecDeque;
+use write_ahead_log::{DiskRing, DiskState, Record};
 
 /// A whole write of a partition's chain.
 const WHOLE: u8 = 1;
--- a/crates/batch/batch-store/src/process.rs
+++ b/crates/batch/batch-store/src/process.rs
@@ -4,7 +4,6 @@
 use crate::{Effect, Store, Terms};
 use batch::wire::{Message, StoreMap};
 use bytes::Bytes;
-use disk_ring::{DiskError, DiskRing, Opened, Options};
 use peer_transport::{Event, Handler, Links, Me, Peer, Reply};
 use relay_tree::{Follow, StateTable};
 use replicated_state::{decode_addresses, CONTROLLERS, RELAY};
@@ -20,6 +19,7 @@
 use tier_settings::{FaultBudget, PeerRole, Reread, Settings, SettingsError};
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::signal::unix::{signal, SignalKind};
+use write_ahead_log::{DiskError, DiskRing, Opened, Options};
 
 /// The entry with the map of the stores.
 const STORES: &str = "stores";
@@ -133,7 +133,7 @@
             }
         };
         let Opened { ring, identity, fresh, torn, .. } =
-            disk_ring::open_each(dir, options, draw(), holder, &mut take)?;
+            write_ahead_log::open_each(dir, options, draw(), holder, &mut take)?;
         let bytes = back.bytes();
         info!(log, "disk opened"; "records" => back.records(), "bytes" => bytes, "fresh" => fresh, "torn" => torn);
         if let Some(why) = bad {
@@ -369,7 +369,7 @@
     let disk_mb = settings.limits.disk_mb.ok_or(Ended::Lacks("Limits.DiskMb"))?;
     let files_most = ((disk_mb as f64 * 1.0e6 * DISK_SHARE) as u64 / FILE_BYTES).clamp(2, 4_096) as usize;
     let listener = listen(addr)?;
-    let holder = disk_ring::holder(&settings.node, "store");
+    let holder = write_ahead_log::holder(&settings.node, "store");
     let Found { ring, bytes, parts, identity } =
         open_disk(&dir, Options { file_bytes: FILE_BYTES, files_most }, holder, &log)?;
     let terms = Terms {
--- a/crates/batch/batch-store/tests/journal.rs
+++ b/crates/batch/batch-store/tests/journal.rs
@@ -6,11 +6,11 @@
 use batch_store::journal::{read_back, BadRecord, Journal, ReadBack};
 use bytes::Bytes;
 use chain_replication::{Machine as _, Member, Node, Out, Recovered, View, Write};
-use disk_ring::{open, Options, Record};
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64;
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
+use write_ahead_log::{open, Options, Record};
 
 const OPTIONS: Options = Options { file_bytes: 2 << 20, files_most: 24 };
 
--- a/crates/batch/batch-store/tests/refused.rs
+++ b/crates/batch/batch-store/tests/refused.rs
@@ -5,12 +5,12 @@
 use batch_store::{Answer, Effect, Odd, Store, Terms};
 use bytes::Bytes;
 use chain_replication::{Member, View, Write};
-use disk_ring::DiskState;
 use proptest::prelude::*;
 use slog::{o, Discard, Logger};
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
+use write_ahead_log::DiskState;
 
 /// Partitions of the map.
 const PARTITIONS: usize = 16;
--- a/crates/batch/batch-store/tests/store.rs
+++ b/crates/batch/batch-store/tests/store.rs
@@ -4,11 +4,11 @@
 use batch_store::{Answer, Disk, Effect, Store, Terms};
 use bytes::Bytes;
 use chain_replication::{Member, View};
-use disk_ring::DiskState;
 use slog::{o, Discard, Logger};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
+use write_ahead_log::DiskState;
 
 const HOST: &str = "h.example";
 /// As many as the version before had, by host alone.
--- a/crates/batch/batch-store/tests/stored_data.rs
+++ b/crates/batch/batch-store/tests/stored_data.rs
@@ -7,7 +7,6 @@
 use batch_store::{Answer, Effect, Store, Terms};
 use bytes::Bytes;
 use chain_replication::{Member, View};
-use disk_ring::{Options, Record};
 use flate2::read::GzDecoder;
 use slog::{o, Discard, Logger};
 use std::cell::RefCell;
@@ -18,6 +17,7 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
+use write_ahead_log::{Options, Record};
 
 /// What the disk holds, as text: written with it.
 const EXPECTED: &str = include_str!("fixtures/stored-data.txt");
@@ -105,8 +105,8 @@
             kinds.insert(record.kind);
             back.take(ticket, record).unwrap();
         };
-        let holder = disk_ring::holder("s-1", "store");
-        let opened = disk_ring::open_each(path, RING, IDENTITY, holder, &mut take).unwrap();
+        let holder = write_ahead_log::holder("s-1", "store");
+        let opened = write_ahead_log::open_each(path, RING, IDENTITY, holder, &mut take).unwrap();
         assert!(!opened.torn);
         let bytes = back.bytes();
         let terms = Terms {
@@ -424,7 +424,7 @@
 #[test]
 fn records_of_the_journal_keep_their_kinds_and_pieces() {
     let directory = Directory::new("records");
-    let opened = disk_ring::open(&directory.0, RING, IDENTITY).unwrap();
+    let opened = write_ahead_log::open(&directory.0, RING, IDENTITY).unwrap();
     let mut journal = Journal::new(opened.ring, 0, 0);
     let entry = |number, bytes: usize| {
         let command = (0..bytes).map(|n| n as u8).collect::<Vec<u8>>().into();
@@ -444,7 +444,7 @@
         (4, 511, long.slice(262_144..)),
         (5, 2, Bytes::new()),
     ];
-    let opened = disk_ring::open(&directory.0, RING, IDENTITY).unwrap();
+    let opened = write_ahead_log::open(&directory.0, RING, IDENTITY).unwrap();
     let records: Vec<_> = opened.records.into_iter().map(|(_, record)| record).collect();
     let expected = expected.map(|(kind, group, body)| Record { kind, group, number: 0, body });
     assert!(records == expected, "{:?}", records.iter().map(|r| (r.kind, r.body.len())).collect::<Vec<_>>());
--- a/crates/batch/batch-store/tests/world/mod.rs
+++ b/crates/batch/batch-store/tests/world/mod.rs
@@ -11,7 +11,6 @@
 use bytes::Bytes;
 use chain_replication::{Recovered, Write};
 use controller::Controller;
-use disk_ring::DiskState;
 use gateway::Gateways;
 use losses::{Losses, Planted, Setup};
 use rand_pcg::rand_core::{RngCore, SeedableRng};
@@ -21,6 +20,7 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::SocketAddr;
 use std::rc::Rc;
+use write_ahead_log::DiskState;
 
 /// How long something may be unknown after it was said.
 pub const SETTLE: u64 = 1_000;
--- a/crates/disk-ring/tests/bytes.rs
+++ b/crates/common/write-ahead-log/tests/bytes.rs
@@ -2,11 +2,11 @@
 //! the program of format version 1, read to its last record and appended to.
 
 use bytes::Bytes;
-use disk_ring::format::{read_start, FileStart, Header, Owner, Stored};
-use disk_ring::{holder, open_for, Opened, Options, Record};
 use std::collections::BTreeSet;
 use std::io::Read;
 use std::path::{Path, PathBuf};
+use write_ahead_log::format::{read_start, FileStart, Header, Owner, Stored};
+use write_ahead_log::{holder, open_for, Opened, Options, Record};
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
--- a/crates/disk-ring/tests/crashes.rs
+++ b/crates/common/write-ahead-log/tests/crashes.rs
@@ -3,8 +3,8 @@
 
 mod support;
 
-use disk_ring::{prepare, DiskError, Options, Prepared, Record, Shared, StdMonitor};
 use support::{record, Lie, MemoryDisk, Rng};
+use write_ahead_log::{prepare, DiskError, Options, Prepared, Record, Shared, StdMonitor};
 
 type Ring = Prepared<MemoryDisk, StdMonitor<Shared>>;
 
--- a/crates/disk-ring/tests/folder.rs
+++ b/crates/common/write-ahead-log/tests/folder.rs
@@ -3,12 +3,12 @@
 mod support;
 
 use bytes::Bytes;
-use disk_ring::{
-    open, open_each, prepare, Disk, DiskError, DiskRing, Folder, Options, Prepared, Shared, StdMonitor,
-};
 use insta::assert_snapshot;
 use std::path::PathBuf;
 use support::{record, MemoryDisk};
+use write_ahead_log::{
+    open, open_each, prepare, Disk, DiskError, DiskRing, Folder, Options, Prepared, Shared, StdMonitor,
+};
 
 const OPTIONS: Options = Options { file_bytes: 64 << 10, files_most: 4 };
 
@@ -52,7 +52,7 @@
     let path = folder("full");
     let ring = open(&path, OPTIONS, 1).unwrap().ring;
     let body = Bytes::from(vec![1; 10_000]);
-    let filled = |number| disk_ring::Record { kind: 0, group: 0, number, body: body.clone() };
+    let filled = |number| write_ahead_log::Record { kind: 0, group: 0, number, body: body.clone() };
     let mut tickets = Vec::new();
     let error = loop {
         match ring.append(filled(tickets.len() as u64)) {
@@ -74,7 +74,8 @@
     for number in 0..6 {
         on_disk(&opened.ring, opened.ring.append(filled(number)).unwrap()).await;
     }
-    let error = opened.ring.append(disk_ring::Record { body: Bytes::from(vec![0; 64 << 10]), ..filled(0) });
+    let error =
+        opened.ring.append(write_ahead_log::Record { body: Bytes::from(vec![0; 64 << 10]), ..filled(0) });
     assert_snapshot!(error.unwrap_err(), @"a record of 65536 bytes doesn't fit in a file of the ring");
     opened.ring.close();
     assert_eq!(std::fs::read_dir(&path).unwrap().count(), 4);
@@ -197,7 +198,7 @@
             }
         }
         // What the thread had taken before the first failure, and a full queue.
-        let most = 7 + if len == 0 { disk_ring::MOST_QUEUED_RECORDS as u64 } else { 16 };
+        let most = 7 + if len == 0 { write_ahead_log::MOST_QUEUED_RECORDS as u64 } else { 16 };
         assert!(taken <= most, "{taken} of {len} bytes wait");
         disk.refuses(false);
         while ring.ring.trouble().is_some() || ring.writer.has_work() {
--- a/crates/disk-ring/tests/format.rs
+++ b/crates/common/write-ahead-log/tests/format.rs
@@ -1,9 +1,9 @@
 //! The bytes of the files.
 
 use bytes::Bytes;
-use disk_ring::format::{read_start, stored_len, FileStart, Header, Owner, Stored, HEADER};
-use disk_ring::Record;
 use proptest::prelude::*;
+use write_ahead_log::format::{read_start, stored_len, FileStart, Header, Owner, Stored, HEADER};
+use write_ahead_log::Record;
 
 fn stored() -> impl Strategy<Value = Stored> {
     let owner = prop::sample::select(vec![Owner::User, Owner::Opening, Owner::Mark, Owner::Closing]);
--- a/crates/disk-ring/tests/holder.rs
+++ b/crates/common/write-ahead-log/tests/holder.rs
@@ -2,12 +2,12 @@
 
 mod support;
 
-use disk_ring::{
-    holder, open, open_for, prepare_for, DiskError, Opened, Options, Prepared, Shared, StdMonitor,
-};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 use support::{record, MemoryDisk};
+use write_ahead_log::{
+    holder, open, open_for, prepare_for, DiskError, Opened, Options, Prepared, Shared, StdMonitor,
+};
 
 const OPTIONS: Options = Options { file_bytes: 16 << 10, files_most: 4 };
 
--- a/crates/disk-ring/tests/support/mod.rs
+++ b/crates/common/write-ahead-log/tests/support/mod.rs
@@ -2,12 +2,12 @@
 #![allow(dead_code)]
 
 use bytes::Bytes;
-use disk_ring::{Disk, DiskFile, Record};
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard};
+use write_ahead_log::{Disk, DiskFile, Record};
 
 pub struct Rng(Pcg64Mcg);
 
--- a/crates/disk-ring/tests/threads.rs
+++ b/crates/common/write-ahead-log/tests/threads.rs
@@ -3,11 +3,11 @@
 
 mod support;
 
-use disk_ring::{prepare, DiskRing, Monitor, Options, Prepared, Shared, StdMonitor};
 use shuttle::sync::{Condvar, Mutex};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex as Plain};
 use support::{record, MemoryDisk, Rng};
+use write_ahead_log::{prepare, DiskRing, Monitor, Options, Prepared, Shared, StdMonitor};
 
 const OPTIONS: Options = Options { file_bytes: 16 << 10, files_most: 3 };
 
--- a/crates/control/chain-replication/tests/catch_up_world/mod.rs
+++ b/crates/control/chain-replication/tests/catch_up_world/mod.rs
@@ -9,7 +9,7 @@
 mod machines;
 mod operator;
 pub mod ring;
-#[path = "../../../../disk-ring/tests/support/mod.rs"]
+#[path = "../../../../common/write-ahead-log/tests/support/mod.rs"]
 pub mod support;
 pub mod table;
 mod terms;
--- a/crates/control/chain-replication/tests/catch_up_world/ring.rs
+++ b/crates/control/chain-replication/tests/catch_up_world/ring.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use chain_replication::{Node, Recovered, Write};
-use disk_ring::{prepare, DiskRing, Options, Record, Shared, StdMonitor, Writer};
+use write_ahead_log::{prepare, DiskRing, Options, Record, Shared, StdMonitor, Writer};
 
 use super::disk::{Disk, FILES_MOST, FILE_BYTES, RATE, SYNC};
 use super::support::{Lie, MemoryDisk, Rng};
--- a/crates/control/controller/src/journal.rs
+++ b/crates/control/controller/src/journal.rs
@@ -5,10 +5,10 @@
 use crate::owner::{Owner, Told};
 use bytes::Bytes;
 use chain_replication::Ms;
-use disk_ring::{DiskError, DiskRing, DiskState, Record};
 use replicated_state::encode_addresses;
 use std::collections::VecDeque;
 use tokio::sync::watch;
+use write_ahead_log::{DiskError, DiskRing, DiskState, Record};
 
 /// Where records go.
 enum Backing {
--- a/crates/control/controller/src/owner.rs
+++ b/crates/control/controller/src/owner.rs
@@ -21,7 +21,6 @@
 use calls::Pending;
 use chain_replication::{Member, Ms, Node};
 use contact::QuorumContact;
-use disk_ring::{DiskState, Persistence};
 use peer_transport::Peer;
 use relay_tree::{Follow, StateTable};
 use replicated_state::{HELLO, RELAY};
@@ -32,6 +31,7 @@
 use std::rc::Rc;
 use tier_settings::{Reread, Settings, SettingsError};
 use view_agreement::{Agreement, ControllerView};
+use write_ahead_log::{DiskState, Persistence};
 
 /// Frames of the agreement of views.
 pub const VIEW: u16 = 0x0101;
--- a/crates/control/controller/src/shell.rs
+++ b/crates/control/controller/src/shell.rs
@@ -6,7 +6,6 @@
 use crate::op::{Ask, Op, Reply};
 use crate::owner::{Out, Owner, TICK};
 use bytes::Bytes;
-use disk_ring::{DiskError, Options};
 use peer_transport::{Event, Handler, Links, Me, Peer};
 use slog::{crit, info, warn, Logger};
 use std::cell::Cell;
@@ -20,6 +19,7 @@
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::sync::{mpsc, watch};
+use write_ahead_log::{DiskError, Options};
 
 /// Connections that may wait to be accepted.
 const BACKLOG: u32 = 1024;
@@ -153,8 +153,9 @@
     let disk_mb = settings.limits.disk_mb.ok_or(StartError::Lacks("Limits.DiskMb"))?;
     let bytes = disk_mb as f64 * 1.0e6 * DISK_RESERVE;
     let files_most = ((bytes / FILE_BYTES as f64) as usize).max(2);
-    let holder = disk_ring::holder(&settings.node, "controller");
-    let opened = disk_ring::open_for(dir, Options { file_bytes: FILE_BYTES, files_most }, draw(), holder)?;
+    let holder = write_ahead_log::holder(&settings.node, "controller");
+    let opened =
+        write_ahead_log::open_for(dir, Options { file_bytes: FILE_BYTES, files_most }, draw(), holder)?;
     let (journal, found) = Journal::new(opened.ring, opened.records);
     let (fresh, identity, torn) = (opened.fresh, opened.identity, opened.torn);
     Ok(Opened { journal, found, fresh, identity, torn })
--- a/crates/control/controller/tests/calls.rs
+++ b/crates/control/controller/tests/calls.rs
@@ -26,7 +26,7 @@
 fn until(owner: &mut Owner, from: u64, to: u64) -> Vec<(u64, Answer)> {
     let mut answers = Vec::new();
     for now in (from..=to).step_by(TICK as usize) {
-        owner.persistence(now, disk_ring::DiskState { prepared: true, ..Default::default() });
+        owner.persistence(now, write_ahead_log::DiskState { prepared: true, ..Default::default() });
         owner.tick(now, now);
         loop {
             let mut writes = Vec::new();
--- a/crates/control/controller/tests/journal.rs
+++ b/crates/control/controller/tests/journal.rs
@@ -5,13 +5,13 @@
 use controller::begin::{Begin, Found};
 use controller::journal::Journal;
 use controller::owner::{Owner, Told};
-use disk_ring::{prepare, Disk, DiskFile, Folder, Options, Prepared, Shared, StdMonitor, Writer};
 use replicated_state::encode_addresses;
 use slog::Logger;
 use std::collections::BTreeMap;
 use std::io;
 use std::sync::{Arc, Mutex};
 use tier_settings::Settings;
+use write_ahead_log::{prepare, Disk, DiskFile, Folder, Options, Prepared, Shared, StdMonitor, Writer};
 
 const OPTIONS: Options = Options { file_bytes: 32 << 10, files_most: 6 };
 const RECORD_BYTES: usize = 900;
--- a/crates/control/controller/tests/program.rs
+++ b/crates/control/controller/tests/program.rs
@@ -1,11 +1,11 @@
 //! The program: its exit status and the code of its last line for each way to fail, and an orderly end after SIGTERM.
 
-use disk_ring::{holder, open_for, Options, Record};
 use std::io::{BufRead, BufReader};
 use std::net::TcpListener;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
+use write_ahead_log::{holder, open_for, Options, Record};
 
 struct Directory(PathBuf);
 
--- a/crates/control/controller/tests/refused.rs
+++ b/crates/control/controller/tests/refused.rs
@@ -58,7 +58,7 @@
 
     fn tick(&mut self) {
         self.now += TICK;
-        self.owner.persistence(self.now, disk_ring::DiskState { prepared: true, ..Default::default() });
+        self.owner.persistence(self.now, write_ahead_log::DiskState { prepared: true, ..Default::default() });
         self.owner.tick(self.now, self.now);
         self.drain();
     }
--- a/crates/control/controller/tests/stored_data.rs
+++ b/crates/control/controller/tests/stored_data.rs
@@ -105,7 +105,7 @@
 
 /// What a disk holds: each record by kind, length and the first of its digest.
 fn listed(directory: &Path, index: usize) -> String {
-    let line = |record: &disk_ring::Record| {
+    let line = |record: &write_ahead_log::Record| {
         let digest = hex(&blake3::hash(&record.body).as_bytes()[..8]);
         format!("{} {} {digest}", record.kind, record.body.len())
     };
--- a/crates/control/controller/tests/support/cluster.rs
+++ b/crates/control/controller/tests/support/cluster.rs
@@ -5,13 +5,13 @@
 use controller::journal::Journal;
 use controller::op::{Answer, Ask};
 use controller::owner::{Out, Owner, TICK};
-use disk_ring::{holder, prepare_for, Folder, Options, Prepared, Record, Shared, StdMonitor, Writer};
 use peer_transport::Peer;
 use slog::Logger;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use tier_settings::Settings;
+use write_ahead_log::{holder, prepare_for, Folder, Options, Prepared, Record, Shared, StdMonitor, Writer};
 
 pub const CONTROLLERS: usize = 3;
 /// Small files, so that forty configurations go round the ring.
--- a/crates/control/controller/tests/world/controllers.rs
+++ b/crates/control/controller/tests/world/controllers.rs
@@ -6,12 +6,12 @@
 use controller::begin::{Begin, Found, Kind};
 use controller::op::Ask;
 use controller::owner::{Out, Owner, Told, TICK};
-use disk_ring::DiskState;
 use peer_transport::Peer;
 use slog::{Drain, Logger, OwnedKVList, Record, KV};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
 use tier_settings::Settings;
+use write_ahead_log::DiskState;
 
 /// One that leaves for good ends so long after SIGTERM at the latest, in ms: 0.75 of `GraceS`.
 const LEAVING: u64 = 6_000;
