--- a/crates/batch/batch-store/src/core.rs
+++ b/crates/batch/batch-store/src/core.rs
@@ -20,7 +20,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
-use tier_log::Rarely;
+use structured_log::Rarely;
 use write_ahead_log::{DiskState, Persistence};
 
 /// A longer lease than this is none: several times what controllers give, and short beside what a tail that was replaced
--- a/crates/batch/batch-store/src/process.rs
+++ b/crates/batch/batch-store/src/process.rs
@@ -15,7 +15,7 @@
 use std::process::ExitCode;
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-use tier_log::{Rarely, Seldom};
+use structured_log::{Rarely, Seldom};
 use tier_settings::{FaultBudget, PeerRole, Reread, Settings, SettingsError};
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::signal::unix::{signal, SignalKind};
@@ -80,11 +80,11 @@
     let settings = match Settings::load() {
         Ok(settings) => settings,
         Err(error) => {
-            crit!(tier_log::logger("", "store"), "ended"; "code" => 2200, "why" => %error);
+            crit!(structured_log::logger("", "store"), "ended"; "code" => 2200, "why" => %error);
             return ExitCode::FAILURE;
         }
     };
-    let log = tier_log::logger(&settings.node, "store");
+    let log = structured_log::logger(&settings.node, "store");
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(Ended::Runtime);
     let served = runtime
         .and_then(|runtime| tokio::task::LocalSet::new().block_on(&runtime, serve(settings, log.clone())));
--- a/crates/tier-log/tests/escapes.rs
+++ b/crates/common/structured-log/tests/escapes.rs
@@ -2,8 +2,8 @@
 
 use std::io::Write;
 use std::sync::{Arc, Mutex};
-use tier_log::slog::{crit, debug, error, info, o, trace, warn, Level, Logger};
-use tier_log::{logger_to, write_value, MAX_LINE};
+use structured_log::slog::{crit, debug, error, info, o, trace, warn, Level, Logger};
+use structured_log::{logger_to, write_value, MAX_LINE};
 
 #[derive(Clone, Default)]
 struct Buffer(Arc<Mutex<Vec<u8>>>);
--- a/crates/tier-log/tests/lines.rs
+++ b/crates/common/structured-log/tests/lines.rs
@@ -2,8 +2,8 @@
 
 use std::io::Write;
 use std::sync::{Arc, Mutex};
-use tier_log::slog::{debug, error, info, o, warn, Drain, Level, Logger};
-use tier_log::{logger_to, Rarely, MAX_LINE};
+use structured_log::slog::{debug, error, info, o, warn, Drain, Level, Logger};
+use structured_log::{logger_to, Rarely, MAX_LINE};
 
 /// Keeps what is written, each write by itself.
 #[derive(Clone, Default)]
--- a/crates/control/controller/src/refused.rs
+++ b/crates/control/controller/src/refused.rs
@@ -2,7 +2,7 @@
 
 use std::cell::Cell;
 use std::rc::Rc;
-use tier_log::Rarely;
+use structured_log::Rarely;
 
 /// The counters and the limit of their lines.
 #[derive(Debug, Default)]
--- a/crates/control/controller/src/shell.rs
+++ b/crates/control/controller/src/shell.rs
@@ -14,7 +14,7 @@
 use std::process::ExitCode;
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-use tier_log::Seldom;
+use structured_log::Seldom;
 use tier_settings::{PeerRole, Settings, SettingsError};
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::signal::unix::{signal, SignalKind};
@@ -92,11 +92,11 @@
         Ok(settings) => settings,
         Err(e) => {
             let e = StartError::from(e);
-            crit!(tier_log::logger("", "controller"), "ended"; "code" => e.code(), "why" => %e);
+            crit!(structured_log::logger("", "controller"), "ended"; "code" => e.code(), "why" => %e);
             return ExitCode::FAILURE;
         }
     };
-    let log = tier_log::logger(&settings.node, "controller");
+    let log = structured_log::logger(&settings.node, "controller");
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let result = runtime
         .map_err(StartError::Runtime)
--- a/crates/gateway/gateway/src/gateway.rs
+++ b/crates/gateway/gateway/src/gateway.rs
@@ -18,7 +18,7 @@
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
-use tier_log::Rarely;
+use structured_log::Rarely;
 use tier_settings::Settings;
 use tokio::sync::{watch, Notify};
 use tokio::time::{Duration, Instant};
--- a/crates/gateway/gateway/src/run.rs
+++ b/crates/gateway/gateway/src/run.rs
@@ -18,7 +18,7 @@
 use std::net::SocketAddr;
 use std::process::ExitCode;
 use std::rc::Rc;
-use tier_log::{Rarely, Seldom};
+use structured_log::{Rarely, Seldom};
 use tier_settings::{PeerRole, Reread, Settings, SettingsError};
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::signal::unix::{signal, SignalKind};
@@ -63,11 +63,11 @@
     let settings = match Settings::load() {
         Ok(settings) => settings,
         Err(e) => {
-            crit!(tier_log::logger("", "gateway"), "can't start"; "code" => codes::CANT_START, "why" => %e);
+            crit!(structured_log::logger("", "gateway"), "can't start"; "code" => codes::CANT_START, "why" => %e);
             return ExitCode::from(2);
         }
     };
-    let log = tier_log::logger(&settings.node, &settings.role);
+    let log = structured_log::logger(&settings.node, &settings.role);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let ended = match runtime {
         Ok(runtime) => LocalSet::new().block_on(&runtime, start(settings, log.clone())),
