--- a/crates/lab/src/main.rs
+++ b/crates/testbed/testbed/src/main.rs
@@ -3,16 +3,16 @@
 use bpaf::{construct, long, OptionParser, Parser};
 use dispatcher_settings::operator::{Operator, Source};
 use fordrelay::lifecycle::{self, Files};
-use lab::calls;
-use lab::members;
-use lab::rig;
-use lab::size::{self, Story};
-use lab::swings::Swings;
-use lab::up::{self, Terms};
-use lab::upgrade;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::sync::Arc;
+use testbed::calls;
+use testbed::members;
+use testbed::rig;
+use testbed::size::{self, Story};
+use testbed::swings::Swings;
+use testbed::up::{self, Terms};
+use testbed::upgrade;
 
 type Failure = Box<dyn std::error::Error>;
 
@@ -135,7 +135,7 @@
     long("logs")
         .help("Where the dispatchers' files and logs go")
         .argument::<PathBuf>("FOLDER")
-        .fallback(std::env::temp_dir().join(format!("fordrelay-lab-{}", std::process::id())))
+        .fallback(std::env::temp_dir().join(format!("fordrelay-testbed-{}", std::process::id())))
 }
 
 fn up() -> impl Parser<UpArgs> {
@@ -367,7 +367,7 @@
     match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
-            eprintln!("fordrelay-lab: {e}");
+            eprintln!("fordrelay-testbed: {e}");
             ExitCode::FAILURE
         }
     }
--- a/crates/lab/tests/levels.rs
+++ b/crates/testbed/testbed/tests/levels.rs
@@ -4,16 +4,16 @@
 use dispatch_api::Micros;
 use dispatcher_settings::operator::Operator;
 use dispatcher_state::Input;
-use lab::model::{run, LevelChange, Outcomes};
-use lab::scenario::{Fault, Scenario, SECOND};
-use lab::swings::Swings;
 use rstest::rstest;
 use std::path::Path;
 use std::sync::Arc;
+use testbed::model::{run, LevelChange, Outcomes};
+use testbed::scenario::{Fault, Scenario, SECOND};
+use testbed::swings::Swings;
 
 /// The levels that the repository ships.
 fn shipped() -> Arc<Spec> {
-    let path = Path::new(concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/fordrelay.hcl"));
+    let path = Path::new(concat!(env!("CARGO_MANIFEST_DIR"), "/../../../deploy/fordrelay.hcl"));
     let (operator, source) = Operator::load(path).expect("the shipped file");
     let classes = Scenario::league(1, 1).classes.iter().map(|c| c.name.to_owned()).collect::<Vec<_>>();
     Arc::new(operator.spec(&classes, &source).expect("sound").expect("levels"))
--- a/crates/lab/tests/members.rs
+++ b/crates/testbed/testbed/tests/members.rs
@@ -1,7 +1,7 @@
 //! A hundred members in virtual time: what all believe after deaths, restarts, pauses and partitions, with datagrams lost.
 
-use lab::members::{run, Fault, Summary, Terms};
 use rstest::rstest;
+use testbed::members::{run, Fault, Summary, Terms};
 
 const SECOND: u64 = 1_000_000;
 
--- a/crates/lab/tests/rig.rs
+++ b/crates/testbed/testbed/tests/rig.rs
@@ -1,14 +1,14 @@
 //! Many processes of the program with faults between them, on loopback sockets.
 
-use lab::rig::{Fault, Summary};
 use std::process::Command;
+use testbed::rig::{Fault, Summary};
 
 /// Killed, stopped and parted, with a fifth of datagrams lost: who is left keeps every rule, nobody crashes, and in the end
 /// all take all for alive, those that came back included. Meanwhile a plan takes four boxes out in turn, two at a time.
 #[test]
 fn killed_stopped_and_parted_processes_keep_every_rule_and_find_each_other_again() {
     let logs = std::env::temp_dir().join(format!("fordrelay-rig-{}", std::process::id()));
-    let mut command = Command::new(env!("CARGO_BIN_EXE_fordrelay-lab"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_fordrelay-testbed"));
     command.args(["fleet", "--dispatchers", "6", "--boxes", "7", "--load", "0.2", "--seconds", "12"]);
     command.args(["--plan", "4", "--out", "2"]);
     command.args(["--kills", "2", "--pauses", "1", "--splits", "1", "--seed", "1", "--json", "-"]);
@@ -30,7 +30,7 @@
 #[test]
 fn processes_with_ways_closed_one_way_take_nobody_for_dead_who_can_be_reached() {
     let logs = std::env::temp_dir().join(format!("fordrelay-rig-ways-{}", std::process::id()));
-    let mut command = Command::new(env!("CARGO_BIN_EXE_fordrelay-lab"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_fordrelay-testbed"));
     command.args(["fleet", "--dispatchers", "6", "--boxes", "7", "--load", "0.2", "--seconds", "14"]);
     command.args(["--kills", "0", "--pauses", "0", "--splits", "0", "--leave", "1", "--one-sided", "1"]);
     command.args(["--period-ms", "250", "--seed", "2", "--json", "-"]);
--- a/crates/lab/tests/upgrade.rs
+++ b/crates/testbed/testbed/tests/upgrade.rs
@@ -1,9 +1,9 @@
 //! New versions under load on sockets: the program started beside itself, told to stop and killed outright.
 
-use lab::upgrade::{Summary, Way};
 use rstest::rstest;
 use std::process::Command;
 use std::sync::Mutex;
+use testbed::upgrade::{Summary, Way};
 
 fn play(seed: u64, upgrades: u32, cuts: bool) -> Summary {
     play_with(seed, upgrades, if cuts { &["--cuts"] } else { &[] })
@@ -15,7 +15,7 @@
 fn play_with(seed: u64, upgrades: u32, ways: &[&str]) -> Summary {
     let _alone = ALONE.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
     let logs = std::env::temp_dir().join(format!("fordrelay-upgrade-{}-{seed}", std::process::id()));
-    let mut command = Command::new(env!("CARGO_BIN_EXE_fordrelay-lab"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_fordrelay-testbed"));
     command.args(["upgrade", "--boxes", "4", "--load", "0.25", "--seconds", "7", "--json", "-"]);
     command.args(["--upgrades", &upgrades.to_string(), "--seed", &seed.to_string()]);
     command.arg("--logs").arg(&logs).args(ways);
--- a/crates/lab/tests/vast.rs
+++ b/crates/testbed/testbed/tests/vast.rs
@@ -1,7 +1,7 @@
 //! Whole failures of a fleet of a hundred dispatchers and sixty boxes, in virtual time, held against fleet-wide bounds.
 
-use lab::size::{Row, Story, Terms};
 use rstest::rstest;
+use testbed::size::{Row, Story, Terms};
 
 fn play(story: Story, seconds: u64) -> Row {
     let terms = Terms { story, dispatchers: 100, boxes: 60, load: 0.5, seconds, seed: 1 };
