--- a/crates/dispatcher/dispatch-policy/src/backoff.rs
+++ b/crates/dispatcher/dispatch-policy/src/backoff.rs
@@ -1,6 +1,6 @@
 //! The spacing of pushes to one worker.
 
-use super::*;
+use super::{span, unit, Micros, Pcg64Mcg, SleeperTerms};
 
 /// The paper's AutoSleeper; its intervals are in the unit of the caller's clock.
 #[derive(Debug, Clone, Default)]
--- a/crates/dispatcher/dispatch-policy/src/cold.rs
+++ b/crates/dispatcher/dispatch-policy/src/cold.rs
@@ -1,6 +1,6 @@
 //! Cold workers: none is pushed over by all dispatchers together.
 
-use super::*;
+use super::{span, Dispatcher, Job, Reports, Worker, COLD_JOB, COLD_SAFETY};
 
 impl Dispatcher {
     /// A cold worker is spaced by this dispatcher's part of what it stands: all together don't push it over.
--- a/crates/dispatcher/dispatch-policy/src/figures.rs
+++ b/crates/dispatcher/dispatch-policy/src/figures.rs
@@ -2,7 +2,7 @@
 
 use super::{Dispatcher, Lane, Worker, AGEING, RUN_CAP, SAMPLE};
 use discovery_pacing::{Kind, Loads};
-use dispatch_api::*;
+use dispatch_api::{Figures, JobId, KindFigures, ListKind, Listing, Micros, Outcome, WorkerId};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Progress notes missed in a row, or capped runs where there are none, after which a worker is silent.
--- a/crates/dispatcher/dispatch-policy/src/holding.rs
+++ b/crates/dispatcher/dispatch-policy/src/holding.rs
@@ -1,6 +1,10 @@
 //! Jobs that are held for a place: taken, late, given up, answered.
 
-use super::*;
+use super::{
+    kin, span, Action, Dispatcher, Idempotency, Job, JobId, JobSpec, Lane, Outstanding, Reverse,
+    Scope, Timer, Worker, WorkerId, LAST, MOST_SCOUTS, PRICE_DOWN, PRICE_FLOOR, PRICE_UP,
+    PROBE_SPEND, PROBE_SPEND_HOMES, RUN_SPREAD, TALLY,
+};
 
 impl Dispatcher {
     pub(crate) fn on_job(&mut self, spec: JobSpec, out: &mut Vec<Action>) {
--- a/crates/dispatcher/dispatch-policy/src/kept.rs
+++ b/crates/dispatcher/dispatch-policy/src/kept.rs
@@ -1,6 +1,10 @@
 //! What a dispatcher keeps: jobs, workers, counts and times. Nothing is decided here.
 
-use super::*;
+use super::{
+    figures, Arc, BTreeMap, BinaryHeap, ClassFigures, Draw, JobId, JobSpec, Listing, Loads, Micros,
+    Outcome, Pace, Pcg64Mcg, Reach, Reverse, RngCore, Sleeper, Status, Terms, VecDeque, WorkerId,
+    DOWN, INITIAL, MAX, MAX_RANDOMIZATION, RANDOMIZATION, SUCCESSES_DOWN, UP,
+};
 
 pub(crate) fn span(units: f64) -> Micros {
     units.clamp(0.0, 1.0e15) as Micros
--- a/crates/dispatcher/dispatch-policy/src/lib.rs
+++ b/crates/dispatcher/dispatch-policy/src/lib.rs
@@ -16,11 +16,24 @@
 mod repeating;
 mod terms;
 
-use constants::*;
+use constants::{
+    AGEING, AWAY, BUCKETS, COLD_JOB, COLD_SAFETY, DOWN, ERRORS, HOMES, HOMES_FEW, HURRY, IDLE,
+    IDLE_LOST, INITIAL, KIN, KNOWN, LAST, MAX, MAX_RANDOMIZATION, MOST_SCOUTS, PACE_MEMORY,
+    PACE_PRIOR, PRICE_DOWN, PRICE_FLOOR, PRICE_UP, PROBE_SPEND, PROBE_SPEND_HOMES, RANDOMIZATION,
+    RARE, RESCAN, ROOM_SLACK, RUN_CAP, RUN_SPREAD, SAMPLE, SCOUTS, START_GRACE, START_OVERDUE,
+    SUCCESSES_DOWN, TALLY, TELL_SPEND, TOLD_FOR, UP, WASTE_PATIENCE,
+};
 use discovery_pacing::{Draw, Kind, Loads, Pace, Reach};
 use dispatch_api::told::kin;
-use dispatch_api::*;
-use kept::*;
+use dispatch_api::{
+    Action, CallLost, Class, ClassFigures, Event, Idempotency, JobId, JobSpec, ListKind, Listing,
+    LoadReport, Micros, Outcome, Reports, RetryBudget, Rules, Scope, Settings, SettingsError,
+    Status, Terms, WorkerId,
+};
+use kept::{
+    paced, span, unit, Attempt, Candidate, Clock, Fleet, Job, Lane, Leg, Outstanding, Tally, Timer,
+    Worker,
+};
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use repeating::Budget;
--- a/crates/dispatcher/dispatch-policy/src/listing.rs
+++ b/crates/dispatcher/dispatch-policy/src/listing.rs
@@ -1,6 +1,9 @@
 //! What discovery tells of workers, and when it is asked.
 
-use super::*;
+use super::{
+    unit, Action, BTreeSet, CallLost, Dispatcher, ListKind, Listing, Pace, Reverse, Status, Timer,
+    WorkerId,
+};
 
 impl Dispatcher {
     pub(crate) fn on_listed(&mut self, kind: ListKind, entries: &[Listing], out: &mut Vec<Action>) {
--- a/crates/dispatcher/dispatch-policy/src/memory.rs
+++ b/crates/dispatcher/dispatch-policy/src/memory.rs
@@ -2,7 +2,7 @@
 
 use super::Dispatcher;
 use discovery_pacing::Kind;
-use dispatch_api::*;
+use dispatch_api::{ClassKnown, Known, Micros, WorkerKnown};
 
 /// What is known of single workers is believed for so long; kinds and classes change slowly.
 const WORKERS_AGE: Micros = 10_000_000;
--- a/crates/dispatcher/dispatch-policy/src/outcomes.rs
+++ b/crates/dispatcher/dispatch-policy/src/outcomes.rs
@@ -1,6 +1,9 @@
 //! What an attempt that has started, ended or not started in time says.
 
-use super::*;
+use super::{
+    paced, span, Action, Dispatcher, Idempotency, JobId, Leg, Outcome, Outstanding, Reverse, Timer,
+    Worker, WorkerId, ERRORS, INITIAL, PACE_MEMORY, RARE, ROOM_SLACK, RUN_CAP, SAMPLE, TALLY,
+};
 
 impl Dispatcher {
     pub(crate) fn on_started(&mut self, id: JobId, attempt: u32, worker: WorkerId) {
--- a/crates/dispatcher/dispatch-policy/src/placing.rs
+++ b/crates/dispatcher/dispatch-policy/src/placing.rs
@@ -1,6 +1,10 @@
 //! Which worker a job goes to; the one place that sends.
 
-use super::*;
+use super::{
+    span, unit, Action, Attempt, BTreeSet, Candidate, Dispatcher, Idempotency, JobId, Lane, Micros,
+    Outstanding, Reverse, Tally, Timer, Worker, WorkerId, AWAY, HOMES, HURRY, IDLE, IDLE_LOST, KIN,
+    KNOWN, PACE_PRIOR, RESCAN, ROOM_SLACK, RUN_CAP, SAMPLE, START_OVERDUE, WASTE_PATIENCE,
+};
 
 impl Worker {
     pub(crate) fn open(&self, now: Micros, grace: Micros) -> bool {
--- a/crates/dispatcher/dispatch-policy/src/probing.rs
+++ b/crates/dispatcher/dispatch-policy/src/probing.rs
@@ -1,6 +1,9 @@
 //! Probes, and what reports and the other dispatchers say of loads.
 
-use super::*;
+use super::{
+    paced, span, unit, Action, Dispatcher, LoadReport, Outcome, Reports, VecDeque, Worker,
+    WorkerId, HOMES, HOMES_FEW, KNOWN, MOST_SCOUTS, SAMPLE, SCOUTS, TELL_SPEND, TOLD_FOR,
+};
 
 impl Dispatcher {
     /// What a report says of free slots, if anything.
--- a/crates/dispatcher/dispatch-policy/src/repeating.rs
+++ b/crates/dispatcher/dispatch-policy/src/repeating.rs
@@ -1,6 +1,9 @@
 //! What may be sent, and sent again: the rules on repeats, and the budget of retries.
 
-use super::*;
+use super::{
+    Attempt, Dispatcher, Idempotency, Job, JobId, Micros, Outcome, RetryBudget, Rules, VecDeque,
+    Worker, WorkerId, BUCKETS,
+};
 
 impl Job {
     pub(crate) fn in_flight(&self) -> bool {
--- a/crates/dispatcher/dispatch-policy/src/terms.rs
+++ b/crates/dispatcher/dispatch-policy/src/terms.rs
@@ -1,7 +1,7 @@
 //! What a level of reduced service asks: which jobs are turned away, and how long others wait for a place.
 
 use super::{span, unit, Dispatcher, Timer};
-use dispatch_api::*;
+use dispatch_api::{Action, JobId, JobSpec, Micros, Terms};
 use std::cmp::Reverse;
 use std::sync::Arc;
 
--- a/crates/dispatcher/dispatcher-settings/src/facts.rs
+++ b/crates/dispatcher/dispatcher-settings/src/facts.rs
@@ -3,7 +3,10 @@
 #![allow(missing_docs)]
 
 use dispatch_api::told::{ENTRY_BYTES, MESSAGE_BYTES};
-use dispatch_api::*;
+use dispatch_api::{
+    Class, Discovery, Goal, Idempotency, Limits, Micros, Reports, RetryBudget, Rules, Scope,
+    Settings, SettingsError, Tenant,
+};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
--- a/crates/dispatcher/membership/src/swim/evidence.rs
+++ b/crates/dispatcher/membership/src/swim/evidence.rs
@@ -1,6 +1,6 @@
 //! What a member knows from what it hears itself, and what it says when it goes.
 
-use super::*;
+use super::{mix, Change, Effect, Kind, Message, Micros, State, Swim, FAREWELLS};
 
 impl Swim {
     /// Whether a member is dead, or has left so long ago that its process has ended: one that was told to stop answers what it
--- a/crates/dispatcher/simulator-protocol/src/lib.rs
+++ b/crates/dispatcher/simulator-protocol/src/lib.rs
@@ -16,7 +16,10 @@
 
 use degradation::Governed;
 use dispatch_api::told::{self, mark};
-use dispatch_api::*;
+use dispatch_api::{
+    Action, CallLost, Event, JobId, JobSpec, ListKind, Listing, LoadReport, Micros, Outcome,
+    Status, WorkerId,
+};
 use dispatcher_settings::facts::{micros, settings, Facts};
 use dispatcher_settings::operator::{Operator, Source};
 use serde::{Deserialize, Serialize};
--- a/crates/gateway/runner-selection/src/ask.rs
+++ b/crates/gateway/runner-selection/src/ask.rs
@@ -1,6 +1,8 @@
 //! What is worth asking, and what has been silent for too long.
 
-use crate::constants::*;
+use crate::constants::{
+    HUNG_LEAST_MS, REPORTS_BURST, REPORTS_PER_S, REPORT_AGE_MS, REPORT_FILL, SCAN,
+};
 use crate::engines::{Engines, Sending};
 use crate::health::Fit;
 use crate::{Ms, RunnerKey, SendId};
--- a/crates/gateway/runner-selection/src/engines.rs
+++ b/crates/gateway/runner-selection/src/engines.rs
@@ -1,6 +1,6 @@
 //! The table of runners and services, and its one owner.
 
-use crate::constants::*;
+use crate::constants::{LEAST_CONNS, MAX_RUNNERS, MAX_SVCS, REPORTS_BURST};
 use crate::health::{Fit, Health};
 use crate::parts::hashed;
 use crate::runner::Runner;
--- a/crates/gateway/runner-selection/src/health.rs
+++ b/crates/gateway/runner-selection/src/health.rs
@@ -1,6 +1,8 @@
 //! Trouble at single runners: strikes, avoidance that grows, and one trial before it ends.
 
-use crate::constants::*;
+use crate::constants::{
+    AVOID_FIRST_MS, AVOID_FORGET, AVOID_JITTER, AVOID_MOST_MS, AVOID_UP, TRIAL_GRACE, WAIT_MOST_MS,
+};
 use crate::Ms;
 use dispatch_policy::{Sleeper, SleeperTerms};
 use rand_pcg::Pcg64Mcg;
--- a/crates/gateway/runner-selection/src/items.rs
+++ b/crates/gateway/runner-selection/src/items.rs
@@ -1,6 +1,9 @@
 //! Items of batch jobs: the sleepers say when, a draw weighted by room says where.
 
-use crate::constants::*;
+use crate::constants::{
+    HURRY_MS, ITEMS_LEAST, ITEM_CONNS, ITEM_SCAN, LATE_BORNE, LATE_SPAN, MAX_TRIED, RELAXED_MS,
+    RESERVE_GROWTH, RESERVE_LEAST, RESERVE_MOST, ROOM_FLOOR, SCAN, WAIT_MOST_MS,
+};
 use crate::engines::Engines;
 use crate::health::Fit;
 use crate::runner::Runner;
--- a/crates/gateway/runner-selection/src/live.rs
+++ b/crates/gateway/runner-selection/src/live.rs
@@ -1,6 +1,11 @@
 //! Where a live request goes.
 
-use crate::constants::*;
+use crate::constants::{
+    DRAWN, HOLDER_STEER, HOLDER_SURE, HOME_BOUND, HOME_SLACK, KEPT_SHARE, LATE_TIMES, LEAST_PART,
+    MAX_PROMPT_PARTS, MAX_TRIED, MEMORY, NEAR_MS, NEAR_SHARE, PANIC_SHARE, PATIENCE, PLAIN_CHOICES,
+    READ_WEIGHT, RETRY_NOBODY_MS, RETRY_RANGE_MS, RETRY_SHARE, RETRY_SPREAD, SCAN, SESSIONS,
+    STEER_MS, WAIT_MOST_MS, WAIT_SHARE, ZONE_MS, ZONE_PER_TOKEN_MS,
+};
 use crate::engines::Engines;
 use crate::health::Fit;
 use crate::parts::Parts;
--- a/crates/gateway/runner-selection/src/outcome.rs
+++ b/crates/gateway/runner-selection/src/outcome.rs
@@ -1,6 +1,9 @@
 //! What became of a sending, and what runners say of themselves.
 
-use crate::constants::*;
+use crate::constants::{
+    AVOID_WRONG_MS, ERRORS, HOME_SURE_RANGE, LEAST_PART, MAX_PROMPT_PARTS, MAX_SENDS, MEMORY,
+    OTHERS_MEMORY, PACE_MEMORY, PACE_RANGE, REPORT_LAG_MS,
+};
 use crate::engines::{Engines, Sending};
 use crate::health::Fit;
 use crate::runner::Unanswered;
--- a/crates/gateway/runner-selection/src/parts.rs
+++ b/crates/gateway/runner-selection/src/parts.rs
@@ -1,6 +1,6 @@
 //! Parts of prompts: their homes, and where they were sent lately.
 
-use crate::constants::*;
+use crate::constants::{HOLDERS, HOMES, HOME_SURE, MAX_PARTS};
 use crate::{Ms, RunnerKey};
 use std::collections::HashMap;
 
--- a/crates/gateway/runner-selection/src/runner.rs
+++ b/crates/gateway/runner-selection/src/runner.rs
@@ -1,6 +1,6 @@
 //! What is known of one runner.
 
-use crate::constants::*;
+use crate::constants::{COLD_PACE, PACE_DEAD, SILENT};
 use crate::health::Health;
 use crate::service::Svc;
 use crate::Ms;
--- a/crates/gateway/runner-selection/src/service.rs
+++ b/crates/gateway/runner-selection/src/service.rs
@@ -1,6 +1,11 @@
 //! What is learned of a service: reading speed, first tokens, runs, the others' load.
 
-use crate::constants::*;
+use crate::constants::{
+    BASE_MS, BASE_RANGE, DOWN, FADE_RANGE_MS, FADE_RUNS, FIT_MEMORY, FIT_OUTLIER, FIT_PRIOR,
+    HOLD_MS, HUNG_DEVIATIONS, HUNG_LEAST_MS, HUNG_TIMES, INITIAL, INITIAL_LEAST_MS, ITEM_AHEAD,
+    MAX, MAX_RANDOMIZATION, MAX_TOKENS, MEMORY, OTHERS_HALF_MS, PER_TOKEN_MS, PER_TOKEN_RANGE,
+    RANDOMIZATION, SUCCESSES_DOWN, TARGET_MS, UP,
+};
 use crate::parts::Parts;
 use crate::{Ms, RunnerKey, SvcTerms, Want};
 use compact_str::CompactString;
