--- a/crates/dispatcher/fordrelay/tests/crossings.rs
+++ b/crates/dispatcher/fordrelay/tests/crossings.rs
@@ -1,5 +1,5 @@
 //! Endings that cross something still owed, on the whole program: clients that go, answers that come twice, the instant in
-//! which a connection or the process ends. `docs/endings.md` has the states these force.
+//! which a connection or the process ends. `docs/request-termination.md` has the states these force.
 
 #![expect(clippy::unwrap_used, reason = "a test ends at the first surprise")]
 
--- a/deploy/fordrelay.hcl
+++ b/deploy/fordrelay.hcl
@@ -1,7 +1,7 @@
 # What is the operators' own. Every key stands here; those in comments have the value that they have without being
 # said. `fordrelay check --operator FILE` prints what is in force, `fordrelay levels --explain --operator FILE` says
 # the conditions in words. SIGHUP reads the file again: levels and log.level count at once, all else from the next
-# start. docs/operating-levels.md explains the bounds.
+# start. docs/operating-degradation.md explains the bounds.
 
 log {
   format = "text"   # or "json": one object a line
