--- a/crates/dispatcher/admin/src/figures.rs
+++ b/crates/dispatcher/admin/src/figures.rs
@@ -107,7 +107,7 @@
     }
     gauge!("svc_active").set(seen.counts.active() as f64);
     gauge!("svc_pool_size").set(seen.listed as f64);
-    gauge!("svc_pool_ejected").set(seen.avoided as f64);
+    gauge!("svc_pool_ejected").set(seen.ejected as f64);
     let figures = &seen.status.figures;
     counter!("fordrelay_attempts_refused_total").absolute(figures.refused);
     gauge!("fordrelay_own_slots").set(figures.own);
@@ -115,10 +115,10 @@
         counter!("fordrelay_jobs_over_total", "class" => name.clone()).absolute(class.over);
         counter!("fordrelay_jobs_in_time_total", "class" => name.clone()).absolute(class.in_time);
         counter!("fordrelay_jobs_turned_away_total", "class" => name.clone())
-            .absolute(class.turned_away);
+            .absolute(class.rejected_by_level);
     }
     for kind in &figures.kinds {
-        for (answers, count) in [("yes", kind.answering), ("no", kind.silent)] {
+        for (answers, count) in [("yes", kind.responsive), ("no", kind.unresponsive)] {
             let labels = [
                 ("kind", kind.kind.to_string()),
                 ("answers", answers.to_owned()),
--- a/crates/dispatcher/coordination/src/lib.rs
+++ b/crates/dispatcher/coordination/src/lib.rs
@@ -19,7 +19,7 @@
     /// Leave a target out, or take it back.
     Rule {
         /// The mark of its name.
-        mark: u32,
+        name_hash: u32,
         /// It is left out.
         out: bool,
     },
@@ -44,7 +44,7 @@
     /// How far a target of the plan is has changed.
     Stands {
         /// The mark of its name.
-        mark: u32,
+        name_hash: u32,
         /// How far it is.
         standing: Standing,
         /// Since its time was up.
@@ -61,9 +61,9 @@
 /// What the rest of the program knows of targets, by the marks of their names.
 pub trait Targets {
     /// Whether an attempt is out there.
-    fn in_flight(&self, mark: u32) -> bool;
+    fn in_flight(&self, name_hash: u32) -> bool;
     /// Whether it was started anew after this time.
-    fn restarted(&self, mark: u32, since: Micros) -> bool;
+    fn restarted(&self, name_hash: u32, since: Micros) -> bool;
 }
 
 /// One dispatcher's part in it.
@@ -149,8 +149,8 @@
             Some(members) => !members.away(m, now),
             None => u32::from(m) == *me,
         };
-        let in_flight = |mark| targets.in_flight(mark);
-        let restarted = |mark, since| targets.restarted(mark, since);
+        let in_flight = |name_hash| targets.in_flight(name_hash);
+        let restarted = |name_hash, since| targets.restarted(name_hash, since);
         let found = upkeep.tick(
             now,
             &Look {
@@ -263,12 +263,12 @@
     }
 
     /// The operators' work on a target that is out by the plan is done.
-    pub fn done(&mut self, now: Micros, mark: u32, targets: &dyn Targets) -> Vec<Effect> {
+    pub fn done(&mut self, now: Micros, name_hash: u32, targets: &dyn Targets) -> Vec<Effect> {
         let mut effects = vec![];
         let Some(upkeep) = &mut self.upkeep else {
             return effects;
         };
-        upkeep.done(now, mark);
+        upkeep.done(now, name_hash);
         let found = upkeep.effects();
         self.maintain(found, &mut effects);
         self.tick_upkeep(now, targets, effects)
@@ -297,15 +297,15 @@
                 to: u32::from(to),
                 message: message.encode(),
             },
-            maintenance::Effect::Ban { mark, out } => Effect::Rule { mark, out },
+            maintenance::Effect::Ban { name_hash, out } => Effect::Rule { name_hash, out },
             maintenance::Effect::Stands {
-                mark,
+                name_hash,
                 standing,
                 forced,
             } => {
                 self.unkept = true;
                 Effect::Stands {
-                    mark,
+                    name_hash,
                     standing,
                     forced,
                 }
--- a/crates/dispatcher/degradation/src/gauges.rs
+++ b/crates/dispatcher/degradation/src/gauges.rs
@@ -1,7 +1,7 @@
 //! What is read off the decisions' figures.
 
 use crate::spec::{Gauge, Spec};
-use dispatch_api::{Figures, Micros};
+use dispatch_api::{Micros, PolicyMetrics};
 use std::collections::{BTreeMap, VecDeque};
 
 /// How much of the program's own limits is in use, each a share of its limit.
@@ -100,7 +100,7 @@
         spec: &Spec,
         dispatchers: u32,
         now: Micros,
-        figures: &Figures,
+        figures: &PolicyMetrics,
         usage: Usage,
     ) -> Readings {
         let passed = self.read_at.map_or(0, |t| now.saturating_sub(t));
@@ -113,7 +113,7 @@
                 .find(|k| k.kind == kind)
                 .map_or(1.0, |k| k.slots)
         };
-        let capacity: f64 = figures.kinds.iter().map(|k| k.answering * k.slots).sum();
+        let capacity: f64 = figures.kinds.iter().map(|k| k.responsive * k.slots).sum();
         let usual: f64 = self
             .usual
             .iter()
@@ -162,13 +162,13 @@
             refused: (refused(short_ago), refused(&long_ago)),
             usage,
             capacity,
-            silent: figures.kinds.iter().map(|k| k.silent).sum(),
+            silent: figures.kinds.iter().map(|k| k.unresponsive).sum(),
         }
     }
 
     /// The usual count follows upwards at once and downwards by half-lives, so that a loss shows for as long as it
     /// is news. While a start settles in, what is listed is all that is usual.
-    fn follow_usual(&mut self, spec: &Spec, now: Micros, passed: Micros, figures: &Figures) {
+    fn follow_usual(&mut self, spec: &Spec, now: Micros, passed: Micros, figures: &PolicyMetrics) {
         let kept = 0.5_f64.powf(passed as f64 / spec.usual_half_life as f64);
         let settled = self.settled(spec, now);
         for usual in self.usual.values_mut() {
@@ -177,12 +177,12 @@
         for kind in &figures.kinds {
             let usual = self.usual.entry(kind.kind).or_default();
             // Before it was multiplied away, what is there now was part of it.
-            *usual = (*usual + kind.answering * (1.0 - kept)).max(kind.answering);
+            *usual = (*usual + kind.responsive * (1.0 - kept)).max(kind.responsive);
         }
         self.usual.retain(|_, usual| *usual > 0.01);
     }
 
-    fn count(&mut self, spec: &Spec, now: Micros, figures: &Figures) -> Counts {
+    fn count(&mut self, spec: &Spec, now: Micros, figures: &PolicyMetrics) -> Counts {
         let classes = figures
             .classes
             .iter()
--- a/crates/dispatcher/degradation/src/governed.rs
+++ b/crates/dispatcher/degradation/src/governed.rs
@@ -4,7 +4,7 @@
 use crate::ladder::{Cause, Change, Ladder};
 use crate::spec::Spec;
 use dispatch_api::{
-    Action, Event, JobId, Known, ListKind, Micros, Settings, SettingsError, WorkerId,
+    Action, Event, JobId, ListUpdateKind, Micros, PolicySnapshot, Settings, SettingsError, WorkerId,
 };
 use dispatch_policy::Dispatcher;
 use std::sync::Arc;
@@ -65,7 +65,7 @@
     /// Now.
     pub now: Micros,
     /// What the decisions believe and count.
-    pub figures: dispatch_api::Figures,
+    pub figures: dispatch_api::PolicyMetrics,
     /// The levels, where there are any.
     pub levels: Option<LevelStatus>,
 }
@@ -97,8 +97,8 @@
     /// Takes the time and one event, and appends what to do.
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         self.now = self.now.max(now);
-        if let Event::Listed { kind, .. } = &event {
-            if *kind != ListKind::Inherited {
+        if let Event::WorkersUpdated { kind, .. } = &event {
+            if *kind != ListUpdateKind::Inherited {
                 let fresh = *self.fresh.get_or_insert(self.now);
                 self.watch.iter_mut().for_each(|w| w.gauges.listed(fresh));
             }
@@ -114,12 +114,12 @@
     }
 
     /// What a successor can use.
-    pub fn known(&self) -> Known {
+    pub fn known(&self) -> PolicySnapshot {
         self.dispatcher.known()
     }
 
     /// Takes over what a predecessor knew.
-    pub fn recall(&mut self, now: Micros, known: &Known) {
+    pub fn recall(&mut self, now: Micros, known: &PolicySnapshot) {
         self.now = self.now.max(now);
         self.dispatcher.recall(self.now, known);
     }
@@ -240,7 +240,8 @@
             w.spec.levels.get(at)
         });
         let terms = level.map(|level| Arc::new(level.terms.clone()));
-        self.dispatcher.handle(self.now, Event::Terms(terms), out);
+        self.dispatcher
+            .handle(self.now, Event::AdmissionChanged(terms), out);
     }
 }
 
--- a/crates/dispatcher/degradation/src/spec.rs
+++ b/crates/dispatcher/degradation/src/spec.rs
@@ -1,6 +1,6 @@
 //! What operators write of levels, in the units of the decisions, and the checks on it.
 
-use dispatch_api::{Micros, Terms};
+use dispatch_api::{AdmissionPolicy, Micros};
 use std::collections::BTreeSet;
 use std::fmt;
 
@@ -92,7 +92,7 @@
     /// See `leave`; longer for a level that is entered again soon after it was left.
     pub leave_for: Micros,
     /// What it asks.
-    pub terms: Terms,
+    pub terms: AdmissionPolicy,
 }
 
 /// All levels, from the mildest to the severest, and how they are watched.
@@ -278,29 +278,29 @@
             writeln!(f, "  left after {} s of: {leave}", seconds(level.leave_for))?;
             for (class, name) in self.classes.iter().enumerate() {
                 let terms = level.terms.class(class);
-                let mut asks = match terms.admit {
+                let mut asks = match terms.admitted_share {
                     a if a <= 0.0 => vec!["no new job is taken".to_owned()],
                     a if a >= 1.0 => vec![],
                     a => vec![format!("{:.0} % of new jobs are taken", a * 100.0)],
                 };
-                if terms.admit > 0.0 {
-                    if terms.largest.is_finite() {
-                        asks.push(format!("none of more than {} slots", terms.largest));
+                if terms.admitted_share > 0.0 {
+                    if terms.max_slots.is_finite() {
+                        asks.push(format!("none of more than {} slots", terms.max_slots));
                     }
-                    if let Some(hold) = terms.hold {
+                    if let Some(hold) = terms.max_hold {
                         asks.push(format!(
                             "turned away unless sent within {} s",
                             seconds(hold)
                         ));
                     }
-                    if terms.headroom > 0.0 {
+                    if terms.reserved_slots > 0.0 {
                         asks.push(format!(
                             "{} slots left free where another class is bound to",
-                            terms.headroom
+                            terms.reserved_slots
                         ));
                     }
-                    if terms.attempts < u32::MAX {
-                        asks.push(format!("{} attempt(s) each", terms.attempts));
+                    if terms.max_attempts < u32::MAX {
+                        asks.push(format!("{} attempt(s) each", terms.max_attempts));
                     }
                 }
                 let asks = if asks.is_empty() {
@@ -310,18 +310,18 @@
                 };
                 writeln!(f, "  {name}: {asks}")?;
             }
-            if level.terms.above > 0 {
-                let wait = seconds(level.terms.above);
+            if level.terms.min_backlog > 0 {
+                let wait = seconds(level.terms.min_backlog);
                 writeln!(
                     f,
                     "  new jobs are turned away only while held work would take {wait} s or more"
                 )?;
             }
-            if level.terms.open < usize::MAX {
+            if level.terms.max_open_jobs < usize::MAX {
                 writeln!(
                     f,
                     "  no more than {} flows are open together",
-                    level.terms.open
+                    level.terms.max_open_jobs
                 )?;
             }
         }
--- a/crates/dispatcher/degradation/tests/ladder.rs
+++ b/crates/dispatcher/degradation/tests/ladder.rs
@@ -1,7 +1,7 @@
 //! Levels without decisions: readings made for the test go in, changes come out.
 
 use degradation::{Bounds, Cause, Change, Gauge, Ladder, Level, Readings, Spec};
-use dispatch_api::{ClassTerms, Micros, Terms};
+use dispatch_api::{AdmissionPolicy, ClassAdmission, Micros};
 use proptest::prelude::*;
 
 const S: Micros = 1_000_000;
@@ -13,10 +13,10 @@
         enter_for: S,
         leave: Bounds(vec![(Gauge::Wait, wait / 2.0), (Gauge::Lost, lost / 2.0)]),
         leave_for: 10 * S,
-        terms: Terms {
-            classes: vec![ClassTerms::default()],
-            open: 10,
-            above: 0,
+        terms: AdmissionPolicy {
+            classes: vec![ClassAdmission::default()],
+            max_open_jobs: 10,
+            min_backlog: 0,
             retry_after: S,
         },
     }
--- a/crates/dispatcher/discovery-pacing/src/kind.rs
+++ b/crates/dispatcher/discovery-pacing/src/kind.rs
@@ -23,7 +23,7 @@
 }
 
 impl Kind {
-    /// One of them reported free slots. Reports are noisy: their highest value says too much, so a quantile is
+    /// One of them reported free slots. LoadReporting are noisy: their highest value says too much, so a quantile is
     /// followed.
     pub fn reported(&mut self, free: f64) {
         self.most = self.most.max(free);
--- a/crates/dispatcher/discovery-pacing/src/lib.rs
+++ b/crates/dispatcher/discovery-pacing/src/lib.rs
@@ -21,7 +21,7 @@
 pub use load::{held_per_core, Loads, LARGEST_WEIGHT};
 pub use reach::Reach;
 
-use dispatch_api::{CallLost, Discovery, Micros};
+use dispatch_api::{Discovery, DiscoveryFailure, Micros};
 
 /// Room that is left to each dispatcher beyond two for one call to discovery. It must be no less than a turn of
 /// discovery takes, or a start of all together fills its queue; the longer, the later a restarted dispatcher learns
@@ -60,7 +60,7 @@
     /// Dispatchers that must not meet at discovery; two do no harm there.
     many: u64,
     /// The longest time that may pass unasked.
-    ask_within: Micros,
+    watch_within: Micros,
     /// Calls that failed in a row; none before the first call.
     failures: Option<u32>,
 }
@@ -68,13 +68,13 @@
 impl Pace {
     /// For one of so many dispatchers; none where the list arrives unasked.
     pub fn new(dispatchers: u32, discovery: Discovery) -> Option<Self> {
-        let Discovery::OnRequest { ask_within } = discovery else {
+        let Discovery::OnRequest { watch_within } = discovery else {
             return None;
         };
         let many = u64::from(dispatchers.saturating_sub(2));
         Some(Pace {
             many,
-            ask_within,
+            watch_within,
             failures: None,
         })
     }
@@ -95,18 +95,24 @@
     /// moment, and then from its later half.
     ///
     /// A call that falls silent after others were answered is broken on its own, and is made again without a back-off.
-    pub fn pause(&mut self, lost: CallLost, took: Micros, jitter: f64, drawn: f64) -> Micros {
+    pub fn pause(
+        &mut self,
+        lost: DiscoveryFailure,
+        took: Micros,
+        jitter: f64,
+        drawn: f64,
+    ) -> Micros {
         let before = self.failures;
         self.failures = Some(before.map_or(0, |f| f.saturating_add(1)));
         // No call takes longer: what did is a watch that needs none to go on, and it broke just now.
         let most = CALL_AGAIN.saturating_sub(if took > LONGEST_CALL { 0 } else { took });
         match (before, lost) {
-            (None, _) => share(self.spread(1).min(self.ask_within / 2), drawn),
-            (Some(0), CallLost::Silent) => share(self.spread(1).min(most), drawn),
+            (None, _) => share(self.spread(1).min(self.watch_within / 2), drawn),
+            (Some(0), DiscoveryFailure::TimedOut) => share(self.spread(1).min(most), drawn),
             (Some(failures), _) => {
-                let doubled = (self.ask_within / SHORTEST).saturating_mul(1 << failures.min(16));
+                let doubled = (self.watch_within / SHORTEST).saturating_mul(1 << failures.min(16));
                 let jittered = share(
-                    doubled.min(self.ask_within / LONGEST),
+                    doubled.min(self.watch_within / LONGEST),
                     1.0 - JITTER + 2.0 * JITTER * jitter,
                 );
                 let spread = self.spread(TURNS_AGAIN);
--- a/crates/dispatcher/discovery-pacing/tests/herd.rs
+++ b/crates/dispatcher/discovery-pacing/tests/herd.rs
@@ -3,7 +3,7 @@
 #![expect(clippy::unwrap_used, reason = "a test ends at the first surprise")]
 
 use discovery_pacing::{Pace, ANSWER_WAIT, CALL_TAKES, CALL_WAITS, TOLD_AFTER, WATCH_WAIT};
-use dispatch_api::{CallLost, Discovery, Micros};
+use dispatch_api::{Discovery, DiscoveryFailure, Micros};
 use proptest::prelude::*;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -17,7 +17,7 @@
     Pace::new(
         dispatchers,
         Discovery::OnRequest {
-            ask_within: 10 * SECOND,
+            watch_within: 10 * SECOND,
         },
     )
     .unwrap()
@@ -66,7 +66,7 @@
         let call = |(n, pace): (usize, &mut Pace)| {
             let start = (unit(&mut rng) * SECOND as f64) as Micros;
             Reverse((
-                start + pace.pause(CallLost::Failed, 0, unit(&mut rng), unit(&mut rng)),
+                start + pace.pause(DiscoveryFailure::Failed, 0, unit(&mut rng), unit(&mut rng)),
                 Due::Call(n),
             ))
         };
@@ -93,7 +93,7 @@
             world.paces[n].heard();
             let took = WATCH_WAIT + ANSWER_WAIT;
             let pause = world.paces[n].pause(
-                CallLost::Silent,
+                DiscoveryFailure::TimedOut,
                 took,
                 unit(&mut world.rng),
                 unit(&mut world.rng),
@@ -108,7 +108,7 @@
     fn fails(&mut self, at: Micros, took: Micros, n: usize) {
         self.failed += 1;
         let pause = self.paces[n].pause(
-            CallLost::Failed,
+            DiscoveryFailure::Failed,
             took,
             unit(&mut self.rng),
             unit(&mut self.rng),
@@ -266,21 +266,21 @@
 fn two_dispatchers_ask_at_once_and_again_soon() {
     let mut two = pace(2);
     assert_eq!(
-        two.pause(CallLost::Failed, 0, 0.5, 0.9),
+        two.pause(DiscoveryFailure::Failed, 0, 0.5, 0.9),
         0,
         "there is no herd of two"
     );
-    assert_eq!(two.pause(CallLost::Failed, 0, 0.5, 0.9), 78_125);
-    assert_eq!(two.pause(CallLost::Failed, 0, 0.5, 0.9), 156_250);
+    assert_eq!(two.pause(DiscoveryFailure::Failed, 0, 0.5, 0.9), 78_125);
+    assert_eq!(two.pause(DiscoveryFailure::Failed, 0, 0.5, 0.9), 156_250);
     for _ in 0..100 {
         assert!(
-            two.pause(CallLost::Failed, 0, 1.0, 1.0) <= 3_250 * MS,
+            two.pause(DiscoveryFailure::Failed, 0, 1.0, 1.0) <= 3_250 * MS,
             "well within what the rules allow"
         );
     }
     two.heard();
     assert_eq!(
-        two.pause(CallLost::Failed, 0, 0.5, 0.9),
+        two.pause(DiscoveryFailure::Failed, 0, 0.5, 0.9),
         78_125,
         "an answer starts it over"
     );
@@ -291,11 +291,11 @@
     for dispatchers in [1, 2, 3, 100, 10_000, u32::MAX] {
         let mut pace = pace(dispatchers);
         assert!(
-            pace.pause(CallLost::Failed, 0, 1.0, 1.0) <= 5 * SECOND,
+            pace.pause(DiscoveryFailure::Failed, 0, 1.0, 1.0) <= 5 * SECOND,
             "{dispatchers}"
         );
         assert!(
-            (0..100).all(|_| pace.pause(CallLost::Failed, 0, 1.0, 1.0) < 40 * SECOND),
+            (0..100).all(|_| pace.pause(DiscoveryFailure::Failed, 0, 1.0, 1.0) < 40 * SECOND),
             "{dispatchers}"
         );
     }
@@ -332,16 +332,16 @@
         failures in prop::collection::vec((failure(), 0.0..1.0f64, 0.0..1.0f64), 1..60),
     ) {
         let mut pace = pace(dispatchers);
-        pace.pause(CallLost::Failed, 0, 0.5, 0.5);
+        pace.pause(DiscoveryFailure::Failed, 0, 0.5, 0.5);
         for (failure, jitter, drawn) in failures {
             let (lost, took) = match failure {
                 Failure::Heard => {
                     pace.heard();
                     continue;
                 }
-                Failure::Refused(took) => (CallLost::Failed, took),
-                Failure::TurnedAway => (CallLost::Failed, CALL_WAITS),
-                Failure::Silent(took) => (CallLost::Silent, took),
+                Failure::Refused(took) => (DiscoveryFailure::Failed, took),
+                Failure::TurnedAway => (DiscoveryFailure::Failed, CALL_WAITS),
+                Failure::Silent(took) => (DiscoveryFailure::TimedOut, took),
             };
             let pause = pace.pause(lost, took, jitter, drawn);
             prop_assert!(took + pause + CALL_WAITS + CALL_TAKES <= TOLD_AFTER, "{took} {pause}");
--- a/crates/dispatcher/discovery/src/lib.rs
+++ b/crates/dispatcher/discovery/src/lib.rs
@@ -8,8 +8,8 @@
 pub use kept::Kept;
 
 use bytes::Bytes;
-use dispatch_api::told;
-use dispatch_api::{CallLost, ListKind, Micros, Status};
+use dispatch_api::load_exchange;
+use dispatch_api::{DiscoveryFailure, ListUpdateKind, Micros, WorkerStatus};
 use dispatcher_settings::list::{Entry, List, State};
 use dispatcher_state::{Input, Listed, Odd};
 use event_loop::{Clock, Desk, Seldom};
@@ -78,7 +78,7 @@
         // Names that the settings don't hold are places too, and different ones: keys are shared by place.
         let place = |names: &[String], name: &str| {
             let known = names.iter().position(|n| n == name);
-            known.map_or_else(|| told::mark(name) | 1 << 31, |at| at as u32)
+            known.map_or_else(|| load_exchange::name_hash(name) | 1 << 31, |at| at as u32)
         };
         let entry = |e: Entry| Listed {
             zone: place(&self.zones, &e.zone),
@@ -87,17 +87,17 @@
             addr: e.addr,
             cell: e.cell,
             status: match e.state {
-                State::Ready => Status::Ready,
-                State::Draining => Status::Draining,
-                State::Gone => Status::Gone,
+                State::Ready => WorkerStatus::Ready,
+                State::Draining => WorkerStatus::Draining,
+                State::Gone => WorkerStatus::Removed,
             },
             weight: e.weight,
             started: (e.started_ms > 0.0).then(|| self.clock.at_unix_ms(e.started_ms)),
         };
         let kind = match list.full {
-            _ if inherited => ListKind::Inherited,
-            true => ListKind::Whole,
-            false => ListKind::Changes,
+            _ if inherited => ListUpdateKind::Inherited,
+            true => ListUpdateKind::Full,
+            false => ListUpdateKind::Incremental,
         };
         let entries = list.servers.into_iter().map(entry).collect();
         Input::Listed {
@@ -199,9 +199,9 @@
                     while wanted.try_recv().is_ok() {}
                     let silent = matches!(e, CallError::Silent(_));
                     desk.report(Input::ListFailed(if silent {
-                        CallLost::Silent
+                        DiscoveryFailure::TimedOut
                     } else {
-                        CallLost::Failed
+                        DiscoveryFailure::Failed
                     }));
                     pause = AGENT_PAUSE;
                     break;
--- a/crates/dispatcher/dispatch-api/src/known.rs
+++ b/crates/dispatcher/dispatch-api/src/known.rs
@@ -3,26 +3,26 @@
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 
-/// All of it. Figures are as the decisions keep them; whoever takes them over checks that they make sense.
+/// All of it. PolicyMetrics are as the decisions keep them; whoever takes them over checks that they make sense.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Known {
+pub struct PolicySnapshot {
     /// When it was so.
     pub at: Micros,
     /// By machine kind.
     pub kinds: Vec<(u32, [f64; 4])>,
     /// By class.
-    pub classes: Vec<ClassKnown>,
+    pub classes: Vec<ClassSnapshot>,
     /// The price of slot time, and the gain that it is a share of.
     pub price: (f64, f64),
     /// By worker.
-    pub workers: Vec<WorkerKnown>,
+    pub workers: Vec<WorkerSnapshot>,
 }
 
 /// What is known of the jobs of one class.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct ClassKnown {
+pub struct ClassSnapshot {
     /// The mean run, and how many it rests on.
     pub run: (f64, f64),
     /// Arrivals of late.
@@ -34,9 +34,10 @@
 /// What is known of one worker.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct WorkerKnown {
+pub struct WorkerSnapshot {
     /// Its number that is the same at every dispatcher.
-    pub mark: u32,
+    #[serde(rename = "mark")]
+    pub name_hash: u32,
     /// When it last started, as far as that was told: of another start nothing holds.
     pub started: Option<Micros>,
     /// Its back-off: the interval, and when it is over.
--- a/crates/dispatcher/dispatch-api/src/lib.rs
+++ b/crates/dispatcher/dispatch-api/src/lib.rs
@@ -1,11 +1,11 @@
 //! The interface of the decisions: settings, events and actions, and nothing that decides.
 //!
-//! [`told`] is what dispatchers tell each other.
+//! [`load_exchange`] is what dispatchers tell each other.
 
 mod known;
-pub mod told;
+pub mod load_exchange;
 
-pub use known::{ClassKnown, Known, WorkerKnown};
+pub use known::{ClassSnapshot, PolicySnapshot, WorkerSnapshot};
 
 use std::fmt;
 use std::sync::Arc;
@@ -25,21 +25,21 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Idempotency {
     /// Running it twice is harmless.
-    Safe,
+    Idempotent,
     /// It carries a key: workers of the scope drop a repeat for `memory` after the first attempt was sent.
     Keyed {
         /// The workers that share the memory of keys.
-        scope: Scope,
+        scope: DeduplicationScope,
         /// How long they remember.
         memory: Micros,
     },
     /// It must never run twice.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// The workers that drop each other's repeats.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Scope {
+pub enum DeduplicationScope {
     /// Every worker.
     All,
     /// The workers of one zone.
@@ -50,17 +50,17 @@
 
 /// A class of jobs.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Class {
+pub struct JobClass {
     /// Full worth is earned within `aim` plus `stretch` times the job's own work.
-    pub aim: Micros,
+    pub latency_target: Micros,
     /// See `aim`.
-    pub stretch: f64,
+    pub target_stretch: f64,
     /// How long a client waits in all.
-    pub give_up: Micros,
+    pub client_timeout: Micros,
     /// Worth of an answer in time.
-    pub worth: f64,
+    pub job_value: f64,
     /// Share of the worth that a late answer earns.
-    pub late_worth: f64,
+    pub late_value_share: f64,
     /// What a repeat does.
     pub idempotency: Idempotency,
     /// The only kind of worker that runs it, or any.
@@ -78,7 +78,7 @@
 
 /// What the service is judged by: weights of its parts.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Goal {
+pub struct ObjectiveWeights {
     /// Everything together.
     pub overall: f64,
     /// The worst ten seconds.
@@ -94,26 +94,26 @@
 pub enum Discovery {
     /// Changes arrive unasked.
     Pushed,
-    /// Changes arrive after [`Action::Watch`]; an instance must not go unasked for longer than this.
+    /// Changes arrive after [`Action::WatchWorkers`]; an instance must not go unasked for longer than this.
     OnRequest {
         /// The longest time without a subscription or a call.
-        ask_within: Micros,
+        watch_within: Micros,
     },
 }
 
 /// How a call to discovery, or a watch there, was lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CallLost {
+pub enum DiscoveryFailure {
     /// No answer came in time, and no word either that discovery is down or has too many callers: the way there is broken,
     /// and nobody else's need be.
-    Silent,
+    TimedOut,
     /// Anything else: it was refused, or broke off, which others may see at the same time.
     Failed,
 }
 
 /// Where load reports come from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reports {
+pub enum LoadReporting {
     /// There are none.
     None,
     /// With every outcome and every probe.
@@ -129,7 +129,7 @@
     pub attempts: u32,
     /// Two attempts of a job may be in flight together.
     pub concurrent_attempts: bool,
-    /// [`Action::Cancel`] is permitted.
+    /// [`Action::CancelAttempt`] is permitted.
     pub cancel: bool,
     /// [`Action::Probe`] is permitted.
     pub probe: bool,
@@ -141,10 +141,10 @@
     pub connect_price: f64,
     /// A connection that carries nothing is closed after this.
     pub connection_idle: Micros,
-    /// Entries of one [`Action::Tell`]; 0 where dispatchers can't talk to each other.
+    /// Entries of one [`Action::PublishLoad`]; 0 where dispatchers can't talk to each other.
     pub tell: usize,
     /// What one entry told to one dispatcher for each job would cost, as a share of all worth.
-    pub tell_price: f64,
+    pub peer_price: f64,
     /// Longest retry-after that a client keeps to; none where clients are not given one.
     pub retry_after: Option<Micros>,
 }
@@ -164,16 +164,16 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Rules {
     /// A worker is warm this long after its start at the latest.
-    pub cold_for: Micros,
+    pub warm_up: Micros,
     /// Share of its capacity that a worker has when it starts.
     pub start_capacity: f64,
     /// A cold worker sent more than this multiple of its present capacity ...
-    pub tip_multiple: f64,
+    pub overload_multiple: f64,
     /// ... for this long falls over.
-    pub tip_window: Micros,
+    pub overload_window: Micros,
     /// Bounds attempts beyond each job's first, where the site states it.
     pub retry_budget: Option<RetryBudget>,
-    /// A refusal by a worker ([`Outcome::Full`]) leaves open whether the job ran.
+    /// A refusal by a worker ([`Outcome::Rejected`]) leaves open whether the job ran.
     pub refusal_inconclusive: bool,
     /// Idle connections to a draining worker are closed within this, where the site states it.
     pub close_on_drain: Option<Micros>,
@@ -187,21 +187,21 @@
     /// The zone of this one.
     pub zone: u32,
     /// Classes of jobs; jobs name them by index.
-    pub classes: Vec<Class>,
+    pub classes: Vec<JobClass>,
     /// Tenants, if any; jobs name them by index.
     pub tenants: Vec<Tenant>,
     /// What the service is judged by.
-    pub goal: Goal,
+    pub goal: ObjectiveWeights,
     /// Worth counts by work instead of by job.
-    pub worth_by_work: bool,
+    pub value_by_work: bool,
     /// Share of its worth that a job over its tenant's share keeps.
-    pub over_share_worth: f64,
+    pub over_share_value: f64,
     /// What it costs if as much work is wasted as was asked for, as a share of all worth.
     pub waste_price: f64,
     /// How workers are learned.
     pub discovery: Discovery,
     /// Where load reports come from.
-    pub reports: Reports,
+    pub reports: LoadReporting,
     /// Workers tell when a job starts.
     pub start_notices: bool,
     /// Workers tell a running job's progress this often.
@@ -246,7 +246,7 @@
 
 impl Settings {
     /// Whether some class runs on this machine kind alone.
-    pub fn bound(&self, kind: u32) -> bool {
+    pub fn has_dedicated_class(&self, kind: u32) -> bool {
         self.classes.iter().any(|c| c.kind == Some(kind))
     }
 
@@ -274,11 +274,11 @@
             return Err(SettingsError::NoAttempts);
         }
         for class in &self.classes {
-            check(class.aim > 0, "aim")?;
-            check(class.give_up > 0, "give_up")?;
-            check(at_least_zero(class.stretch), "stretch")?;
-            check(at_least_zero(class.worth), "worth")?;
-            check(share(class.late_worth), "late_worth")?;
+            check(class.latency_target > 0, "aim")?;
+            check(class.client_timeout > 0, "give_up")?;
+            check(at_least_zero(class.target_stretch), "stretch")?;
+            check(at_least_zero(class.job_value), "worth")?;
+            check(share(class.late_value_share), "late_worth")?;
         }
         for tenant in &self.tenants {
             check(at_least_zero(tenant.quota_per_s), "quota_per_s")?;
@@ -289,16 +289,16 @@
         check(at_least_zero(self.goal.worst_class), "worst_class")?;
         check(at_least_zero(self.goal.worst_tenant), "worst_tenant")?;
         check(at_least_zero(self.limits.probe_price), "probe_price")?;
-        check(at_least_zero(self.limits.tell_price), "tell_price")?;
+        check(at_least_zero(self.limits.peer_price), "tell_price")?;
         check(
             at_least_zero(self.limits.cross_zone_price),
             "cross_zone_price",
         )?;
         check(at_least_zero(self.limits.connect_price), "connect_price")?;
         check(at_least_zero(self.waste_price), "waste_price")?;
-        check(share(self.over_share_worth), "over_share_worth")?;
+        check(share(self.over_share_value), "over_share_worth")?;
         check(share(self.rules.start_capacity), "start_capacity")?;
-        check(at_least_zero(self.rules.tip_multiple), "tip_multiple")?;
+        check(at_least_zero(self.rules.overload_multiple), "tip_multiple")?;
         check(
             self.rules.close_on_drain.is_none_or(|t| t > 0),
             "close_on_drain",
@@ -324,7 +324,7 @@
 
 impl LoadReport {
     /// The value, bounded, if it can be meant: a number, not negative.
-    pub fn sound(value: Option<f64>) -> Option<f64> {
+    pub fn plausible(value: Option<f64>) -> Option<f64> {
         value
             .filter(|v| v.is_finite() && *v >= 0.0)
             .map(|v| v.min(1.0e6))
@@ -333,27 +333,27 @@
 
 /// Whether a listed worker takes new work.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
-pub enum Status {
+pub enum WorkerStatus {
     /// It does.
     Ready,
     /// It finishes what it has; send nothing new.
     Draining,
     /// The same, since operators have left it out: until they call it back.
-    Out,
+    Disabled,
     /// It is gone.
     #[default]
-    Gone,
+    Removed,
 }
 
 /// One worker of the list.
 #[derive(Debug, Default, Clone, PartialEq)]
-pub struct Listing {
+pub struct WorkerEntry {
     /// The worker.
     pub worker: WorkerId,
     /// A number for it that is the same at every dispatcher.
-    pub mark: u32,
+    pub name_hash: u32,
     /// Whether it takes work.
-    pub status: Status,
+    pub status: WorkerStatus,
     /// Its machine kind.
     pub kind: u32,
     /// Its zone.
@@ -367,24 +367,24 @@
     pub weight: Option<f64>,
 }
 
-impl Listing {
+impl WorkerEntry {
     /// The group that it belongs to among those that share a memory of keys.
-    pub fn group(&self, scope: Scope) -> u32 {
+    pub fn deduplication_group(&self, scope: DeduplicationScope) -> u32 {
         match scope {
-            Scope::All => 0,
-            Scope::Zone => self.zone,
-            Scope::Cell => self.cell,
+            DeduplicationScope::All => 0,
+            DeduplicationScope::Zone => self.zone,
+            DeduplicationScope::Cell => self.cell,
         }
     }
 }
 
 /// How a list relates to the one before.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ListKind {
+pub enum ListUpdateKind {
     /// It replaces the one before.
-    Whole,
+    Full,
     /// Only what changed.
-    Changes,
+    Incremental,
     /// What an earlier run of this dispatcher last had; it may be old.
     Inherited,
 }
@@ -416,7 +416,7 @@
     /// The worker answered with an error; it may have run.
     Error,
     /// The worker turned it away or handed it back unstarted.
-    Full,
+    Rejected,
     /// No answer in time; it may have run.
     TimedOut,
     /// No connection; it never ran.
@@ -433,10 +433,10 @@
 
 impl Outcome {
     /// The outcome proves that the job did not run; a refusal only where it is conclusive.
-    pub fn proves_unrun(self) -> bool {
+    pub fn proves_not_run(self) -> bool {
         matches!(
             self,
-            Outcome::Full | Outcome::ConnectFailed | Outcome::NotSent
+            Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent
         )
     }
 }
@@ -445,20 +445,20 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
     /// News of the list of workers.
-    Listed {
+    WorkersUpdated {
         /// How it relates to the list before.
-        kind: ListKind,
+        kind: ListUpdateKind,
         /// Its entries.
-        entries: Vec<Listing>,
+        entries: Vec<WorkerEntry>,
     },
     /// The subscription to the list failed or broke.
-    ListFailed(CallLost),
+    WatchFailed(DiscoveryFailure),
     /// A job was taken.
-    Job(JobSpec),
+    JobAccepted(JobSpec),
     /// Nobody waits for the job any more.
-    ClientGone(JobId),
+    ClientDisconnected(JobId),
     /// A job has started on a worker.
-    Started {
+    JobStarted {
         /// The job.
         job: JobId,
         /// The attempt, counted from 0.
@@ -467,7 +467,7 @@
         worker: WorkerId,
     },
     /// A running job has come this far.
-    Progress {
+    JobProgress {
         /// The job.
         job: JobId,
         /// The attempt.
@@ -478,7 +478,7 @@
         done: f64,
     },
     /// The answer has begun to flow: the job is bound to this attempt and its deadline is lifted.
-    StreamBegun {
+    StreamStarted {
         /// The job.
         job: JobId,
         /// The attempt.
@@ -487,7 +487,7 @@
         worker: WorkerId,
     },
     /// An attempt is over.
-    Ended {
+    AttemptEnded {
         /// The job.
         job: JobId,
         /// The attempt.
@@ -502,7 +502,7 @@
         report: Option<LoadReport>,
     },
     /// A probe came back.
-    Probed {
+    ProbeEnded {
         /// The worker.
         worker: WorkerId,
         /// Whether it was answered.
@@ -511,16 +511,16 @@
         report: Option<LoadReport>,
     },
     /// Another dispatcher tells of slots that its jobs hold.
-    Told {
+    PeerLoad {
         /// Which dispatcher.
         from: u32,
         /// Slots held or waited for, by worker; what is not named has not changed.
         held: Vec<(WorkerId, u32)>,
     },
     /// A job can't be waited for any longer: the program ends.
-    CutShort(JobId),
+    AbortJob(JobId),
     /// A level of reduced service is in force from now on; none: full service.
-    Terms(Option<Arc<Terms>>),
+    AdmissionChanged(Option<Arc<AdmissionPolicy>>),
     /// A time asked for with [`Action::WakeAt`] has come.
     Wake,
 }
@@ -529,9 +529,9 @@
     /// The worker that it brings news of.
     pub fn worker(&self) -> Option<WorkerId> {
         match self {
-            Event::Started { worker, .. }
-            | Event::Ended { worker, .. }
-            | Event::Probed { worker, .. } => Some(*worker),
+            Event::JobStarted { worker, .. }
+            | Event::AttemptEnded { worker, .. }
+            | Event::ProbeEnded { worker, .. } => Some(*worker),
             _ => None,
         }
     }
@@ -539,78 +539,78 @@
 
 /// What a level of reduced service does with the jobs of one class. What is turned away is refused at once.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct ClassTerms {
+pub struct ClassAdmission {
     /// Share of its new jobs that is taken, 0 to 1.
-    pub admit: f64,
+    pub admitted_share: f64,
     /// Most slots that a job may take.
-    pub largest: f64,
+    pub max_slots: f64,
     /// Attempts for one job, the first included; those that the site allows bound it besides.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// A job that has not been sent for so long is turned away, if it has not been sent before.
-    pub hold: Option<Micros>,
+    pub max_hold: Option<Micros>,
     /// Slots that a job leaves free beside its own at a worker of a kind that another class is bound to.
-    pub headroom: f64,
+    pub reserved_slots: f64,
 }
 
-impl Default for ClassTerms {
+impl Default for ClassAdmission {
     /// Full service.
     fn default() -> Self {
-        ClassTerms {
-            admit: 1.0,
-            largest: f64::INFINITY,
-            attempts: u32::MAX,
-            hold: None,
-            headroom: 0.0,
+        ClassAdmission {
+            admitted_share: 1.0,
+            max_slots: f64::INFINITY,
+            max_attempts: u32::MAX,
+            max_hold: None,
+            reserved_slots: 0.0,
         }
     }
 }
 
 /// What a level of reduced service does.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Terms {
+pub struct AdmissionPolicy {
     /// By class; a class that is not named has full service.
-    pub classes: Vec<ClassTerms>,
+    pub classes: Vec<ClassAdmission>,
     /// Jobs that may be open together.
-    pub open: usize,
+    pub max_open_jobs: usize,
     /// New jobs are turned away only while what is held would take at least this long: with less, a level that is
     /// still in force costs nothing.
-    pub above: Micros,
+    pub min_backlog: Micros,
     /// Advice to those turned away, before it is spread; bounded by the longest that clients keep to.
     pub retry_after: Micros,
 }
 
-impl Terms {
+impl AdmissionPolicy {
     /// What holds for a class.
-    pub fn class(&self, class: usize) -> ClassTerms {
+    pub fn class(&self, class: usize) -> ClassAdmission {
         self.classes.get(class).copied().unwrap_or_default()
     }
 }
 
 /// What the decisions believe of one kind of worker.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct KindFigures {
+pub struct KindMetrics {
     /// The kind.
     pub kind: u32,
     /// Slots of a warm worker of this kind.
     pub slots: f64,
     /// Ready workers that answer; one that is still cold counts by the share of its capacity.
-    pub answering: f64,
+    pub responsive: f64,
     /// Ready workers that have gone silent with work or a probe out, or can't be connected to.
-    pub silent: f64,
+    pub unresponsive: f64,
 }
 
 /// What came of the jobs of one class, counted since the start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct ClassFigures {
+pub struct ClassMetrics {
     /// Jobs that are over, without those that a level turned away when they came.
     pub over: u64,
     /// ... and of these, served in time.
     pub in_time: u64,
     /// Jobs that a level turned away.
-    pub turned_away: u64,
+    pub rejected_by_level: u64,
 }
 
-impl ClassFigures {
+impl ClassMetrics {
     /// One more job is over.
     pub fn count(&mut self, in_time: bool) {
         // One that is not to count was taken off before.
@@ -621,11 +621,11 @@
 
 /// What the decisions can tell of the service, for those who watch over it.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Figures {
+pub struct PolicyMetrics {
     /// By kind of worker.
-    pub kinds: Vec<KindFigures>,
+    pub kinds: Vec<KindMetrics>,
     /// By class.
-    pub classes: Vec<ClassFigures>,
+    pub classes: Vec<ClassMetrics>,
     /// Work that is held, in slots times microseconds at the mean run of its class.
     pub held: f64,
     /// Slots that own jobs hold at workers.
@@ -637,7 +637,7 @@
     /// ... and of these, turned away by their workers.
     pub refused: u64,
     /// Workers that are ready by their list and get nothing for now.
-    pub avoided: usize,
+    pub ejected: usize,
 }
 
 /// What a dispatcher does.
@@ -651,26 +651,26 @@
         worker: WorkerId,
     },
     /// Tell every other dispatcher of slots that this one's jobs hold.
-    Tell {
+    PublishLoad {
         /// Slots held or waited for, by worker.
         held: Vec<(WorkerId, u32)>,
     },
     /// Call an attempt off.
-    Cancel {
+    CancelAttempt {
         /// The job.
         job: JobId,
         /// The attempt.
         attempt: u32,
     },
     /// End the job unserved; trying again is harmless.
-    Refuse {
+    RejectJob {
         /// The job.
         job: JobId,
         /// Advice when to come again.
         retry_after: Option<Micros>,
     },
     /// End the job with an error; it may have run.
-    Fail {
+    FailJob {
         /// The job.
         job: JobId,
     },
@@ -680,12 +680,12 @@
         worker: WorkerId,
     },
     /// Close the connections to a worker that carry nothing.
-    CloseIdle {
+    CloseIdleConnections {
         /// The worker.
         worker: WorkerId,
     },
     /// Subscribe to changes of the list.
-    Watch,
+    WatchWorkers,
     /// Deliver [`Event::Wake`] at this time.
     WakeAt(Micros),
 }
--- a/crates/dispatcher/dispatch-policy/src/figures.rs
+++ b/crates/dispatcher/dispatch-policy/src/figures.rs
@@ -2,7 +2,9 @@
 
 use super::{Dispatcher, Lane, Worker, AGEING, RUN_CAP, SAMPLE};
 use discovery_pacing::{Kind, Loads};
-use dispatch_api::{Figures, JobId, KindFigures, ListKind, Listing, Micros, Outcome, WorkerId};
+use dispatch_api::{
+    JobId, KindMetrics, ListUpdateKind, Micros, Outcome, PolicyMetrics, WorkerEntry, WorkerId,
+};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Progress notes missed in a row, or capped runs where there are none, after which a worker is silent.
@@ -38,7 +40,7 @@
     /// worker that was silent with it stays so, and one that had not been asked for long owes nothing more.
     pub(super) fn heed(&mut self, outcome: Outcome, now: Micros, patience: Micros) {
         match outcome {
-            Outcome::Done | Outcome::Error | Outcome::Full => return self.heard(now),
+            Outcome::Done | Outcome::Error | Outcome::Rejected => return self.heard(now),
             Outcome::ConnectFailed => self.quiet.unreached += 1,
             _ => {}
         }
@@ -50,7 +52,7 @@
     /// A probe is over.
     pub(super) fn heed_probe(&mut self, outcome: Outcome, now: Micros) {
         match outcome {
-            Outcome::Done | Outcome::Error | Outcome::Full => self.heard(now),
+            Outcome::Done | Outcome::Error | Outcome::Rejected => self.heard(now),
             Outcome::ConnectFailed | Outcome::TimedOut => self.quiet.unreached += 1,
             _ => {}
         }
@@ -104,14 +106,14 @@
     }
 
     /// Takes in what a list's live weights say of the workers' loads.
-    pub(super) fn heed_weights(&mut self, list: ListKind, entries: &[Listing]) {
+    pub(super) fn heed_weights(&mut self, list: ListUpdateKind, entries: &[WorkerEntry]) {
         if !self.told_loads() {
             self.fleet.loads = Loads::default();
             return;
         }
         for (entry, weight) in entries.iter().filter_map(|e| Some((e, e.weight?))) {
             let held = self.kinds.entry(entry.kind).or_default().listed(weight);
-            let told = held.filter(|_| list != ListKind::Inherited);
+            let told = held.filter(|_| list != ListUpdateKind::Inherited);
             if let (Some(w), Some(held)) = (self.workers.get_mut(&entry.worker), told) {
                 (w.others, w.reported) = ((held - w.own()).max(0.0), Some(self.now));
             }
@@ -120,7 +122,7 @@
             let w = self.workers.get(id)?;
             let (reach, bound) = (
                 self.fleet.reach.of(w.listing.zone),
-                self.settings.bound(w.listing.kind),
+                self.settings.has_dedicated_class(w.listing.kind),
             );
             let stands = self.kind(w).slots() * self.warmth(w);
             Some((*id, bound, (w.others + w.own()) * reach, stands * reach))
@@ -140,7 +142,9 @@
             at: self.now,
         };
         // Those that a class is bound to are kept freer than the rest: each is held against its like.
-        for (id, is_bound, held, stands) in all.into_iter().filter(|_| list != ListKind::Inherited)
+        for (id, is_bound, held, stands) in all
+            .into_iter()
+            .filter(|_| list != ListUpdateKind::Inherited)
         {
             let alike = if is_bound { bound } else { loose };
             self.workers
@@ -157,7 +161,7 @@
             return 1.0;
         };
         let (rules, age) = (&self.settings.rules, self.now.saturating_sub(started));
-        let warm = (age as f64 / rules.cold_for.max(1) as f64).min(1.0);
+        let warm = (age as f64 / rules.warm_up.max(1) as f64).min(1.0);
         (rules.start_capacity + (1.0 - rules.start_capacity) * warm).clamp(warm, 1.0)
     }
 
@@ -189,7 +193,7 @@
     }
 
     /// Ready workers that get nothing for now: their back-off runs, or they owe an answer for too long.
-    fn avoided(&self) -> usize {
+    fn ejected(&self) -> usize {
         let ready = self
             .fleet
             .ready
@@ -201,9 +205,9 @@
     }
 
     /// What is believed and counted, for those who watch over the service.
-    pub fn figures(&self) -> Figures {
+    pub fn figures(&self) -> PolicyMetrics {
         let patience = self.patience();
-        let mut kinds: BTreeMap<u32, KindFigures> = BTreeMap::new();
+        let mut kinds: BTreeMap<u32, KindMetrics> = BTreeMap::new();
         for w in self
             .fleet
             .ready
@@ -211,21 +215,21 @@
             .filter_map(|id| self.workers.get(id))
         {
             let (kind, slots) = (w.listing.kind, self.kind(w).slots());
-            let at = kinds.entry(kind).or_insert(KindFigures {
+            let at = kinds.entry(kind).or_insert(KindMetrics {
                 kind,
                 slots,
-                answering: 0.0,
-                silent: 0.0,
+                responsive: 0.0,
+                unresponsive: 0.0,
             });
             match w.silent(self.now, patience) {
-                true => at.silent += 1.0,
-                false => at.answering += self.warmth(w),
+                true => at.unresponsive += 1.0,
+                false => at.responsive += self.warmth(w),
             }
         }
         let held = self.work(self.held.iter());
         let ((sent, refused), own) = (self.fleet.sent, self.fleet.own);
         let classes = self.classes.iter().map(|t| t.counts).collect();
-        Figures {
+        PolicyMetrics {
             kinds: kinds.into_values().collect(),
             classes,
             held,
@@ -233,7 +237,7 @@
             open: self.jobs.len(),
             sent,
             refused,
-            avoided: self.avoided(),
+            ejected: self.ejected(),
         }
     }
 }
--- a/crates/dispatcher/dispatch-policy/src/holding.rs
+++ b/crates/dispatcher/dispatch-policy/src/holding.rs
@@ -1,18 +1,18 @@
 //! Jobs that are held for a place: taken, late, given up, answered.
 
 use super::{
-    kin, span, Action, Dispatcher, Idempotency, Job, JobId, JobSpec, Lane, Outstanding, Reverse,
-    Scope, Timer, Worker, WorkerId, LAST, MOST_SCOUTS, PRICE_DOWN, PRICE_FLOOR, PRICE_UP,
-    PROBE_SPEND, PROBE_SPEND_HOMES, RUN_SPREAD, TALLY,
+    rendezvous_weight, span, Action, DeduplicationScope, Dispatcher, Idempotency, Job, JobId,
+    JobSpec, Lane, Outstanding, Reverse, Timer, Worker, WorkerId, LAST, MOST_SCOUTS, PRICE_DOWN,
+    PRICE_FLOOR, PRICE_UP, PROBE_SPEND, PROBE_SPEND_HOMES, RUN_SPREAD, TALLY,
 };
 
 impl Dispatcher {
     pub(crate) fn on_job(&mut self, spec: JobSpec, out: &mut Vec<Action>) {
         if spec.class >= self.settings.classes.len() || self.jobs.contains_key(&spec.id) {
-            return out.push(Action::Fail { job: spec.id });
+            return out.push(Action::FailJob { job: spec.id });
         }
         if self.left_out(spec.class) || self.turns_away(&spec) {
-            return out.push(Action::Refuse {
+            return out.push(Action::RejectJob {
                 job: spec.id,
                 retry_after: self.retry_after(),
             });
@@ -33,9 +33,9 @@
             .max(1.0);
         let limits = &self.settings.classes[class];
         // Work is not known for sure; where a late answer still earns something, the job is given up earlier.
-        let sure = work * (1.0 - limits.late_worth);
-        let slack = span((limits.stretch - RUN_SPREAD).max(0.0) * sure);
-        let start_by = (self.now + limits.aim + slack).min(expires);
+        let sure = work * (1.0 - limits.late_value_share);
+        let slack = span((limits.target_stretch - RUN_SPREAD).max(0.0) * sure);
+        let start_by = (self.now + limits.latency_target + slack).min(expires);
         let answer_by = expires.saturating_sub(self.settings.tick.max(1_000));
         let (came, (attempts, held, homes, over)) = (self.now, Default::default());
         self.jobs.insert(
@@ -87,12 +87,14 @@
         let warm = |w: &Worker| {
             !self.told_loads() || self.cold_ok(job, w) && self.fleet.reach.trusted(w.listing.zone)
         };
-        let yields = (kin(key, 0) as f64 / u64::MAX as f64) < self.yields(job.spec.class);
+        let yields =
+            (rendezvous_weight(key, 0) as f64 / u64::MAX as f64) < self.yields(job.spec.class);
         let fits = |w: &Worker| {
             kind.is_none_or(|k| k == w.listing.kind)
-                && w.draw.takes(kin(job.spec.id.0, w.listing.mark))
+                && w.draw
+                    .takes(rendezvous_weight(job.spec.id.0, w.listing.name_hash))
                 && warm(w)
-                && !(yields && self.settings.bound(w.listing.kind))
+                && !(yields && self.settings.has_dedicated_class(w.listing.kind))
         };
         let ready = self
             .fleet
@@ -101,7 +103,7 @@
             .filter_map(|id| self.workers.get_key_value(id));
         let ready = ready.filter(|(_, w)| fits(w) && w.open(self.now, self.clock.grace));
         let mut homes: Vec<_> = ready
-            .map(|(id, w)| (Reverse(kin(key, w.listing.mark)), id))
+            .map(|(id, w)| (Reverse(rendezvous_weight(key, w.listing.name_hash)), id))
             .collect();
         homes.sort_unstable();
         homes
@@ -152,20 +154,20 @@
         let idempotency = self.settings.classes[job.spec.class].idempotency;
         let repeats = matches!(
             idempotency,
-            Idempotency::Safe
+            Idempotency::Idempotent
                 | Idempotency::Keyed {
-                    scope: Scope::All,
+                    scope: DeduplicationScope::All,
                     ..
                 }
         );
         let harmless = repeats || job.exposed(&self.settings.rules).is_none();
         out.push(if harmless {
-            Action::Refuse {
+            Action::RejectJob {
                 job: id,
                 retry_after,
             }
         } else {
-            Action::Fail { job: id }
+            Action::FailJob { job: id }
         });
         self.close(id, false, out);
     }
@@ -186,7 +188,7 @@
         let out_still = (0..)
             .zip(&job.attempts)
             .filter(|(_, a)| a.outcome.is_none());
-        let calls = out_still.map(|(attempt, _)| Action::Cancel { job: id, attempt });
+        let calls = out_still.map(|(attempt, _)| Action::CancelAttempt { job: id, attempt });
         out.extend(calls.filter(|_| self.settings.limits.cancel));
         if !job.in_flight() {
             self.jobs.remove(&id);
@@ -263,7 +265,7 @@
             .fleet
             .terms
             .as_ref()
-            .map_or(u32::MAX, |t| t.class(job.spec.class).attempts);
+            .map_or(u32::MAX, |t| t.class(job.spec.class).max_attempts);
         job.attempts.len() >= self.settings.limits.attempts.min(most) as usize
     }
 }
--- a/crates/dispatcher/dispatch-policy/src/kept.rs
+++ b/crates/dispatcher/dispatch-policy/src/kept.rs
@@ -1,9 +1,10 @@
 //! What a dispatcher keeps: jobs, workers, counts and times. Nothing is decided here.
 
 use super::{
-    figures, Arc, BTreeMap, BinaryHeap, ClassFigures, Draw, JobId, JobSpec, Listing, Loads, Micros,
-    Outcome, Pace, Pcg64Mcg, Reach, Reverse, RngCore, Sleeper, Status, Terms, VecDeque, WorkerId,
-    DOWN, INITIAL, MAX, MAX_RANDOMIZATION, RANDOMIZATION, SUCCESSES_DOWN, UP,
+    figures, AdmissionPolicy, Arc, BTreeMap, BinaryHeap, ClassMetrics, Draw, JobId, JobSpec, Loads,
+    Micros, Outcome, Pace, Pcg64Mcg, Reach, Reverse, RngCore, Sleeper, VecDeque, WorkerEntry,
+    WorkerId, WorkerStatus, DOWN, INITIAL, MAX, MAX_RANDOMIZATION, RANDOMIZATION, SUCCESSES_DOWN,
+    UP,
 };
 
 pub(crate) fn span(units: f64) -> Micros {
@@ -59,7 +60,7 @@
 
 #[derive(Debug, Default)]
 pub(crate) struct Worker {
-    pub(crate) listing: Listing,
+    pub(crate) listing: WorkerEntry,
     pub(crate) backoff: Sleeper,
     pub(crate) outstanding: Vec<Outstanding>,
     pub(crate) others: f64, // slots that others seem to hold
@@ -79,7 +80,7 @@
 
 impl Worker {
     pub(crate) fn ready(&self) -> bool {
-        self.listing.status == Status::Ready
+        self.listing.status == WorkerStatus::Ready
     }
 
     pub(crate) fn own(&self) -> f64 {
@@ -129,7 +130,7 @@
     pub(crate) asked: f64,
     pub(crate) in_time: f64,
     pub(crate) credit: f64, // of the share that the level in force admits
-    pub(crate) counts: ClassFigures,
+    pub(crate) counts: ClassMetrics,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -165,10 +166,10 @@
     pub(crate) reach: Reach,
     pub(crate) tell_credit: f64,
     pub(crate) probe_credit: f64,
-    pub(crate) best: f64,                 // gain of the best lane
-    pub(crate) price: f64,                // share of it that a job must bring for its slot time
-    pub(crate) terms: Option<Arc<Terms>>, // of the level of reduced service in force
-    pub(crate) processes: u32,            // of this dispatcher that live; 0 where nobody has said
+    pub(crate) best: f64,                           // gain of the best lane
+    pub(crate) price: f64, // share of it that a job must bring for its slot time
+    pub(crate) terms: Option<Arc<AdmissionPolicy>>, // of the level of reduced service in force
+    pub(crate) processes: u32, // of this dispatcher that live; 0 where nobody has said
 }
 
 #[derive(Debug, Default)]
--- a/crates/dispatcher/dispatch-policy/src/lib.rs
+++ b/crates/dispatcher/dispatch-policy/src/lib.rs
@@ -24,11 +24,11 @@
     SUCCESSES_DOWN, TALLY, TELL_SPEND, TOLD_FOR, UP, WASTE_PATIENCE,
 };
 use discovery_pacing::{Draw, Kind, Loads, Pace, Reach};
-use dispatch_api::told::kin;
+use dispatch_api::load_exchange::rendezvous_weight;
 use dispatch_api::{
-    Action, CallLost, Class, ClassFigures, Event, Idempotency, JobId, JobSpec, ListKind, Listing,
-    LoadReport, Micros, Outcome, Reports, RetryBudget, Rules, Scope, Settings, SettingsError,
-    Status, Terms, WorkerId,
+    Action, AdmissionPolicy, ClassMetrics, DeduplicationScope, DiscoveryFailure, Event,
+    Idempotency, JobClass, JobId, JobSpec, ListUpdateKind, LoadReport, LoadReporting, Micros,
+    Outcome, RetryBudget, Rules, Settings, SettingsError, WorkerEntry, WorkerId, WorkerStatus,
 };
 use kept::{
     paced, span, unit, Attempt, Candidate, Clock, Fleet, Job, Lane, Leg, Outstanding, Tally, Timer,
@@ -65,14 +65,21 @@
     /// What makes the settings unusable.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
-        let tally = |c: &Class| Tally {
-            run: c.aim as f64,
+        let tally = |c: &JobClass| Tally {
+            run: c.latency_target as f64,
             runs: 1.0,
             ..Tally::default()
         };
         let classes = settings.classes.iter().map(tally).collect();
-        let grace =
-            span(settings.classes.iter().map(|c| c.aim).min().unwrap_or(0) as f64 * START_GRACE);
+        let grace = span(
+            settings
+                .classes
+                .iter()
+                .map(|c| c.latency_target)
+                .min()
+                .unwrap_or(0) as f64
+                * START_GRACE,
+        );
         let rng = Pcg64Mcg::seed_from_u64(seed);
         let budget = Budget {
             rule: settings.rules.retry_budget,
@@ -104,20 +111,20 @@
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         self.now = self.now.max(now);
         if self.clock.ask.as_ref().is_some_and(Pace::unasked) {
-            self.ask(CallLost::Failed);
+            self.ask(DiscoveryFailure::Failed);
         }
         let news = event.worker();
         match event {
-            Event::Listed { kind, entries } => self.on_listed(kind, &entries, out),
-            Event::ListFailed(lost) => self.ask(lost),
-            Event::Job(spec) => self.on_job(spec, out),
-            Event::ClientGone(job) => self.close(job, false, out),
-            Event::Started {
+            Event::WorkersUpdated { kind, entries } => self.on_listed(kind, &entries, out),
+            Event::WatchFailed(lost) => self.ask(lost),
+            Event::JobAccepted(spec) => self.on_job(spec, out),
+            Event::ClientDisconnected(job) => self.close(job, false, out),
+            Event::JobStarted {
                 job,
                 attempt,
                 worker,
             }
-            | Event::Progress {
+            | Event::JobProgress {
                 job,
                 attempt,
                 worker,
@@ -126,12 +133,12 @@
                 self.on_started(job, attempt, worker);
             }
             // Bound to its attempt: no deadline, no further attempt, and nothing owed but the stream's end.
-            Event::StreamBegun { job, .. } => self
+            Event::StreamStarted { job, .. } => self
                 .jobs
                 .get_mut(&job)
                 .into_iter()
                 .for_each(|j| j.over = true),
-            Event::Ended {
+            Event::AttemptEnded {
                 job,
                 attempt,
                 worker,
@@ -142,14 +149,14 @@
                 self.on_report(worker, report);
                 self.on_ended((job, attempt, worker), outcome, finished, out);
             }
-            Event::Probed {
+            Event::ProbeEnded {
                 worker,
                 outcome,
                 report,
             } => self.on_probed(worker, outcome, report),
-            Event::Told { from, held } => self.on_told(from, &held),
-            Event::CutShort(job) => self.finish(job, out),
-            Event::Terms(terms) => self.on_terms(terms, out),
+            Event::PeerLoad { from, held } => self.on_told(from, &held),
+            Event::AbortJob(job) => self.finish(job, out),
+            Event::AdmissionChanged(terms) => self.on_terms(terms, out),
             Event::Wake => {}
         }
         news.into_iter().for_each(|w| self.hang_up(w, out));
@@ -171,7 +178,7 @@
                 Timer::Overdue(id, attempt, worker) => self.on_overdue((id, attempt, worker), out),
                 Timer::Rewatch => {
                     self.clock.asked = now;
-                    out.push(Action::Watch);
+                    out.push(Action::WatchWorkers);
                 }
             }
         }
--- a/crates/dispatcher/dispatch-policy/src/listing.rs
+++ b/crates/dispatcher/dispatch-policy/src/listing.rs
@@ -1,19 +1,24 @@
 //! What discovery tells of workers, and when it is asked.
 
 use super::{
-    unit, Action, BTreeSet, CallLost, Dispatcher, ListKind, Listing, Pace, Reverse, Status, Timer,
-    WorkerId,
+    unit, Action, BTreeSet, DiscoveryFailure, Dispatcher, ListUpdateKind, Pace, Reverse, Timer,
+    WorkerEntry, WorkerId, WorkerStatus,
 };
 
 impl Dispatcher {
-    pub(crate) fn on_listed(&mut self, kind: ListKind, entries: &[Listing], out: &mut Vec<Action>) {
+    pub(crate) fn on_listed(
+        &mut self,
+        kind: ListUpdateKind,
+        entries: &[WorkerEntry],
+        out: &mut Vec<Action>,
+    ) {
         self.clock.rescan_at = 0;
         self.clock.ask.iter_mut().for_each(Pace::heard);
         self.clock.asked = self.now;
         let listed: BTreeSet<WorkerId> = entries.iter().map(|e| e.worker).collect();
-        let kept = |id: &WorkerId| kind == ListKind::Changes || listed.contains(id);
+        let kept = |id: &WorkerId| kind == ListUpdateKind::Incremental || listed.contains(id);
         let left = self.workers.iter_mut().filter(|(id, _)| !kept(id));
-        left.for_each(|(_, w)| w.listing.status = Status::Gone);
+        left.for_each(|(_, w)| w.listing.status = WorkerStatus::Removed);
         for entry in entries {
             let worker = self.workers.entry(entry.worker).or_default();
             let started = entry
@@ -26,7 +31,7 @@
                 worker.cold = (self.now, unit(&mut self.rng), None);
                 self.fleet.reach.reached(entry.zone);
             }
-            worker.listing = Listing {
+            worker.listing = WorkerEntry {
                 started,
                 ..entry.clone()
             };
@@ -65,11 +70,11 @@
         let listed = self
             .workers
             .values()
-            .filter(|w| w.listing.status != Status::Gone);
+            .filter(|w| w.listing.status != WorkerStatus::Removed);
         let mut runs = listed
             .filter(|w| kind.is_none_or(|k| k == w.listing.kind))
             .peekable();
-        runs.peek().is_some() && runs.all(|w| w.listing.status == Status::Out)
+        runs.peek().is_some() && runs.all(|w| w.listing.status == WorkerStatus::Disabled)
     }
 
     /// Connections to a worker that drains or is gone are given back, on the notice and after each outcome.
@@ -79,12 +84,12 @@
         };
         if w.used.is_some() && self.settings.rules.close_on_drain.is_some() {
             w.used = w.used.filter(|_| !w.outstanding.is_empty());
-            out.push(Action::CloseIdle { worker });
+            out.push(Action::CloseIdleConnections { worker });
         }
     }
 
     /// Asks discovery after a pause: none is in another's way there.
-    pub(crate) fn ask(&mut self, lost: CallLost) {
+    pub(crate) fn ask(&mut self, lost: DiscoveryFailure) {
         let took = self.now - self.clock.asked;
         let Some(ask) = self.clock.ask.as_mut() else {
             return;
--- a/crates/dispatcher/dispatch-policy/src/memory.rs
+++ b/crates/dispatcher/dispatch-policy/src/memory.rs
@@ -2,7 +2,7 @@
 
 use super::Dispatcher;
 use discovery_pacing::Kind;
-use dispatch_api::{ClassKnown, Known, Micros, WorkerKnown};
+use dispatch_api::{ClassSnapshot, Micros, PolicySnapshot, WorkerSnapshot};
 
 /// What is known of single workers is believed for so long; kinds and classes change slowly.
 const WORKERS_AGE: Micros = 10_000_000;
@@ -15,9 +15,9 @@
 
 impl Dispatcher {
     /// What a successor can use.
-    pub fn known(&self) -> Known {
-        let worker = |w: &super::Worker| WorkerKnown {
-            mark: w.listing.mark,
+    pub fn known(&self) -> PolicySnapshot {
+        let worker = |w: &super::Worker| WorkerSnapshot {
+            name_hash: w.listing.name_hash,
             started: w.listing.started,
             interval: (w.backoff.interval, w.backoff.open_at),
             runs: (w.expected, w.actual),
@@ -28,12 +28,12 @@
             ),
             cold: (w.cold.0, w.cold.2),
         };
-        let class = |t: &super::Tally| ClassKnown {
+        let class = |t: &super::Tally| ClassSnapshot {
             run: (t.run, t.runs),
             arrivals: t.arrivals,
             ended: (t.asked, t.in_time),
         };
-        Known {
+        PolicySnapshot {
             at: self.now,
             kinds: self
                 .kinds
@@ -53,7 +53,7 @@
     }
 
     /// Takes over what a predecessor knew of what is listed by now. What makes no sense is passed over.
-    pub fn recall(&mut self, now: Micros, known: &Known) {
+    pub fn recall(&mut self, now: Micros, known: &PolicySnapshot) {
         for (kind, figures) in &known.kinds {
             if let Some(recalled) = Kind::recalled(*figures) {
                 self.kinds.insert(*kind, recalled);
@@ -83,7 +83,7 @@
         }
         for told in &known.workers {
             let same = |w: &&mut super::Worker| {
-                w.listing.mark == told.mark && w.listing.started == told.started
+                w.listing.name_hash == told.name_hash && w.listing.started == told.started
             };
             let Some(w) = self.workers.values_mut().find(same) else {
                 continue;
--- a/crates/dispatcher/dispatch-policy/src/outcomes.rs
+++ b/crates/dispatcher/dispatch-policy/src/outcomes.rs
@@ -87,13 +87,16 @@
         let errors = w.errors.min(ERRORS) + u32::from(outcome == Outcome::Error);
         w.errors = if outcome == Outcome::Done { 0 } else { errors };
         w.heed(outcome, self.now, patience);
-        self.fleet.sent.1 += u64::from(matches!(outcome, Outcome::Full | Outcome::ConnectFailed));
+        self.fleet.sent.1 += u64::from(matches!(
+            outcome,
+            Outcome::Rejected | Outcome::ConnectFailed
+        ));
         // Called off before its connection was up: it can't be reached.
         let waited = outcome == Outcome::NotSent && told && self.now > o.due;
         let unreached = outcome == Outcome::ConnectFailed || waited;
         self.fleet.reach.failed(w.listing.zone, unreached && told);
         match outcome {
-            Outcome::Full => w.backoff.failure(self.now, &usual, &mut self.rng),
+            Outcome::Rejected => w.backoff.failure(self.now, &usual, &mut self.rng),
             _ if unreached => w.backoff.failure(self.now, &rare, &mut self.rng),
             // A worker that fails jobs at once always has room and would draw all traffic.
             Outcome::Error if w.errors >= ERRORS => {
@@ -135,15 +138,15 @@
         let idempotency = self.settings.classes[job.spec.class].idempotency;
         let mut elsewhere = self.candidates(&sample);
         elsewhere.retain(|c| c.id != worker && c.room >= job.spec.slots - ROOM_SLACK);
-        let safe = idempotency == Idempotency::Safe && !self.told_loads();
+        let safe = idempotency == Idempotency::Idempotent && !self.told_loads();
         let movable = safe || elsewhere.iter().any(|c| self.repeat_ok(job, Some(c.id)));
         if movable
             && !self.spent(job)
             && self.budget.fits(self.now, false)
             && self.settings.limits.cancel
         {
-            out.push(Action::Cancel { job: id, attempt });
-        } else if idempotency != Idempotency::Unsafe {
+            out.push(Action::CancelAttempt { job: id, attempt });
+        } else if idempotency != Idempotency::NonIdempotent {
             let again = Timer::Overdue(id, attempt, worker);
             self.clock
                 .timers
--- a/crates/dispatcher/dispatch-policy/src/placing.rs
+++ b/crates/dispatcher/dispatch-policy/src/placing.rs
@@ -42,7 +42,10 @@
                 None => slots - w.others * fresh - mean_others * (1.0 - fresh),
             } - w.own();
             let known = fresh + (1.0 - fresh) / f64::from(self.settings.dispatchers);
-            let (price, bound) = (self.price(w, idle), self.settings.bound(w.listing.kind));
+            let (price, bound) = (
+                self.price(w, idle),
+                self.settings.has_dedicated_class(w.listing.kind),
+            );
             (room >= 1.0 - ROOM_SLACK).then_some(Candidate {
                 id: *id,
                 room,
@@ -161,13 +164,13 @@
     pub(crate) fn gain(&self, lane: &Lane) -> f64 {
         let (goal, classes) = (&self.settings.goal, &self.settings.classes);
         let by_work = |t: &Tally| {
-            if self.settings.worth_by_work {
+            if self.settings.value_by_work {
                 t.run
             } else {
                 1.0
             }
         };
-        let worth = |c: usize| classes[c].worth * by_work(&self.classes[c]);
+        let worth = |c: usize| classes[c].job_value * by_work(&self.classes[c]);
         let all: f64 = (0..classes.len())
             .map(|c| worth(c) * (self.classes[c].arrivals + 1.0))
             .sum();
@@ -182,7 +185,7 @@
         let gain = (goal.overall + goal.worst_window) * worth(lane.class) / all.max(1.0e-9)
             + worst_class / (tally.arrivals + 1.0);
         let kept = if lane.late {
-            classes[lane.class].late_worth
+            classes[lane.class].late_value_share
         } else {
             1.0
         };
@@ -200,10 +203,10 @@
         let idle = self.idle_span();
         let (job, w) = (self.jobs.get_mut(&id)?, self.workers.get_mut(&worker)?);
         if w.outstanding.is_empty() && w.used.is_some_and(|t| self.now > t.saturating_add(idle)) {
-            out.push(Action::CloseIdle { worker });
+            out.push(Action::CloseIdleConnections { worker });
         }
         let attempt = job.attempts.len() as u32;
-        let aim = self.settings.classes[job.spec.class].aim as f64;
+        let latency_target = self.settings.classes[job.spec.class].latency_target as f64;
         let (slots, work, sent) = (job.spec.slots, job.work, self.now);
         self.budget
             .spent
@@ -239,7 +242,7 @@
         self.fleet.used.truncate(SAMPLE / 2);
         self.fleet.scouted = 0;
         let overdue = START_OVERDUE.max(WASTE_PATIENCE * self.settings.waste_price);
-        let at = due.max(self.now + span(aim * overdue));
+        let at = due.max(self.now + span(latency_target * overdue));
         let told = self.settings.start_notices || self.settings.progress_every.is_some();
         self.clock
             .timers
--- a/crates/dispatcher/dispatch-policy/src/probing.rs
+++ b/crates/dispatcher/dispatch-policy/src/probing.rs
@@ -1,7 +1,7 @@
 //! Probes, and what reports and the other dispatchers say of loads.
 
 use super::{
-    paced, span, unit, Action, Dispatcher, LoadReport, Outcome, Reports, VecDeque, Worker,
+    paced, span, unit, Action, Dispatcher, LoadReport, LoadReporting, Outcome, VecDeque, Worker,
     WorkerId, HOMES, HOMES_FEW, KNOWN, MOST_SCOUTS, SAMPLE, SCOUTS, TELL_SPEND, TOLD_FOR,
 };
 
@@ -12,8 +12,9 @@
         worker: WorkerId,
         report: Option<LoadReport>,
     ) -> Option<f64> {
-        let figure =
-            |of: fn(&LoadReport) -> Option<f64>| LoadReport::sound(report.as_ref().and_then(of));
+        let figure = |of: fn(&LoadReport) -> Option<f64>| {
+            LoadReport::plausible(report.as_ref().and_then(of))
+        };
         let (told, held) = (figure(|r| r.free_slots), figure(|r| r.outstanding));
         let fading = self.fading();
         let w = self
@@ -22,7 +23,7 @@
             .filter(|_| told.or(held).is_some())?;
         // On an outcome the report is from before; its queue is gone, and would keep an idle worker shut.
         let queued = figure(|r| r.queued).unwrap_or(0.0);
-        let waiting = if told.is_some() && self.settings.reports == Reports::Probes {
+        let waiting = if told.is_some() && self.settings.reports == LoadReporting::Probes {
             queued
         } else {
             0.0
@@ -196,7 +197,7 @@
             &self.settings.limits,
             f64::from(self.settings.dispatchers - 1),
         );
-        let entries = TELL_SPEND / (limits.tell_price * others).max(1.0e-9);
+        let entries = TELL_SPEND / (limits.peer_price * others).max(1.0e-9);
         self.fleet.tell_credit = (self.fleet.tell_credit + entries).min(limits.tell as f64);
         if others == 0.0 || self.fleet.tell_credit < others.min(limits.tell as f64).max(1.0) {
             return;
@@ -213,7 +214,7 @@
         };
         let held: Vec<_> = news.map(told).collect();
         self.fleet.tell_credit -= held.len() as f64;
-        out.push(Action::Tell { held });
+        out.push(Action::PublishLoad { held });
     }
 
     pub(crate) fn on_told(&mut self, from: u32, held: &[(WorkerId, u32)]) {
--- a/crates/dispatcher/dispatch-policy/src/repeating.rs
+++ b/crates/dispatcher/dispatch-policy/src/repeating.rs
@@ -16,8 +16,9 @@
 
     /// The first of so many attempts that may have run.
     fn exposed_by(&self, rules: &Rules, attempts: usize) -> Option<&Attempt> {
-        let unrun =
-            |o: Outcome| o.proves_unrun() && !(rules.refusal_inconclusive && o == Outcome::Full);
+        let unrun = |o: Outcome| {
+            o.proves_not_run() && !(rules.refusal_inconclusive && o == Outcome::Rejected)
+        };
         self.attempts
             .iter()
             .take(attempts)
@@ -101,10 +102,14 @@
     fn repeat_after(&self, job: &Job, attempts: usize, worker: Option<WorkerId>) -> bool {
         let exposed = job.exposed_by(&self.settings.rules, attempts);
         match (exposed, self.settings.classes[job.spec.class].idempotency) {
-            (None, _) | (_, Idempotency::Safe) => true,
-            (Some(_), Idempotency::Unsafe) => false,
+            (None, _) | (_, Idempotency::Idempotent) => true,
+            (Some(_), Idempotency::NonIdempotent) => false,
             (Some(first), Idempotency::Keyed { scope, memory }) => {
-                let group = |id: WorkerId| self.workers.get(&id).map(|w| w.listing.group(scope));
+                let group = |id: WorkerId| {
+                    self.workers
+                        .get(&id)
+                        .map(|w| w.listing.deduplication_group(scope))
+                };
                 let in_group = worker.is_none_or(|w| group(w) == group(first.worker));
                 // Within nine tenths of the memory: the worker's clock starts when the job arrives.
                 in_group && self.now.saturating_sub(first.sent) < memory - memory / 10
--- a/crates/dispatcher/dispatch-policy/src/terms.rs
+++ b/crates/dispatcher/dispatch-policy/src/terms.rs
@@ -1,13 +1,13 @@
 //! What a level of reduced service asks: which jobs are turned away, and how long others wait for a place.
 
 use super::{span, unit, Dispatcher, Timer};
-use dispatch_api::{Action, JobId, JobSpec, Micros, Terms};
+use dispatch_api::{Action, AdmissionPolicy, JobId, JobSpec, Micros};
 use std::cmp::Reverse;
 use std::sync::Arc;
 
 impl Dispatcher {
     /// Jobs that are held are treated as if they came now; what may have run is left to its own rule.
-    pub(super) fn on_terms(&mut self, terms: Option<Arc<Terms>>, out: &mut Vec<Action>) {
+    pub(super) fn on_terms(&mut self, terms: Option<Arc<AdmissionPolicy>>, out: &mut Vec<Action>) {
         self.fleet.terms = terms;
         let jobs = self
             .held
@@ -25,16 +25,18 @@
 
     /// The level in force does not take it.
     pub(super) fn turns_away(&mut self, spec: &JobSpec) -> bool {
-        let pressed = |t: &&Arc<Terms>| self.wait(self.held.iter()) >= t.above as f64;
+        let pressed =
+            |t: &&Arc<AdmissionPolicy>| self.wait(self.held.iter()) >= t.min_backlog as f64;
         let Some(terms) = self.fleet.terms.as_ref().filter(pressed) else {
             return false;
         };
         let (class, tally) = (terms.class(spec.class), &mut self.classes[spec.class]);
-        tally.credit = (tally.credit + class.admit).min(1.0);
-        let taken =
-            tally.credit >= 1.0 && spec.slots <= class.largest && self.jobs.len() <= terms.open;
+        tally.credit = (tally.credit + class.admitted_share).min(1.0);
+        let taken = tally.credit >= 1.0
+            && spec.slots <= class.max_slots
+            && self.jobs.len() <= terms.max_open_jobs;
         tally.credit -= f64::from(u8::from(taken));
-        tally.counts.turned_away += u64::from(!taken);
+        tally.counts.rejected_by_level += u64::from(!taken);
         !taken
     }
 
@@ -52,11 +54,11 @@
             .terms
             .as_ref()
             .filter(|_| self.settings.classes[class].kind.is_none());
-        terms.map_or(0.0, |t| t.class(class).headroom)
+        terms.map_or(0.0, |t| t.class(class).reserved_slots)
     }
 
     fn hold_bound(&self, class: usize) -> Option<Micros> {
-        self.fleet.terms.as_ref()?.class(class).hold
+        self.fleet.terms.as_ref()?.class(class).max_hold
     }
 
     pub(super) fn bound_hold(&mut self, id: JobId, class: usize) {
@@ -79,7 +81,7 @@
             .hold_bound(class)
             .is_some_and(|hold| self.now >= came + hold)
         {
-            self.classes[class].counts.turned_away += 1;
+            self.classes[class].counts.rejected_by_level += 1;
             self.turn_away(id, class, out);
         }
     }
--- a/crates/dispatcher/dispatch-policy/tests/cold_fleet.rs
+++ b/crates/dispatcher/dispatch-policy/tests/cold_fleet.rs
@@ -35,13 +35,13 @@
 
 fn one(fleet: Fleet, started: Micros, now: Micros, n: u32, life: u32) -> One {
     let mut s = settings(vec![safe()]);
-    (s.dispatchers, s.reports, s.limits.probe) = (fleet.known, Reports::None, false);
+    (s.dispatchers, s.reports, s.limits.probe) = (fleet.known, LoadReporting::None, false);
     let mut rig = Rig::seeded(s, 0, u64::from(n) << 8 | u64::from(life));
     (rig.now, rig.work) = (now, Some(WORK));
-    rig.list(ListKind::Inherited, vec![]);
+    rig.list(ListUpdateKind::Inherited, vec![]);
     rig.list(
-        ListKind::Changes,
-        vec![Listing {
+        ListUpdateKind::Incremental,
+        vec![WorkerEntry {
             started: Some(started),
             ..listing(0)
         }],
--- a/crates/dispatcher/dispatch-policy/tests/common/mod.rs
+++ b/crates/dispatcher/dispatch-policy/tests/common/mod.rs
@@ -7,35 +7,35 @@
 pub const MS: Micros = 1_000;
 pub const START: Micros = 1_000_000_000;
 
-pub fn class(idempotency: Idempotency) -> Class {
-    Class {
-        aim: 400 * MS,
-        stretch: 2.0,
-        give_up: 5_000 * MS,
-        worth: 1.0,
-        late_worth: 0.5,
+pub fn class(idempotency: Idempotency) -> JobClass {
+    JobClass {
+        latency_target: 400 * MS,
+        target_stretch: 2.0,
+        client_timeout: 5_000 * MS,
+        job_value: 1.0,
+        late_value_share: 0.5,
         idempotency,
         kind: None,
     }
 }
 
-pub fn settings(classes: Vec<Class>) -> Settings {
+pub fn settings(classes: Vec<JobClass>) -> Settings {
     Settings {
         dispatchers: 1,
         zone: 0,
         classes,
         tenants: vec![],
-        goal: Goal {
+        goal: ObjectiveWeights {
             overall: 0.6,
             worst_window: 0.1,
             worst_class: 0.3,
             worst_tenant: 0.0,
         },
-        worth_by_work: false,
-        over_share_worth: 0.1,
+        value_by_work: false,
+        over_share_value: 0.1,
         waste_price: 0.0,
         discovery: Discovery::Pushed,
-        reports: Reports::Outcomes,
+        reports: LoadReporting::Outcomes,
         start_notices: true,
         progress_every: None,
         live_weights: false,
@@ -49,14 +49,14 @@
             connect_price: 0.0,
             connection_idle: 60_000 * MS,
             tell: 0,
-            tell_price: 0.0,
+            peer_price: 0.0,
             retry_after: Some(2_000 * MS),
         },
         rules: Rules {
-            cold_for: 20_000 * MS,
+            warm_up: 20_000 * MS,
             start_capacity: 0.2,
-            tip_multiple: 3.0,
-            tip_window: 1_000 * MS,
+            overload_multiple: 3.0,
+            overload_window: 1_000 * MS,
             retry_budget: None,
             refusal_inconclusive: false,
             close_on_drain: None,
@@ -65,26 +65,26 @@
     }
 }
 
-pub fn safe() -> Class {
-    class(Idempotency::Safe)
+pub fn safe() -> JobClass {
+    class(Idempotency::Idempotent)
 }
 
-pub fn unsafe_class() -> Class {
-    class(Idempotency::Unsafe)
+pub fn unsafe_class() -> JobClass {
+    class(Idempotency::NonIdempotent)
 }
 
-pub fn keyed(scope: Scope) -> Class {
+pub fn keyed(scope: DeduplicationScope) -> JobClass {
     class(Idempotency::Keyed {
         scope,
         memory: 3_000 * MS,
     })
 }
 
-pub fn listing(worker: u32) -> Listing {
-    Listing {
+pub fn listing(worker: u32) -> WorkerEntry {
+    WorkerEntry {
         worker: WorkerId(worker),
-        mark: worker,
-        status: Status::Ready,
+        name_hash: worker,
+        status: WorkerStatus::Ready,
         kind: 0,
         zone: 0,
         cell: worker / 2,
@@ -115,7 +115,10 @@
             work: None,
             key: None,
         };
-        rig.list(ListKind::Inherited, (0..workers).map(listing).collect());
+        rig.list(
+            ListUpdateKind::Inherited,
+            (0..workers).map(listing).collect(),
+        );
         rig
     }
 
@@ -125,14 +128,14 @@
         out
     }
 
-    pub fn list(&mut self, kind: ListKind, entries: Vec<Listing>) -> Vec<Action> {
-        self.event(Event::Listed { kind, entries })
+    pub fn list(&mut self, kind: ListUpdateKind, entries: Vec<WorkerEntry>) -> Vec<Action> {
+        self.event(Event::WorkersUpdated { kind, entries })
     }
 
     pub fn job(&mut self, id: u64, class: usize, slots: f64) -> Vec<Action> {
         let expires = self.now + self.expires_in;
         let (work, key) = (self.work, self.key);
-        self.event(Event::Job(JobSpec {
+        self.event(Event::JobAccepted(JobSpec {
             id: JobId(id),
             class,
             tenant: 0,
@@ -144,7 +147,7 @@
     }
 
     pub fn started(&mut self, id: u64, attempt: u32, worker: WorkerId) -> Vec<Action> {
-        self.event(Event::Started {
+        self.event(Event::JobStarted {
             job: JobId(id),
             attempt,
             worker,
@@ -159,7 +162,7 @@
         outcome: Outcome,
     ) -> Vec<Action> {
         let finished = outcome == Outcome::Done;
-        self.event(Event::Ended {
+        self.event(Event::AttemptEnded {
             job: JobId(id),
             attempt,
             worker,
@@ -183,7 +186,7 @@
                 if let Action::Probe { worker } = *action {
                     asked.push(worker);
                     let report = Some(report(worker));
-                    follow.extend(self.event(Event::Probed {
+                    follow.extend(self.event(Event::ProbeEnded {
                         worker,
                         outcome: Outcome::Done,
                         report,
@@ -212,8 +215,8 @@
 
 pub fn answers(actions: &[Action]) -> Vec<(u64, bool)> {
     let answer = |a: &Action| match a {
-        Action::Refuse { job, .. } => Some((job.0, true)),
-        Action::Fail { job } => Some((job.0, false)),
+        Action::RejectJob { job, .. } => Some((job.0, true)),
+        Action::FailJob { job } => Some((job.0, false)),
         _ => None,
     };
     actions.iter().filter_map(answer).collect()
@@ -221,7 +224,7 @@
 
 pub fn cancels(actions: &[Action]) -> Vec<(u64, u32)> {
     let cancel = |a: &Action| match a {
-        Action::Cancel { job, attempt } => Some((job.0, *attempt)),
+        Action::CancelAttempt { job, attempt } => Some((job.0, *attempt)),
         _ => None,
     };
     actions.iter().filter_map(cancel).collect()
--- a/crates/dispatcher/dispatch-policy/tests/decisions.rs
+++ b/crates/dispatcher/dispatch-policy/tests/decisions.rs
@@ -20,7 +20,7 @@
     let (mut last, mut gaps) = (rig.now, Vec::new());
     for attempt in 0..n as u32 {
         let (_, worker) = sent[0];
-        let answered = rig.ended(1, attempt, worker, Outcome::Full);
+        let answered = rig.ended(1, attempt, worker, Outcome::Rejected);
         sent = wait_for_push(rig, &answered);
         gaps.push(rig.now - last);
         last = rig.now;
@@ -32,7 +32,7 @@
 fn patient() -> Rig {
     let mut s = settings(vec![safe()]);
     s.limits.attempts = 100;
-    s.classes[0].give_up = 600_000 * MS;
+    s.classes[0].client_timeout = 600_000 * MS;
     Rig {
         expires_in: 600_000 * MS,
         ..Rig::new(s, 1)
@@ -99,12 +99,12 @@
     let mut rig = Rig::new(settings(vec![safe()]), 1);
     let (_, worker) = pushes(&rig.job(1, 0, 1.0))[0];
     assert!(pushes(&rig.ended(1, 0, worker, Outcome::ConnectFailed)).is_empty());
-    let back = Listing {
+    let back = WorkerEntry {
         started: Some(START - 30_000 * MS),
         ..listing(0)
     };
     assert_eq!(
-        pushes(&rig.list(ListKind::Changes, vec![back])),
+        pushes(&rig.list(ListUpdateKind::Incremental, vec![back])),
         vec![(1, worker)]
     );
 }
@@ -155,7 +155,7 @@
 #[test]
 fn a_job_that_cannot_be_in_time_is_refused_early_where_late_is_worth_nothing() {
     let mut class = safe();
-    class.late_worth = 0.0;
+    class.late_value_share = 0.0;
     let mut rig = Rig::new(settings(vec![class]), 0);
     rig.job(1, 0, 1.0);
     let mut refused = None;
@@ -197,7 +197,7 @@
 fn several_dispatchers_are_taken_to_hold_as_much_as_this_one() {
     // Found at size: without reports each worker looked empty but for this dispatcher's own jobs.
     let mut s = settings(vec![safe()]);
-    (s.dispatchers, s.reports, s.limits.probe) = (4, Reports::None, false);
+    (s.dispatchers, s.reports, s.limits.probe) = (4, LoadReporting::None, false);
     let mut rig = Rig::new(s, 2);
     let sent = (0..8)
         .map(|id| pushes(&rig.job(id, 0, 1.0)).len())
@@ -223,7 +223,7 @@
             outstanding: None,
         });
         let (job, outcome) = (JobId(id), Outcome::Done);
-        rig.event(Event::Ended {
+        rig.event(Event::AttemptEnded {
             job,
             attempt: 0,
             worker,
@@ -271,7 +271,7 @@
     })
 }
 
-fn many(dispatchers: u32, reports: Reports, probe_price: f64) -> Settings {
+fn many(dispatchers: u32, reports: LoadReporting, probe_price: f64) -> Settings {
     let mut s = settings(vec![safe()]);
     (s.dispatchers, s.reports, s.limits.probe_price) = (dispatchers, reports, probe_price);
     s
@@ -280,7 +280,7 @@
 #[test]
 fn of_many_workers_and_dispatchers_only_one_found_to_have_room_gets_the_job() {
     // At full size picks were all but blind: a dispatcher heard of each worker once in many mean runs.
-    let mut rig = Rig::new(many(300, Reports::Outcomes, 0.002), 200);
+    let mut rig = Rig::new(many(300, LoadReporting::Outcomes, 0.002), 200);
     for id in 0..50 {
         rig.now += 100 * MS;
         let free = |w: WorkerId| if w.0.is_multiple_of(3) { 3.0 } else { 0.0 };
@@ -312,18 +312,18 @@
         }
         asked
     };
-    assert_eq!(count(1, Reports::Outcomes, 0.002), 0);
-    let asked = count(50, Reports::Outcomes, 0.002);
+    assert_eq!(count(1, LoadReporting::Outcomes, 0.002), 0);
+    let asked = count(50, LoadReporting::Outcomes, 0.002);
     assert!(
         (90..=120).contains(&asked),
         "up to three a job while all are full: {asked}"
     );
     assert!(
-        (9..=12).contains(&count(50, Reports::Outcomes, 0.02)),
+        (9..=12).contains(&count(50, LoadReporting::Outcomes, 0.02)),
         "at ten times the price a tenth"
     );
     assert_eq!(
-        count(1, Reports::Probes, 0.002),
+        count(1, LoadReporting::Probes, 0.002),
         0,
         "nor where reports come with probes only"
     );
@@ -331,9 +331,9 @@
 
 #[test]
 fn a_failed_probe_is_a_failure_to_the_backoff() {
-    let mut rig = Rig::new(many(1, Reports::Probes, 0.002), 1);
+    let mut rig = Rig::new(many(1, LoadReporting::Probes, 0.002), 1);
     let worker = WorkerId(0);
-    rig.event(Event::Probed {
+    rig.event(Event::ProbeEnded {
         worker,
         outcome: Outcome::TimedOut,
         report: None,
@@ -408,7 +408,7 @@
     refused.retain(|(_, a)| {
         matches!(
             a,
-            Action::Refuse {
+            Action::RejectJob {
                 retry_after: Some(_),
                 ..
             }
@@ -426,10 +426,10 @@
 #[test]
 fn probes_that_show_room_end_a_backoff_as_starts_do() {
     for (free, sent) in [(4.0, true), (0.0, false)] {
-        let mut rig = Rig::new(many(1, Reports::Probes, 0.002), 1);
+        let mut rig = Rig::new(many(1, LoadReporting::Probes, 0.002), 1);
         let worker = WorkerId(0);
         for _ in 0..6 {
-            rig.event(Event::Probed {
+            rig.event(Event::ProbeEnded {
                 worker,
                 outcome: Outcome::TimedOut,
                 report: None,
@@ -440,7 +440,7 @@
             ..LoadReport::default()
         });
         for _ in 0..24 {
-            rig.event(Event::Probed {
+            rig.event(Event::ProbeEnded {
                 worker,
                 outcome: Outcome::Done,
                 report,
@@ -449,7 +449,7 @@
         let taken = rig.job(1, 0, 1.0);
         let taken = [
             taken,
-            rig.event(Event::Probed {
+            rig.event(Event::ProbeEnded {
                 worker,
                 outcome: Outcome::Done,
                 report,
@@ -464,9 +464,9 @@
 /// probe as under a job.
 #[test]
 fn a_probe_whose_connection_broke_is_no_failure_to_the_backoff() {
-    let mut rig = Rig::new(many(1, Reports::Probes, 0.002), 1);
+    let mut rig = Rig::new(many(1, LoadReporting::Probes, 0.002), 1);
     let worker = WorkerId(0);
-    rig.event(Event::Probed {
+    rig.event(Event::ProbeEnded {
         worker,
         outcome: Outcome::Reset,
         report: None,
@@ -477,7 +477,7 @@
 #[test]
 fn the_same_events_give_the_same_actions() {
     let run = || {
-        let mut rig = Rig::new(settings(vec![safe(), keyed(Scope::Cell)]), 5);
+        let mut rig = Rig::new(settings(vec![safe(), keyed(DeduplicationScope::Cell)]), 5);
         let mut all = Vec::new();
         for id in 0..500 {
             all.extend(rig.job(id, (id % 2) as usize, 1.0));
@@ -485,7 +485,7 @@
             if let Some((job, worker)) = pushes(&all).get(id as usize / 2) {
                 all.extend(rig.started(*job, 0, *worker));
                 let outcome = if id % 7 == 0 {
-                    Outcome::Full
+                    Outcome::Rejected
                 } else {
                     Outcome::Done
                 };
@@ -552,8 +552,8 @@
     // Found on a quiet day: one wide job at the head of a worker's queue kept keyed jobs of great worth there
     // for seconds, though workers of their group stood idle.
     for (workers, moves) in [(2, true), (1, false)] {
-        let mut rig = Rig::new(settings(vec![keyed(Scope::Cell)]), workers);
-        rig.list(ListKind::Changes, vec![listing(4)]);
+        let mut rig = Rig::new(settings(vec![keyed(DeduplicationScope::Cell)]), workers);
+        rig.list(ListUpdateKind::Incremental, vec![listing(4)]);
         let mut sent = pushes(&rig.job(1, 0, 1.0));
         let mut id = 1;
         while sent[0].1 == WorkerId(4) {
@@ -608,15 +608,15 @@
 fn a_job_handed_back_is_still_refused_when_its_time_to_start_is_up() {
     // The timer of a pushed job was dropped as idle; a job held again must have it back.
     let mut class = safe();
-    class.late_worth = 0.0;
+    class.late_value_share = 0.0;
     let mut rig = Rig::new(settings(vec![class]), 1);
     let (_, worker) = pushes(&rig.job(1, 0, 1.0))[0];
     rig.after(10 * MS);
-    assert!(pushes(&rig.ended(1, 0, worker, Outcome::Full)).is_empty());
+    assert!(pushes(&rig.ended(1, 0, worker, Outcome::Rejected)).is_empty());
     rig.list(
-        ListKind::Changes,
-        vec![Listing {
-            status: Status::Gone,
+        ListUpdateKind::Incremental,
+        vec![WorkerEntry {
+            status: WorkerStatus::Removed,
             ..listing(0)
         }],
     );
@@ -659,12 +659,12 @@
 fn talking() -> Settings {
     let mut s = settings(vec![safe()]);
     (s.dispatchers, s.limits.probe) = (2, false);
-    (s.limits.tell, s.limits.tell_price) = (50, 0.0002);
+    (s.limits.tell, s.limits.peer_price) = (50, 0.0002);
     s
 }
 
 fn told(rig: &mut Rig, held: Vec<(WorkerId, u32)>) -> Vec<Action> {
-    rig.event(Event::Told { from: 1, held })
+    rig.event(Event::PeerLoad { from: 1, held })
 }
 
 #[test]
@@ -675,7 +675,7 @@
         let mut rig = Rig::new(s, 1);
         let mut said = Vec::new();
         for action in rig.job(1, 0, 2.0) {
-            if let Action::Tell { held } = action {
+            if let Action::PublishLoad { held } = action {
                 said = held;
             }
         }
@@ -714,7 +714,7 @@
         let mut rig = Rig::new(s, 1);
         let (_, worker) = pushes(&rig.job(1, 0, 1.0))[0];
         let overdue = rig.after(201 * MS);
-        assert!(overdue.contains(&Action::Cancel {
+        assert!(overdue.contains(&Action::CancelAttempt {
             job: JobId(1),
             attempt: 0
         }));
@@ -726,8 +726,8 @@
 #[test]
 fn while_paying_jobs_go_late_slots_are_kept_from_what_brings_less() {
     // In overload late jobs took every slot that freed, and whatever came next went late as well.
-    let cheap = Class {
-        worth: 0.1,
+    let cheap = JobClass {
+        job_value: 0.1,
         ..safe()
     };
     let mut rig = Rig::new(settings(vec![safe(), cheap]), 1);
@@ -752,9 +752,9 @@
 }
 
 /// Listings in two zones: even numbers in the own one.
-fn two_zones(workers: u32) -> Vec<Listing> {
+fn two_zones(workers: u32) -> Vec<WorkerEntry> {
     (0..workers)
-        .map(|w| Listing {
+        .map(|w| WorkerEntry {
             zone: w % 2,
             ..listing(w)
         })
@@ -764,10 +764,10 @@
 #[test]
 fn workers_that_cost_no_crossing_and_no_new_connection_are_asked_and_taken_first() {
     // Found on full-size days: picks over the whole fleet crossed zones and opened connections with nearly every job.
-    let mut config = many(50, Reports::Outcomes, 0.002);
+    let mut config = many(50, LoadReporting::Outcomes, 0.002);
     (config.limits.cross_zone_price, config.limits.connect_price) = (0.05, 0.08);
     let mut rig = Rig::new(config, 0);
-    rig.list(ListKind::Whole, two_zones(40));
+    rig.list(ListUpdateKind::Full, two_zones(40));
     let mut used = std::collections::BTreeSet::new();
     for id in 0..60 {
         rig.now += 500 * MS;
@@ -810,7 +810,7 @@
         let closes = |actions: &[Action]| {
             actions
                 .iter()
-                .any(|a| matches!(a, Action::CloseIdle { .. }))
+                .any(|a| matches!(a, Action::CloseIdleConnections { .. }))
         };
         let first = rig.job(1, 0, 1.0);
         assert!(!closes(&first), "there is none yet");
@@ -857,11 +857,11 @@
 #[test]
 fn probing_ends_where_there_is_nobody_to_ask() {
     // Found in a test: with credit for probes and nobody to draw, the search for one went on without end.
-    let mut config = many(50, Reports::Outcomes, 0.002);
+    let mut config = many(50, LoadReporting::Outcomes, 0.002);
     config.limits.connect_price = 0.08;
     let mut rig = Rig::new(config, 0);
     assert!(pushes(&rig.job(1, 0, 1.0)).is_empty());
-    let actions = rig.list(ListKind::Whole, vec![listing(0)]);
+    let actions = rig.list(ListUpdateKind::Full, vec![listing(0)]);
     assert!(actions.len() < 5, "{actions:?}");
     rig.after(20 * MS);
     assert!(pushes(&rig.after(400 * MS)).len() + pushes(&rig.after(400 * MS)).len() <= 1);
--- a/crates/dispatcher/dispatch-policy/tests/few_known.rs
+++ b/crates/dispatcher/dispatch-policy/tests/few_known.rs
@@ -7,7 +7,7 @@
 
 const WORKERS: u32 = 60;
 
-fn few_known(reports: Reports) -> Settings {
+fn few_known(reports: LoadReporting) -> Settings {
     let mut config = settings(vec![safe()]);
     (
         config.dispatchers,
@@ -38,7 +38,7 @@
 fn the_homes_of_a_key_are_asked_one_after_the_other_and_the_first_with_room_gets_the_job() {
     let mut homes = std::collections::BTreeSet::new();
     for seed in 0..20 {
-        let mut rig = Rig::seeded(few_known(Reports::Probes), WORKERS, seed);
+        let mut rig = Rig::seeded(few_known(LoadReporting::Probes), WORKERS, seed);
         rig.key = Some(9);
         let taken = rig.job(1, 0, 1.0);
         let (asked, done) = rig.answer_probes(taken, |_| free(3.0));
@@ -66,11 +66,11 @@
 #[test]
 fn a_job_does_not_go_to_whoever_is_known_before_its_home_was_asked() {
     for key in 0..20 {
-        let mut other = Rig::new(few_known(Reports::Probes), WORKERS);
+        let mut other = Rig::new(few_known(LoadReporting::Probes), WORKERS);
         other.key = Some(key);
         let taken = other.job(1, 0, 1.0);
         let home = other.answer_probes(taken, |_| free(3.0)).0[0];
-        let mut rig = Rig::new(few_known(Reports::Probes), WORKERS);
+        let mut rig = Rig::new(few_known(LoadReporting::Probes), WORKERS);
         rig.key = Some(1_000);
         let taken = rig.job(1, 0, 1.0);
         let (known, _) = rig.answer_probes(taken, |_| free(3.0));
@@ -88,7 +88,7 @@
 /// learned from them, and each job was held for news that could not come.
 #[test]
 fn where_no_report_names_free_slots_what_is_held_says_who_has_room() {
-    for reports in [Reports::Probes, Reports::Outcomes] {
+    for reports in [LoadReporting::Probes, LoadReporting::Outcomes] {
         let mut rig = Rig::new(few_known(reports), WORKERS);
         let load = |w: WorkerId| {
             if w.0.is_multiple_of(3) {
@@ -115,7 +115,7 @@
 
 #[test]
 fn slots_are_learned_from_what_runs_where_no_report_names_them() {
-    let mut rig = Rig::new(few_known(Reports::Probes), WORKERS);
+    let mut rig = Rig::new(few_known(LoadReporting::Probes), WORKERS);
     rig.key = Some(1);
     let taken = rig.job(0, 0, 1.0);
     // Seven run and two wait: so many slots has a worker of this kind, and one that holds five has room.
@@ -129,8 +129,8 @@
 
 #[test]
 fn one_absurd_report_does_not_make_a_worker_look_large() {
-    let mut rig = Rig::new(few_known(Reports::Probes), WORKERS);
-    rig.event(Event::Probed {
+    let mut rig = Rig::new(few_known(LoadReporting::Probes), WORKERS);
+    rig.event(Event::ProbeEnded {
         worker: WorkerId(0),
         outcome: Outcome::Done,
         report: Some(held(1.0e6, 0.0)),
--- a/crates/dispatcher/dispatch-policy/tests/rules.rs
+++ b/crates/dispatcher/dispatch-policy/tests/rules.rs
@@ -24,7 +24,7 @@
     for (class, refusable) in [
         (safe(), true),
         (unsafe_class(), false),
-        (keyed(Scope::Cell), false),
+        (keyed(DeduplicationScope::Cell), false),
     ] {
         let mut rig = Rig::new(settings(vec![class]), 1);
         assert_eq!(pushes(&rig.job(1, 0, 1.0)).len(), 1);
@@ -42,7 +42,7 @@
 
 #[test]
 fn what_never_ran_is_refused_whatever_its_class() {
-    for class in [safe(), unsafe_class(), keyed(Scope::Zone)] {
+    for class in [safe(), unsafe_class(), keyed(DeduplicationScope::Zone)] {
         let mut rig = Rig::new(settings(vec![class]), 0);
         rig.job(1, 0, 1.0);
         let found = run_out(&mut rig, START + 6_000 * MS);
@@ -71,7 +71,7 @@
     let mut rig = Rig::new(settings(vec![unsafe_class()]), 4);
     let (_, worker) = pushes(&rig.job(1, 0, 1.0))[0];
     assert_eq!(
-        pushes(&rig.ended(1, 0, worker, Outcome::Full)).len(),
+        pushes(&rig.ended(1, 0, worker, Outcome::Rejected)).len(),
         1,
         "proved never run: placed anew"
     );
@@ -79,7 +79,7 @@
 
 #[test]
 fn a_keyed_job_that_may_have_run_stays_in_its_group_and_within_its_memory() {
-    let mut rig = Rig::new(settings(vec![keyed(Scope::Cell)]), 8);
+    let mut rig = Rig::new(settings(vec![keyed(DeduplicationScope::Cell)]), 8);
     for id in 0..50 {
         let (_, first) = pushes(&rig.job(id, 0, 1.0))[0];
         let again = pushes(&rig.ended(id, 0, first, Outcome::Reset));
@@ -97,15 +97,15 @@
 
 #[test]
 fn draining_and_gone_workers_get_nothing_new_held_jobs_included() {
-    for status in [Status::Draining, Status::Gone] {
+    for status in [WorkerStatus::Draining, WorkerStatus::Removed] {
         let mut rig = Rig::new(settings(vec![safe()]), 1);
         for id in 0..5 {
             rig.job(id, 0, 1.0);
             rig.started(id, 0, WorkerId(0));
         }
         rig.list(
-            ListKind::Changes,
-            vec![Listing {
+            ListUpdateKind::Incremental,
+            vec![WorkerEntry {
                 status,
                 ..listing(0)
             }],
@@ -113,7 +113,7 @@
         assert!(pushes(&rig.ended(0, 0, WorkerId(0), Outcome::Done)).is_empty());
     }
     let mut rig = Rig::new(settings(vec![safe()]), 2);
-    rig.list(ListKind::Whole, vec![listing(1)]);
+    rig.list(ListUpdateKind::Full, vec![listing(1)]);
     for id in 0..4 {
         assert_eq!(
             pushes(&rig.job(id, 0, 1.0)),
@@ -127,9 +127,14 @@
 fn a_list_that_must_be_asked_for_is_asked_for_and_asked_again() {
     let mut s = settings(vec![safe()]);
     s.discovery = Discovery::OnRequest {
-        ask_within: 10_000 * MS,
+        watch_within: 10_000 * MS,
+    };
+    let watches = |actions: &[Action]| {
+        actions
+            .iter()
+            .filter(|a| **a == Action::WatchWorkers)
+            .count()
     };
-    let watches = |actions: &[Action]| actions.iter().filter(|a| **a == Action::Watch).count();
     let mut rig = Rig {
         d: dispatch_policy::Dispatcher::new(s, 1).unwrap(),
         now: START,
@@ -137,10 +142,13 @@
         work: None,
         key: None,
     };
-    assert_eq!(watches(&rig.list(ListKind::Inherited, vec![listing(0)])), 1);
+    assert_eq!(
+        watches(&rig.list(ListUpdateKind::Inherited, vec![listing(0)])),
+        1
+    );
     for _ in 0..20 {
         assert_eq!(
-            watches(&rig.event(Event::ListFailed(CallLost::Failed))),
+            watches(&rig.event(Event::WatchFailed(DiscoveryFailure::Failed))),
             0,
             "paced"
         );
@@ -195,11 +203,15 @@
 
 #[test]
 fn a_refusal_that_proves_nothing_is_taken_as_a_run() {
-    let mut config = settings(vec![unsafe_class(), keyed(Scope::Cell), safe()]);
+    let mut config = settings(vec![
+        unsafe_class(),
+        keyed(DeduplicationScope::Cell),
+        safe(),
+    ]);
     config.rules.refusal_inconclusive = true;
     let mut rig = Rig::new(config, 8);
     let (_, worker) = pushes(&rig.job(1, 0, 1.0))[0];
-    let actions = rig.ended(1, 0, worker, Outcome::Full);
+    let actions = rig.ended(1, 0, worker, Outcome::Rejected);
     assert_eq!(
         (pushes(&actions), answers(&actions)),
         (vec![], vec![(1, false)]),
@@ -207,7 +219,7 @@
     );
     for id in 10..30 {
         let (_, first) = pushes(&rig.job(id, 1, 1.0))[0];
-        let actions = rig.ended(id, 0, first, Outcome::Full);
+        let actions = rig.ended(id, 0, first, Outcome::Rejected);
         let again = wait_for_push(&mut rig, &actions);
         assert!(
             again.iter().all(|(_, w)| w.0 / 2 == first.0 / 2),
@@ -222,7 +234,7 @@
     }
     let (_, worker) = pushes(&rig.job(40, 2, 1.0))[0];
     assert_eq!(
-        pushes(&rig.ended(40, 0, worker, Outcome::Full)).len(),
+        pushes(&rig.ended(40, 0, worker, Outcome::Rejected)).len(),
         1,
         "safe to repeat: placed anew"
     );
@@ -241,13 +253,13 @@
 
 #[test]
 fn what_may_have_run_is_answered_once_its_key_is_forgotten_and_not_held_to_its_deadline() {
-    let mut rig = Rig::new(settings(vec![keyed(Scope::Cell)]), 2);
+    let mut rig = Rig::new(settings(vec![keyed(DeduplicationScope::Cell)]), 2);
     let (_, worker) = pushes(&rig.job(1, 0, 1.0))[0];
-    let gone = |id| Listing {
-        status: Status::Gone,
+    let gone = |id| WorkerEntry {
+        status: WorkerStatus::Removed,
         ..listing(id)
     };
-    rig.list(ListKind::Changes, vec![gone(0), gone(1)]);
+    rig.list(ListUpdateKind::Incremental, vec![gone(0), gone(1)]);
     assert!(
         answers(&rig.ended(1, 0, worker, Outcome::Reset)).is_empty(),
         "its group may come back"
@@ -265,7 +277,7 @@
 
 fn closes(actions: &[Action]) -> Vec<u32> {
     let close = |a: &Action| match a {
-        Action::CloseIdle { worker } => Some(worker.0),
+        Action::CloseIdleConnections { worker } => Some(worker.0),
         _ => None,
     };
     actions.iter().filter_map(close).collect()
@@ -278,13 +290,13 @@
     let mut rig = Rig::new(config.clone(), 2);
     let used = pushes(&rig.job(1, 0, 1.0))[0].1;
     let (second, at) = (2, pushes(&rig.job(2, 0, 1.0))[0].1);
-    let drains = |w: WorkerId| Listing {
-        status: Status::Draining,
+    let drains = |w: WorkerId| WorkerEntry {
+        status: WorkerStatus::Draining,
         ..listing(w.0)
     };
     // The notice comes with a whole list.
     let actions = rig.list(
-        ListKind::Whole,
+        ListUpdateKind::Full,
         vec![drains(WorkerId(0)), drains(WorkerId(1))],
     );
     let mut told = vec![used.0, at.0];
@@ -305,7 +317,7 @@
     config.rules.close_on_drain = None;
     let mut rig = Rig::new(config, 1);
     let (_, worker) = pushes(&rig.job(1, 0, 1.0))[0];
-    assert!(closes(&rig.list(ListKind::Changes, vec![drains(worker)])).is_empty());
+    assert!(closes(&rig.list(ListUpdateKind::Incremental, vec![drains(worker)])).is_empty());
 }
 
 #[test]
@@ -315,14 +327,14 @@
     let mut rig = Rig::new(config, 1);
     let (_, worker) = pushes(&rig.job(1, 0, 1.0))[0];
     let actions = rig.ended(1, 0, worker, Outcome::Reset);
-    let told = |a: &Action| matches!(a, Action::Refuse { retry_after: Some(t), .. } if *t > 0);
+    let told = |a: &Action| matches!(a, Action::RejectJob { retry_after: Some(t), .. } if *t > 0);
     assert!(actions.iter().any(told), "{actions:?}");
 }
 
 /// Slot time that one dispatcher sends to a cold worker within a window of a second.
 fn cold_load(age: Micros, dispatchers: u32, seed: u64) -> f64 {
     let mut s = settings(vec![safe()]);
-    (s.dispatchers, s.reports, s.limits.probe) = (dispatchers, Reports::None, false);
+    (s.dispatchers, s.reports, s.limits.probe) = (dispatchers, LoadReporting::None, false);
     cold_load_of(Rig::seeded(s, 0, seed), age)
 }
 
@@ -331,8 +343,8 @@
     rig.now += 30_000 * MS;
     let started = Some(rig.now - age);
     rig.list(
-        ListKind::Changes,
-        vec![Listing {
+        ListUpdateKind::Incremental,
+        vec![WorkerEntry {
             started,
             ..listing(0)
         }],
@@ -374,17 +386,17 @@
 /// pause before a wide one was counted anew from each of them.
 #[test]
 fn small_jobs_do_not_keep_a_wide_one_from_a_cold_worker() {
-    let wide = Class {
-        worth: 5.0,
+    let wide = JobClass {
+        job_value: 5.0,
         ..unsafe_class()
     };
     let mut s = settings(vec![safe(), wide]);
-    (s.reports, s.limits.probe) = (Reports::None, false);
+    (s.reports, s.limits.probe) = (LoadReporting::None, false);
     let mut rig = Rig::new(s, 0);
     rig.work = Some(100 * MS);
     rig.list(
-        ListKind::Changes,
-        vec![Listing {
+        ListUpdateKind::Incremental,
+        vec![WorkerEntry {
             started: Some(rig.now),
             ..listing(0)
         }],
@@ -420,7 +432,7 @@
 fn two_processes_of_one_dispatcher_send_a_cold_worker_no_more_than_one() {
     let process = |processes: u32, seed| {
         let mut s = settings(vec![safe()]);
-        (s.reports, s.limits.probe) = (Reports::None, false);
+        (s.reports, s.limits.probe) = (LoadReporting::None, false);
         let mut rig = Rig::seeded(s, 0, seed);
         rig.d.share_among(processes);
         cold_load_of(rig, 0)
@@ -459,7 +471,7 @@
             free_slots: Some(free),
             ..LoadReport::default()
         });
-        rig.event(Event::Probed {
+        rig.event(Event::ProbeEnded {
             worker,
             outcome: Outcome::Done,
             report,
@@ -467,8 +479,8 @@
         rig.ended(0, 0, worker, Outcome::Done);
         rig.work = Some(100 * MS);
         rig.list(
-            ListKind::Whole,
-            vec![Listing {
+            ListUpdateKind::Full,
+            vec![WorkerEntry {
                 started: Some(rig.now),
                 ..listing(1)
             }],
@@ -478,7 +490,7 @@
             rig.now += 5 * MS;
             for (job, w) in pushes(&rig.job(id, 0, 1.0)) {
                 sent += 1;
-                rig.event(Event::Probed {
+                rig.event(Event::ProbeEnded {
                     worker: w,
                     outcome: Outcome::Done,
                     report,
@@ -495,11 +507,11 @@
 #[test]
 fn a_start_in_the_future_counts_as_now() {
     let mut s = settings(vec![safe()]);
-    s.reports = Reports::None;
+    s.reports = LoadReporting::None;
     let mut rig = Rig::new(s, 0);
     rig.list(
-        ListKind::Changes,
-        vec![Listing {
+        ListUpdateKind::Incremental,
+        vec![WorkerEntry {
             started: Some(Micros::MAX),
             ..listing(0)
         }],
@@ -567,7 +579,7 @@
 
 /// What the rules allow, kept apart from the module.
 struct Checker {
-    classes: Vec<Class>,
+    classes: Vec<JobClass>,
     rules: Rules,
     taken: Vec<Micros>,
     further: Vec<Micros>,
@@ -582,19 +594,19 @@
         for action in actions {
             match action {
                 Action::Push { job, worker } => self.push(now, job.0, worker.0),
-                Action::Refuse { job, .. } => self.answer(now, job.0, true),
-                Action::Fail { job } => self.answer(now, job.0, false),
-                Action::Cancel { job, attempt } => {
+                Action::RejectJob { job, .. } => self.answer(now, job.0, true),
+                Action::FailJob { job } => self.answer(now, job.0, false),
+                Action::CancelAttempt { job, attempt } => {
                     assert!(
                         (*attempt as usize) < self.jobs[&job.0].sent.len(),
                         "cancels what was sent"
                     );
                 }
                 Action::WakeAt(t) => assert!(*t > 0),
-                Action::CloseIdle { worker } => {
+                Action::CloseIdleConnections { worker } => {
                     self.used.remove(&worker.0);
                 }
-                Action::Probe { .. } | Action::Tell { .. } | Action::Watch => {}
+                Action::Probe { .. } | Action::PublishLoad { .. } | Action::WatchWorkers => {}
             }
         }
         for (worker, told) in &self.told {
@@ -615,17 +627,18 @@
         }
     }
 
-    fn list(&mut self, now: Micros, worker: u32, status: Status) {
-        self.ready.insert(worker, status == Status::Ready);
-        if status == Status::Draining {
+    fn list(&mut self, now: Micros, worker: u32, status: WorkerStatus) {
+        self.ready.insert(worker, status == WorkerStatus::Ready);
+        if status == WorkerStatus::Draining {
             self.told.entry(worker).or_insert(now);
         } else {
             self.told.remove(&worker);
         }
     }
 
-    fn proves_unrun(&self, outcome: Outcome) -> bool {
-        outcome.proves_unrun() && !(self.rules.refusal_inconclusive && outcome == Outcome::Full)
+    fn proves_not_run(&self, outcome: Outcome) -> bool {
+        outcome.proves_not_run()
+            && !(self.rules.refusal_inconclusive && outcome == Outcome::Rejected)
     }
 
     fn budget(&mut self, now: Micros) {
@@ -658,13 +671,16 @@
             "one attempt at a time"
         );
         let (rules, further) = (self.rules.clone(), !job.sent.is_empty());
-        let unrun =
-            |o: Outcome| o.proves_unrun() && !(rules.refusal_inconclusive && o == Outcome::Full);
+        let unrun = |o: Outcome| {
+            o.proves_not_run() && !(rules.refusal_inconclusive && o == Outcome::Rejected)
+        };
         let risky = |s: &&Sent| s.outcome.is_none_or(|o| !unrun(o));
         if let Some(first) = job.sent.iter().find(risky) {
             match self.classes[job.class].idempotency {
-                Idempotency::Safe => {}
-                Idempotency::Unsafe => panic!("an unsafe job that may have run was sent again"),
+                Idempotency::Idempotent => {}
+                Idempotency::NonIdempotent => {
+                    panic!("an unsafe job that may have run was sent again")
+                }
                 Idempotency::Keyed { memory, .. } => {
                     assert_eq!(first.worker / 2, worker / 2, "the same cell");
                     assert!(now - first.at < memory, "within its memory");
@@ -686,12 +702,12 @@
         let sent = &self.jobs[&id].sent;
         let unrun = sent
             .iter()
-            .all(|s| s.outcome.is_some_and(|o| self.proves_unrun(o)));
+            .all(|s| s.outcome.is_some_and(|o| self.proves_not_run(o)));
         let job = self.jobs.get_mut(&id).expect("a job that was taken");
         assert!(!job.answered, "one answer");
         job.answered = true;
         assert!(now <= job.expires, "in time");
-        let safe = self.classes[job.class].idempotency == Idempotency::Safe;
+        let safe = self.classes[job.class].idempotency == Idempotency::Idempotent;
         assert!(
             !refused || unrun || safe,
             "a refusal promises that trying again is harmless"
@@ -704,7 +720,7 @@
     [
         Done,
         Error,
-        Full,
+        Rejected,
         TimedOut,
         ConnectFailed,
         Reset,
@@ -717,15 +733,15 @@
 fn play(
     steps: &[Step],
     dispatchers: u32,
-    reports: Reports,
+    reports: LoadReporting,
     further_rules: u8,
     start_notices: bool,
 ) {
-    let classes = vec![safe(), unsafe_class(), keyed(Scope::Cell)];
+    let classes = vec![safe(), unsafe_class(), keyed(DeduplicationScope::Cell)];
     let mut s = settings(classes.clone());
     (s.dispatchers, s.reports) = (dispatchers, reports);
     s.discovery = Discovery::OnRequest {
-        ask_within: 10_000 * MS,
+        watch_within: 10_000 * MS,
     };
     s.start_notices = start_notices;
     s.progress_every = (further_rules & 8 != 0).then_some(1_000 * MS);
@@ -804,7 +820,7 @@
                         outstanding: None,
                     });
                     let outcome = outcome(code);
-                    let actions = rig.event(Event::Ended {
+                    let actions = rig.event(Event::AttemptEnded {
                         job,
                         attempt,
                         worker,
@@ -820,13 +836,17 @@
                 status,
                 restarted,
             } => {
-                let status =
-                    [Status::Ready, Status::Ready, Status::Draining, Status::Gone][status as usize];
+                let status = [
+                    WorkerStatus::Ready,
+                    WorkerStatus::Ready,
+                    WorkerStatus::Draining,
+                    WorkerStatus::Removed,
+                ][status as usize];
                 check.list(rig.now, worker, status);
                 let started = restarted.then_some(rig.now);
                 let actions = rig.list(
-                    ListKind::Changes,
-                    vec![Listing {
+                    ListUpdateKind::Incremental,
+                    vec![WorkerEntry {
                         status,
                         started,
                         ..listing(worker)
@@ -838,17 +858,20 @@
                 let listed: Vec<u32> = (0..8).filter(|w| bits >> w & 1 == 1).collect();
                 (0..8).for_each(|w| {
                     let status = if listed.contains(&w) {
-                        Status::Ready
+                        WorkerStatus::Ready
                     } else {
-                        Status::Gone
+                        WorkerStatus::Removed
                     };
                     check.list(rig.now, w, status);
                 });
-                let actions = rig.list(ListKind::Whole, listed.into_iter().map(listing).collect());
+                let actions = rig.list(
+                    ListUpdateKind::Full,
+                    listed.into_iter().map(listing).collect(),
+                );
                 check.see(rig.now, &actions);
             }
             Step::ListFailed => {
-                let actions = rig.event(Event::ListFailed(CallLost::Failed));
+                let actions = rig.event(Event::WatchFailed(DiscoveryFailure::Failed));
                 check.see(rig.now, &actions);
             }
             Step::Gone(which) => {
@@ -861,7 +884,7 @@
                 if !waiting.is_empty() {
                     let id = waiting[which as usize % waiting.len()];
                     check.jobs.get_mut(&id).unwrap().answered = true;
-                    let actions = rig.event(Event::ClientGone(JobId(id)));
+                    let actions = rig.event(Event::ClientDisconnected(JobId(id)));
                     check.see(rig.now, &actions);
                 }
             }
@@ -875,24 +898,24 @@
                 // Late and unknown events are legal and harmless.
                 let (job, worker) = (JobId(1_000_000 + u64::from(n)), WorkerId(u32::from(n)));
                 for event in [
-                    Event::Started {
+                    Event::JobStarted {
                         job,
                         attempt: 3,
                         worker,
                     },
-                    Event::Progress {
+                    Event::JobProgress {
                         job,
                         attempt: 3,
                         worker,
                         done: f64::NAN,
                     },
-                    Event::ClientGone(job),
-                    Event::Probed {
+                    Event::ClientDisconnected(job),
+                    Event::ProbeEnded {
                         worker,
                         outcome: Outcome::Unknown,
                         report: None,
                     },
-                    Event::Told {
+                    Event::PeerLoad {
                         from: u32::from(n),
                         held: vec![(WorkerId(u32::from(n) % 8), u32::MAX)],
                     },
@@ -923,9 +946,9 @@
     let mut runner =
         TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]));
     let reports = prop_oneof![
-        Just(Reports::None),
-        Just(Reports::Outcomes),
-        Just(Reports::Probes)
+        Just(LoadReporting::None),
+        Just(LoadReporting::Outcomes),
+        Just(LoadReporting::Probes)
     ];
     let cases = (
         prop::collection::vec(step(), 1..120),
--- a/crates/dispatcher/dispatch-policy/tests/size.rs
+++ b/crates/dispatcher/dispatch-policy/tests/size.rs
@@ -13,15 +13,15 @@
 fn many_told() -> Settings {
     let mut config = settings(vec![safe()]);
     (config.dispatchers, config.live_weights) = (DISPATCHERS, true);
-    (config.reports, config.limits.probe_price) = (Reports::Probes, 0.0044);
+    (config.reports, config.limits.probe_price) = (LoadReporting::Probes, 0.0044);
     config
 }
 
 /// All idle but those below `busy`, which held three requests for each core.
-fn list(busy: u32) -> Vec<Listing> {
+fn list(busy: u32) -> Vec<WorkerEntry> {
     let weight = |w: u32| Some(if w < busy { SIZE / 4.0 } else { SIZE });
     (0..WORKERS)
-        .map(|w| Listing {
+        .map(|w| WorkerEntry {
             weight: weight(w),
             ..listing(w)
         })
@@ -35,8 +35,8 @@
     let mut sent: BTreeMap<bool, usize> = BTreeMap::new();
     for seed in 0..u64::from(DISPATCHERS) {
         let mut rig = Rig::seeded(many_told(), 0, seed);
-        rig.list(ListKind::Inherited, list(0));
-        rig.list(ListKind::Changes, list(48));
+        rig.list(ListUpdateKind::Inherited, list(0));
+        rig.list(ListUpdateKind::Incremental, list(48));
         for id in 0..3 {
             rig.now += 100 * MS;
             let pushed = pushes(&rig.job(id, 0, 1.0));
@@ -63,8 +63,8 @@
 fn in_a_fleet_larger_than_a_look_a_job_with_a_key_goes_to_a_home_at_once() {
     // Found on all large days: a look drew 12 of 60 workers, and jobs waited until one of theirs was among them.
     let mut rig = Rig::new(many_told(), 0);
-    rig.list(ListKind::Inherited, list(0));
-    rig.list(ListKind::Changes, list(0));
+    rig.list(ListUpdateKind::Inherited, list(0));
+    rig.list(ListUpdateKind::Incremental, list(0));
     let mut homes: BTreeMap<u64, Vec<WorkerId>> = BTreeMap::new();
     for id in 0..60 {
         rig.now += 1_000 * MS;
@@ -85,15 +85,15 @@
 #[test]
 fn a_late_start_is_not_called_off_where_the_list_shows_no_room_elsewhere() {
     let mut rig = Rig::new(many_told(), 0);
-    rig.list(ListKind::Inherited, list(0));
-    rig.list(ListKind::Changes, list(0));
+    rig.list(ListUpdateKind::Inherited, list(0));
+    rig.list(ListUpdateKind::Incremental, list(0));
     let (_, first) = pushes(&rig.job(1, 0, 1.0))[0];
     // All others are cold and have just been sent to.
     let started = Some(rig.now);
     let cold = (0..WORKERS).filter(|w| WorkerId(*w) != first);
     rig.list(
-        ListKind::Changes,
-        cold.map(|w| Listing {
+        ListUpdateKind::Incremental,
+        cold.map(|w| WorkerEntry {
             started,
             weight: Some(0.01),
             ..listing(w)
@@ -111,15 +111,15 @@
 #[test]
 fn a_weight_that_is_none_counts_as_none() {
     let mut rig = Rig::new(many_told(), 0);
-    rig.list(ListKind::Inherited, list(0));
+    rig.list(ListUpdateKind::Inherited, list(0));
     for weight in [f64::NAN, f64::INFINITY, -1.0, 0.0, 1.0e300] {
         let odd = (0..WORKERS)
-            .map(|w| Listing {
+            .map(|w| WorkerEntry {
                 weight: Some(weight),
                 ..listing(w)
             })
             .collect();
-        rig.list(ListKind::Changes, odd);
+        rig.list(ListUpdateKind::Incremental, odd);
         rig.now += 100 * MS;
         assert_eq!(
             pushes(&rig.job(weight.to_bits(), 0, 1.0)).len(),
@@ -133,22 +133,22 @@
 fn jobs_with_a_choice_leave_the_kind_that_others_are_bound_to_while_the_rest_has_room() {
     // Found on all large days: settle, which runs on one kind alone, waited there behind jobs that run anywhere.
     let mut config = many_told();
-    config.classes.push(Class {
+    config.classes.push(JobClass {
         kind: Some(1),
         ..unsafe_class()
     });
     for (busy, least, most) in [(0, 0, 0), (WORKERS, 10, 60)] {
-        let kinds = |l: Listing| Listing {
+        let kinds = |l: WorkerEntry| WorkerEntry {
             kind: l.worker.0 % 2,
             ..l
         };
         let mut rig = Rig::new(config.clone(), 0);
         rig.list(
-            ListKind::Inherited,
+            ListUpdateKind::Inherited,
             list(0).into_iter().map(kinds).collect(),
         );
         rig.list(
-            ListKind::Changes,
+            ListUpdateKind::Incremental,
             list(busy).into_iter().map(kinds).collect(),
         );
         let mut bound = 0;
@@ -178,14 +178,14 @@
     // Found on join+vast: with six in ten workers cold each job waited for all before it, and half were late.
     for (busy, given_up) in [(WORKERS, true), (0, false)] {
         let mut config = many_told();
-        config.classes.push(Class {
+        config.classes.push(JobClass {
             kind: Some(0),
             ..unsafe_class()
         });
-        config.classes.push(keyed(Scope::Zone));
+        config.classes.push(keyed(DeduplicationScope::Zone));
         let mut rig = Rig::new(config, 0);
-        rig.list(ListKind::Inherited, list(0));
-        rig.list(ListKind::Changes, list(busy));
+        rig.list(ListUpdateKind::Inherited, list(0));
+        rig.list(ListUpdateKind::Incremental, list(busy));
         let (_, started) = pushes(&rig.job(2, 0, 1.0))[0];
         rig.started(2, 0, started);
         let mut at = BTreeMap::new();
@@ -229,16 +229,19 @@
 fn two_workers_that_are_not_reached_have_a_dispatcher_leave_their_zone() {
     // Found on zone+vast: 200 attempts a second went to a zone that was lost, until each of a hundred dispatchers had
     // failed at each of thirty workers; jobs had spent their three attempts after half a second.
-    let zones = |l: Listing| Listing {
+    let zones = |l: WorkerEntry| WorkerEntry {
         zone: l.worker.0 % 2,
         ..l
     };
     let mut rig = Rig::new(many_told(), 0);
     rig.list(
-        ListKind::Inherited,
+        ListUpdateKind::Inherited,
+        list(0).into_iter().map(zones).collect(),
+    );
+    rig.list(
+        ListUpdateKind::Incremental,
         list(0).into_iter().map(zones).collect(),
     );
-    rig.list(ListKind::Changes, list(0).into_iter().map(zones).collect());
     let (mut failed, mut late) = (0, 0);
     for id in 0..100 {
         rig.now += 100 * MS;
@@ -261,11 +264,11 @@
     // It comes back: a list says that its workers have started anew.
     let started = Some(rig.now - 30_000 * MS);
     rig.list(
-        ListKind::Changes,
+        ListUpdateKind::Incremental,
         list(0)
             .into_iter()
             .map(zones)
-            .map(|l| Listing { started, ..l })
+            .map(|l| WorkerEntry { started, ..l })
             .collect(),
     );
     let mut back = 0;
--- a/crates/dispatcher/dispatch-policy/tests/terms.rs
+++ b/crates/dispatcher/dispatch-policy/tests/terms.rs
@@ -5,18 +5,18 @@
 use dispatch_api::*;
 use std::sync::Arc;
 
-fn terms(class: ClassTerms) -> Event {
-    Event::Terms(Some(Arc::new(Terms {
+fn terms(class: ClassAdmission) -> Event {
+    Event::AdmissionChanged(Some(Arc::new(AdmissionPolicy {
         classes: vec![class],
-        open: usize::MAX,
-        above: 0,
+        max_open_jobs: usize::MAX,
+        min_backlog: 0,
         retry_after: 1_000 * MS,
     })))
 }
 
 fn refusals(actions: &[Action]) -> Vec<Micros> {
     let wait = |a: &Action| match a {
-        Action::Refuse { retry_after, .. } => *retry_after,
+        Action::RejectJob { retry_after, .. } => *retry_after,
         _ => None,
     };
     actions.iter().filter_map(wait).collect()
@@ -26,9 +26,9 @@
 #[test]
 fn what_a_level_turns_away_is_refused_at_once_with_advice_that_is_spread() {
     let mut rig = Rig::new(settings(vec![safe(), unsafe_class()]), 4);
-    rig.event(terms(ClassTerms {
-        admit: 0.0,
-        ..ClassTerms::default()
+    rig.event(terms(ClassAdmission {
+        admitted_share: 0.0,
+        ..ClassAdmission::default()
     }));
     let waits: Vec<Micros> = (0..50)
         .flat_map(|id| refusals(&rig.job(id, 0, 1.0)))
@@ -46,20 +46,24 @@
     );
     let counts = rig.d.figures().classes;
     assert_eq!(
-        (counts[0].turned_away, counts[0].over, counts[1].turned_away),
+        (
+            counts[0].rejected_by_level,
+            counts[0].over,
+            counts[1].rejected_by_level
+        ),
         (50, 0, 0)
     );
-    rig.event(Event::Terms(None));
+    rig.event(Event::AdmissionChanged(None));
     assert_eq!(pushes(&rig.job(61, 0, 1.0)).len(), 1);
 }
 
 #[test]
 fn a_share_is_a_share_and_large_jobs_go_first() {
     let mut rig = Rig::new(settings(vec![safe()]), 20);
-    rig.event(terms(ClassTerms {
-        admit: 0.25,
-        largest: 2.0,
-        ..ClassTerms::default()
+    rig.event(terms(ClassAdmission {
+        admitted_share: 0.25,
+        max_slots: 2.0,
+        ..ClassAdmission::default()
     }));
     let sent = (0..40)
         .filter(|id| !pushes(&rig.job(*id, 0, 1.0)).is_empty())
@@ -75,35 +79,35 @@
 #[test]
 fn without_pressure_a_level_turns_nothing_away() {
     let mut rig = Rig::new(settings(vec![safe()]), 2);
-    let class = ClassTerms {
-        admit: 0.0,
-        ..ClassTerms::default()
+    let class = ClassAdmission {
+        admitted_share: 0.0,
+        ..ClassAdmission::default()
     };
-    let terms = Terms {
+    let terms = AdmissionPolicy {
         classes: vec![class],
-        open: usize::MAX,
-        above: 300 * MS,
+        max_open_jobs: usize::MAX,
+        min_backlog: 300 * MS,
         retry_after: 1_000 * MS,
     };
-    rig.event(Event::Terms(Some(Arc::new(terms))));
-    let mut turned_away = None;
+    rig.event(Event::AdmissionChanged(Some(Arc::new(terms))));
+    let mut rejected_by_level = None;
     for id in 0..60 {
         if !answers(&rig.job(id, 0, 1.0)).is_empty() {
-            turned_away = turned_away.or(Some(id));
+            rejected_by_level = rejected_by_level.or(Some(id));
         }
     }
     assert!(
-        turned_away.is_some_and(|first| first > 8),
-        "all slots first, then some that wait: {turned_away:?}"
+        rejected_by_level.is_some_and(|first| first > 8),
+        "all slots first, then some that wait: {rejected_by_level:?}"
     );
 }
 
 /// Guards against held jobs that a level forgets, and against a refusal of what may have run.
 #[test]
 fn a_level_treats_what_is_held_but_not_what_may_have_run() {
-    let class = Class {
-        give_up: 60_000 * MS,
-        ..keyed(Scope::Zone)
+    let class = JobClass {
+        client_timeout: 60_000 * MS,
+        ..keyed(DeduplicationScope::Zone)
     };
     let mut rig = Rig::new(settings(vec![class]), 1);
     rig.expires_in = 60_000 * MS;
@@ -116,9 +120,9 @@
     let again = rig.ended(1, 0, sent[0].1, Outcome::Reset);
     assert_eq!(answers(&again), []);
     let exposed_is_out = pushes(&again).iter().any(|(id, _)| *id == 1);
-    let mut refused: Vec<(u64, bool)> = answers(&rig.event(terms(ClassTerms {
-        admit: 0.0,
-        ..ClassTerms::default()
+    let mut refused: Vec<(u64, bool)> = answers(&rig.event(terms(ClassAdmission {
+        admitted_share: 0.0,
+        ..ClassAdmission::default()
     })));
     refused.sort_unstable();
     held.retain(|id| !pushes(&again).iter().any(|(sent, _)| sent == id));
@@ -135,9 +139,9 @@
     let full = (0..20)
         .find(|id| pushes(&rig.job(*id, 0, 1.0)).is_empty())
         .expect("slots run out");
-    rig.event(terms(ClassTerms {
-        hold: Some(50 * MS),
-        ..ClassTerms::default()
+    rig.event(terms(ClassAdmission {
+        max_hold: Some(50 * MS),
+        ..ClassAdmission::default()
     }));
     rig.job(100, 0, 1.0);
     let mut refused = vec![];
@@ -154,7 +158,7 @@
     s.progress_every = Some(1_000 * MS);
     let mut rig = Rig::new(s, 1);
     let sent = pushes(&rig.job(1, 0, 1.0));
-    let silent = |rig: &Rig| rig.d.figures().kinds[0].silent;
+    let silent = |rig: &Rig| rig.d.figures().kinds[0].unresponsive;
     rig.started(1, 0, sent[0].1);
     rig.after(1_400 * MS);
     assert_eq!(silent(&rig), 0.0);
@@ -162,7 +166,7 @@
     assert_eq!(silent(&rig), 1.0);
     rig.ended(1, 0, sent[0].1, Outcome::TimedOut);
     assert_eq!(silent(&rig), 1.0, "that nobody waits any longer is no word");
-    rig.event(Event::Probed {
+    rig.event(Event::ProbeEnded {
         worker: sent[0].1,
         outcome: Outcome::Done,
         report: None,
--- a/crates/dispatcher/dispatcher-settings/src/facts.rs
+++ b/crates/dispatcher/dispatcher-settings/src/facts.rs
@@ -2,10 +2,10 @@
 //! Each field is the key of its name, and means what the platform says of that key.
 #![allow(missing_docs)]
 
-use dispatch_api::told::{ENTRY_BYTES, MESSAGE_BYTES};
+use dispatch_api::load_exchange::{ENTRY_BYTES, MESSAGE_BYTES};
 use dispatch_api::{
-    Class, Discovery, Goal, Idempotency, Limits, Micros, Reports, RetryBudget, Rules, Scope,
-    Settings, SettingsError, Tenant,
+    DeduplicationScope, Discovery, Idempotency, JobClass, Limits, LoadReporting, Micros,
+    ObjectiveWeights, RetryBudget, Rules, Settings, SettingsError, Tenant,
 };
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -182,26 +182,26 @@
 /// What the decisions take from it.
 pub fn settings(f: &Facts) -> Result<Settings, SettingsError> {
     let x = &f.specifics;
-    let class = |(i, c): (usize, &ClassFacts)| Class {
-        aim: micros(c.slo_ms),
-        stretch: c
+    let class = |(i, c): (usize, &ClassFacts)| JobClass {
+        latency_target: micros(c.slo_ms),
+        target_stretch: c
             .aim_stretch
             .or(x.class_stretch.get(i).copied())
             .unwrap_or(0.0),
-        give_up: micros(c.hard_limit_ms),
-        worth: c.points,
-        late_worth: c.late_worth.unwrap_or(0.0),
+        client_timeout: micros(c.hard_limit_ms),
+        job_value: c.points,
+        late_value_share: c.late_worth.unwrap_or(0.0),
         idempotency: match c.effect.as_str() {
-            "pure" => Idempotency::Safe,
+            "pure" => Idempotency::Idempotent,
             "token" => Idempotency::Keyed {
                 scope: match c.group.as_deref() {
-                    Some("all") => Scope::All,
-                    Some("zone") => Scope::Zone,
-                    _ => Scope::Cell,
+                    Some("all") => DeduplicationScope::All,
+                    Some("zone") => DeduplicationScope::Zone,
+                    _ => DeduplicationScope::Cell,
                 },
                 memory: micros(c.memory_span_ms.unwrap_or(0.0)),
             },
-            _ => Idempotency::Unsafe,
+            _ => Idempotency::NonIdempotent,
         },
         kind: x.class_kind.get(i).and_then(|k| u32::try_from(*k).ok()),
     };
@@ -216,18 +216,18 @@
         zone: f.az,
         classes: f.classes.iter().enumerate().map(class).collect(),
         tenants: f.tenants.iter().flatten().map(tenant).collect(),
-        goal: Goal {
+        goal: ObjectiveWeights {
             overall: goal("whole"),
             worst_window: goal("worst-window"),
             worst_class: goal("worst-class"),
             worst_tenant: goal("worst-tenant"),
         },
-        worth_by_work: f.worth_by.as_deref() == Some("work"),
-        over_share_worth: f.over_share_worth.unwrap_or(1.0),
+        value_by_work: f.worth_by.as_deref() == Some("work"),
+        over_share_value: f.over_share_worth.unwrap_or(1.0),
         waste_price: cost("waste"),
         discovery: if f.discovery == "on_request" {
             Discovery::OnRequest {
-                ask_within: micros(f.rules.must_ask_in_ms.unwrap_or(10_000.0)),
+                watch_within: micros(f.rules.must_ask_in_ms.unwrap_or(10_000.0)),
             }
         } else {
             Discovery::Pushed
@@ -238,9 +238,9 @@
             .filter(|r| r.tell_loads(x))
             .map(|r| r.via.as_str())
         {
-            Some("answers") => Reports::Outcomes,
-            Some("probe") => Reports::Probes,
-            _ => Reports::None,
+            Some("answers") => LoadReporting::Outcomes,
+            Some("probe") => LoadReporting::Probes,
+            _ => LoadReporting::None,
         },
         start_notices: x.tells_start,
         progress_every: (x.progress_ms > 0.0).then(|| micros(x.progress_ms)),
@@ -260,17 +260,17 @@
             } else {
                 0
             },
-            tell_price: cost("peer") * ENTRY_BYTES as f64 / MESSAGE_BYTES as f64,
+            peer_price: cost("peer") * ENTRY_BYTES as f64 / MESSAGE_BYTES as f64,
             retry_after: f
                 .allowed
                 .retry_after
                 .then(|| micros(f.allowed.max_retry_after_ms)),
         },
         rules: Rules {
-            cold_for: micros(f.rules.cold_ms),
+            warm_up: micros(f.rules.cold_ms),
             start_capacity: f.rules.start_capacity,
-            tip_multiple: f.rules.tip_multiple,
-            tip_window: micros(f.rules.fall_ms),
+            overload_multiple: f.rules.tip_multiple,
+            overload_window: micros(f.rules.fall_ms),
             retry_budget: retry_budget(&f.rules)?,
             refusal_inconclusive: f.rules.full_may_have_run.unwrap_or(false),
             close_on_drain: f
--- a/crates/dispatcher/dispatcher-settings/src/operator.rs
+++ b/crates/dispatcher/dispatcher-settings/src/operator.rs
@@ -2,7 +2,7 @@
 //! and key and says what would be right.
 
 use degradation::{Bounds, Gauge, Level, Spec};
-use dispatch_api::{ClassTerms, Micros, Terms};
+use dispatch_api::{AdmissionPolicy, ClassAdmission, Micros};
 use hcl_edit::structure::{Body, Structure};
 use hcl_edit::Span;
 use indexmap::IndexMap;
@@ -518,7 +518,7 @@
                 leave.0.push((*gauge, bound * LEAVE_SHARE));
             }
         }
-        let mut terms = vec![ClassTerms::default(); classes.len()];
+        let mut terms = vec![ClassAdmission::default(); classes.len()];
         for (name, block) in &self.class {
             let key = |key: &str| {
                 at(&format!(
@@ -552,12 +552,12 @@
             {
                 return Err(source.fault(&key("headroom"), "must be 0 to 1000 slots"));
             }
-            terms[class] = ClassTerms {
-                admit: share,
-                largest: block.largest_slots.unwrap_or(f64::INFINITY),
-                attempts: block.attempts.unwrap_or(u32::MAX),
-                hold: block.hold_ms.map(micros),
-                headroom: block.headroom.unwrap_or(0.0),
+            terms[class] = ClassAdmission {
+                admitted_share: share,
+                max_slots: block.largest_slots.unwrap_or(f64::INFINITY),
+                max_attempts: block.attempts.unwrap_or(u32::MAX),
+                max_hold: block.hold_ms.map(micros),
+                reserved_slots: block.headroom.unwrap_or(0.0),
             };
         }
         Ok(Level {
@@ -566,10 +566,10 @@
             enter_for: micros(self.enter.for_ms.unwrap_or(ENTER_FOR_MS)),
             leave,
             leave_for: micros(self.leave.for_ms.unwrap_or(LEAVE_FOR_MS)),
-            terms: Terms {
+            terms: AdmissionPolicy {
                 classes: terms,
-                open: self.open_flows.unwrap_or(usize::MAX),
-                above: micros(self.while_wait_ms.unwrap_or(0)),
+                max_open_jobs: self.open_flows.unwrap_or(usize::MAX),
+                min_backlog: micros(self.while_wait_ms.unwrap_or(0)),
                 retry_after: micros(self.retry_after_ms.unwrap_or(RETRY_AFTER_MS)),
             },
         })
--- a/crates/dispatcher/dispatcher-settings/tests/operator.rs
+++ b/crates/dispatcher/dispatcher-settings/tests/operator.rs
@@ -58,7 +58,7 @@
         );
     }
     let spec = read(GOOD).unwrap().unwrap();
-    assert_eq!(spec.levels[0].terms.class(0).admit, 0.0);
+    assert_eq!(spec.levels[0].terms.class(0).admitted_share, 0.0);
     assert_eq!(
         spec.levels[0].leave.0.len(),
         2,
--- a/crates/dispatcher/dispatcher-settings/tests/platform.rs
+++ b/crates/dispatcher/dispatcher-settings/tests/platform.rs
@@ -2,7 +2,7 @@
 
 #![expect(clippy::unwrap_used, reason = "a test ends at the first surprise")]
 
-use dispatch_api::Reports;
+use dispatch_api::LoadReporting;
 use dispatcher_settings::platform::Config;
 use rstest::rstest;
 
@@ -76,32 +76,32 @@
 /// Guards against a dispatcher that waits for loads which no report of its deployment tells, be it that there are none, or that
 /// they name other things.
 #[rstest]
-#[case::none("", Reports::None, false)]
-#[case::via_none(r#""report":{"via":"none"},"#, Reports::None, false)]
+#[case::none("", LoadReporting::None, false)]
+#[case::via_none(r#""report":{"via":"none"},"#, LoadReporting::None, false)]
 #[case::free_slots(
     r#""report":{"via":"probe","names":["x0","queue"]},"#,
-    Reports::Probes,
+    LoadReporting::Probes,
     true
 )]
 #[case::held(
     r#""report":{"via":"answers","names":["concurrent"]},"#,
-    Reports::Outcomes,
+    LoadReporting::Outcomes,
     true
 )]
-#[case::not_named(r#""report":{"via":"answers"},"#, Reports::Outcomes, true)]
+#[case::not_named(r#""report":{"via":"answers"},"#, LoadReporting::Outcomes, true)]
 #[case::no_loads(
     r#""report":{"via":"answers","names":["mean_ms","tps"]},"#,
-    Reports::None,
+    LoadReporting::None,
     false
 )]
 #[case::another_x0(
     r#""specifics":{"report-x0":"free memory"},"report":{"via":"probe","names":["x0"]},"#,
-    Reports::None,
+    LoadReporting::None,
     false
 )]
 fn only_reports_that_tell_loads_are_asked_for(
     #[case] report: &str,
-    #[case] reports: Reports,
+    #[case] reports: LoadReporting,
     #[case] probe: bool,
 ) {
     let text = GOOD.replace(r#""settings":{"#, &format!(r#""settings":{{{report}"#));
--- a/crates/dispatcher/dispatcher-state/src/lib.rs
+++ b/crates/dispatcher/dispatcher-state/src/lib.rs
@@ -19,7 +19,8 @@
 use bytes::Bytes;
 use degradation::{Spec, Usage};
 use dispatch_api::{
-    CallLost, JobId, JobSpec, Known, ListKind, LoadReport, Micros, Outcome, Settings, Status,
+    DiscoveryFailure, JobId, JobSpec, ListUpdateKind, LoadReport, Micros, Outcome, PolicySnapshot,
+    Settings, WorkerStatus,
 };
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -83,7 +84,7 @@
     /// Its cell.
     pub cell: u32,
     /// Whether it takes new work.
-    pub status: Status,
+    pub status: WorkerStatus,
     /// When it last started; none if long ago.
     pub started: Option<Micros>,
     /// Its weight beside others; none if the list tells none.
@@ -96,14 +97,14 @@
     /// A list of targets, or changes to it.
     Listed {
         /// How it relates to the list before.
-        kind: ListKind,
+        kind: ListUpdateKind,
         /// Its version; none if nothing is known, and the whole list is to be asked for.
         version: Option<u64>,
         /// Its entries.
         entries: Vec<Listed>,
     },
     /// The watch on the list has failed and ended.
-    ListFailed(CallLost),
+    ListFailed(DiscoveryFailure),
     /// A flow was taken; its id is new.
     Taken(JobSpec),
     /// A request got a fixed response before it was a flow, and its class was known.
@@ -178,7 +179,7 @@
     /// The operators' latest word on targets, here or at another process of this dispatcher.
     Ruled(Vec<(String, Ruling)>),
     /// What a predecessor knew of the targets that are listed by now.
-    Recalled(Box<Known>),
+    Recalled(Box<PolicySnapshot>),
     /// Every flow that is open is to have its final answer by then.
     AnswerBy(Micros),
     /// So many connections to targets may be open together from now on.
--- a/crates/dispatcher/dispatcher-state/src/reducer.rs
+++ b/crates/dispatcher/dispatcher-state/src/reducer.rs
@@ -9,10 +9,10 @@
 use bytes::Bytes;
 use coordination::{Council, Targets};
 use degradation::{Governed, Status};
-use dispatch_api::told;
+use dispatch_api::load_exchange;
 use dispatch_api::{
-    Action, Event, Idempotency, JobId, Known, ListKind, LoadReport, Micros, Outcome, Reports,
-    SettingsError, WorkerId,
+    Action, Event, Idempotency, JobId, ListUpdateKind, LoadReport, LoadReporting, Micros, Outcome,
+    PolicySnapshot, SettingsError, WorkerId,
 };
 use membership::{Change, Swim};
 use std::collections::{BTreeSet, VecDeque};
@@ -75,7 +75,7 @@
     /// What can be seen from outside.
     pub fn seen(&self) -> Seen {
         let status = self.decisions.status();
-        let avoided = self.targets.out() + status.figures.avoided;
+        let ejected = self.targets.out() + status.figures.ejected;
         let members = self.council.members().map(|m| Watched::of(m, self.now));
         let (counts, listed, upkeep) = (
             self.counts.clone(),
@@ -85,7 +85,7 @@
         Seen {
             counts,
             listed,
-            avoided,
+            ejected,
             status,
             members,
             upkeep,
@@ -93,7 +93,7 @@
     }
 
     /// What a successor can use.
-    pub fn known(&self) -> Known {
+    pub fn known(&self) -> PolicySnapshot {
         self.decisions.known()
     }
 
@@ -163,7 +163,7 @@
     /// Targets in the list, those that drain included.
     pub listed: usize,
     /// ... and of these, those that are out by hand or get nothing for now.
-    pub avoided: usize,
+    pub ejected: usize,
     /// What is believed of each dispatcher, by number, where they watch each other.
     pub members: Option<Watched>,
     /// The plan of maintenance, where one is known.
@@ -214,14 +214,14 @@
 }
 
 impl Targets for Here<'_> {
-    fn in_flight(&self, mark: u32) -> bool {
+    fn in_flight(&self, name_hash: u32) -> bool {
         self.targets
-            .marked(mark)
+            .by_name_hash(name_hash)
             .is_some_and(|target| self.pool.carries(target))
     }
 
-    fn restarted(&self, mark: u32, since: Micros) -> bool {
-        self.targets.started_after(mark, since)
+    fn restarted(&self, name_hash: u32, since: Micros) -> bool {
+        self.targets.started_after(name_hash, since)
     }
 }
 
@@ -243,14 +243,15 @@
             } => {
                 let (entries, stale) = self.state.targets.update(kind, version, entries);
                 stale.into_iter().for_each(|target| self.close_idle(target));
-                self.events.push_back(Event::Listed { kind, entries });
+                self.events
+                    .push_back(Event::WorkersUpdated { kind, entries });
             }
             Input::Ruled(rulings) => self.ruled(rulings),
-            Input::ListFailed(lost) => self.events.push_back(Event::ListFailed(lost)),
+            Input::ListFailed(lost) => self.events.push_back(Event::WatchFailed(lost)),
             Input::Taken(spec) => {
                 self.state.flows.take(spec.id, spec.class, spec.expires);
                 self.state.counts.taken(spec.class);
-                self.events.push_back(Event::Job(spec));
+                self.events.push_back(Event::JobAccepted(spec));
             }
             Input::TurnedBack { class, answer } => {
                 self.state.counts.taken(class);
@@ -262,7 +263,7 @@
             Input::Left(flow) => {
                 if let Some(class) = self.state.flows.finish(flow) {
                     self.state.counts.gone(class);
-                    self.events.push_back(Event::ClientGone(flow));
+                    self.events.push_back(Event::ClientDisconnected(flow));
                 }
             }
             Input::Up(conn) => self.up(conn),
@@ -272,7 +273,7 @@
             Input::Started(conn) => {
                 if let Some((job, attempt, worker)) = self.attempt(conn) {
                     debug!(flow = job.0, attempt, target = worker.0, "started");
-                    self.events.push_back(Event::Started {
+                    self.events.push_back(Event::JobStarted {
                         job,
                         attempt,
                         worker,
@@ -281,7 +282,7 @@
             }
             Input::Progress(conn, done) => {
                 if let Some((job, attempt, worker)) = self.attempt(conn) {
-                    self.events.push_back(Event::Progress {
+                    self.events.push_back(Event::JobProgress {
                         job,
                         attempt,
                         worker,
@@ -307,14 +308,19 @@
                 if from == self.state.setup.me || from >= self.state.setup.settings.dispatchers {
                     return;
                 }
-                if !message.len().is_multiple_of(told::ENTRY_BYTES) && self.state.council.watches()
+                if !message.len().is_multiple_of(load_exchange::ENTRY_BYTES)
+                    && self.state.council.watches()
                 {
                     let effects = self.state.council.take(self.now, from, &message);
                     self.settled(effects);
                 } else {
-                    let known = |(mark, slots)| Some((self.state.targets.marked(mark)?, slots));
-                    let held = told::entries(&message).filter_map(known).collect();
-                    self.events.push_back(Event::Told { from, held });
+                    let known = |(name_hash, slots)| {
+                        Some((self.state.targets.by_name_hash(name_hash)?, slots))
+                    };
+                    let held = load_exchange::decode_entries(&message)
+                        .filter_map(known)
+                        .collect();
+                    self.events.push_back(Event::PeerLoad { from, held });
                 }
             }
             Input::Member(joining) => {
@@ -352,7 +358,9 @@
                 self.asks(|council, now, known| council.plan(now, plan.map(|plan| *plan), known));
             }
             Input::Done(target) => {
-                self.asks(|council, now, known| council.done(now, told::mark(&target), known));
+                self.asks(|council, now, known| {
+                    council.done(now, load_exchange::name_hash(&target), known)
+                });
             }
             Input::Odd(what, times) => self.state.counts.was_odd(what, times),
             Input::Used(usage) => self.state.decisions.used(usage),
@@ -421,7 +429,7 @@
                     .flows
                     .all_waiting()
                     .into_iter()
-                    .map(Event::CutShort),
+                    .map(Event::AbortJob),
             );
             self.settle();
         }
@@ -461,7 +469,7 @@
                 coordination::Effect::Send { to, message } => {
                     self.effects.push(Effect::TellOne { to, message })
                 }
-                coordination::Effect::Rule { mark, out } => self.ban(mark, out),
+                coordination::Effect::Rule { name_hash, out } => self.ban(name_hash, out),
                 coordination::Effect::Joined {
                     me,
                     members,
@@ -480,11 +488,11 @@
                     info!(member, heard, "whether a dispatcher hears this one");
                 }
                 coordination::Effect::Stands {
-                    mark,
+                    name_hash,
                     standing,
                     forced,
                 } => {
-                    let target = self.state.targets.named_by(mark).unwrap_or("unknown");
+                    let target = self.state.targets.named_by(name_hash).unwrap_or("unknown");
                     info!(target, ?standing, forced, "maintenance");
                 }
                 coordination::Effect::NotFollowed(e) => {
@@ -499,15 +507,15 @@
     }
 
     /// As the operators' word on a target, but by the plan.
-    fn ban(&mut self, mark: u32, out: bool) {
-        let Some((entry, target)) = self.state.targets.plan(mark, out, self.now) else {
+    fn ban(&mut self, name_hash: u32, out: bool) {
+        let Some((entry, target)) = self.state.targets.plan(name_hash, out, self.now) else {
             return;
         };
         if out {
             self.close_idle(target);
         }
-        self.events.push_back(Event::Listed {
-            kind: ListKind::Changes,
+        self.events.push_back(Event::WorkersUpdated {
+            kind: ListUpdateKind::Incremental,
             entries: vec![entry],
         });
         self.settle();
@@ -516,24 +524,24 @@
     fn act(&mut self, action: Action) {
         match action {
             Action::Push { job, worker } => self.push(job, worker),
-            Action::Cancel { job, attempt } => self.cancel(job, attempt),
-            Action::Refuse { job, retry_after } => {
+            Action::CancelAttempt { job, attempt } => self.cancel(job, attempt),
+            Action::RejectJob { job, retry_after } => {
                 self.answer(job, Answer::Refused { retry_after })
             }
-            Action::Fail { job } => self.answer(job, Answer::Failed),
+            Action::FailJob { job } => self.answer(job, Answer::Failed),
             Action::Probe { worker } => self.carry(worker, Load::Probe),
-            Action::CloseIdle { worker } => self.close_idle(worker),
-            Action::Tell { held } => {
+            Action::CloseIdleConnections { worker } => self.close_idle(worker),
+            Action::PublishLoad { held } => {
                 let entry = |(worker, slots): &(WorkerId, u32)| {
-                    Some(told::entry(
-                        told::mark(&self.state.targets.get(*worker)?.name),
+                    Some(load_exchange::encode_entry(
+                        load_exchange::name_hash(&self.state.targets.get(*worker)?.name),
                         *slots,
                     ))
                 };
                 let message: Vec<u8> = held.iter().filter_map(entry).flatten().collect();
                 self.effects.push(Effect::Tell(message));
             }
-            Action::Watch => self.effects.push(Effect::Watch {
+            Action::WatchWorkers => self.effects.push(Effect::Watch {
                 after: self.state.targets.version,
             }),
             // One that is due already comes next, never within this call.
@@ -574,8 +582,8 @@
                 self.close_idle(worker);
             }
             let entries = entry.into_iter().collect();
-            self.events.push_back(Event::Listed {
-                kind: ListKind::Changes,
+            self.events.push_back(Event::WorkersUpdated {
+                kind: ListUpdateKind::Incremental,
                 entries,
             });
         }
@@ -629,7 +637,7 @@
         };
         let class = self.state.flows.get_mut(flow).map(|f| f.class);
         let class = class.and_then(|c| self.state.setup.settings.classes.get(c));
-        class.is_none_or(|c| c.idempotency != Idempotency::Unsafe)
+        class.is_none_or(|c| c.idempotency != Idempotency::NonIdempotent)
     }
 
     /// When this dispatcher stops waiting for it.
@@ -812,8 +820,8 @@
                 );
                 let finished = !self.state.flows.waiting(job);
                 self.state.flows.back(job);
-                let report = report.filter(|_| reports == Reports::Outcomes);
-                self.events.push_back(Event::Ended {
+                let report = report.filter(|_| reports == LoadReporting::Outcomes);
+                self.events.push_back(Event::AttemptEnded {
                     job,
                     attempt,
                     worker,
@@ -823,9 +831,9 @@
                 });
             }
             Load::Probe => {
-                let report = report.filter(|_| reports != Reports::None);
+                let report = report.filter(|_| reports != LoadReporting::None);
                 debug!(target = worker.0, ?outcome, ?report, "probe ended");
-                self.events.push_back(Event::Probed {
+                self.events.push_back(Event::ProbeEnded {
                     worker,
                     outcome,
                     report,
--- a/crates/dispatcher/dispatcher-state/src/targets.rs
+++ b/crates/dispatcher/dispatcher-state/src/targets.rs
@@ -1,8 +1,8 @@
 //! The target group: every target that a list has named, numbered for the decisions, and the operators' word on some.
 
 use super::{Listed, Ruling};
-use dispatch_api::told;
-use dispatch_api::{ListKind, Listing, Micros, Status, WorkerId};
+use dispatch_api::load_exchange;
+use dispatch_api::{ListUpdateKind, Micros, WorkerEntry, WorkerId, WorkerStatus};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
 
@@ -17,7 +17,7 @@
     /// It may get something new.
     pub ready: bool,
     /// What the list says of it, the operators' word left aside.
-    listing: Listing,
+    listing: WorkerEntry,
     /// It counts as started no earlier than this: it was called back, and a list may not know of its start.
     started_from: Option<Micros>,
 }
@@ -27,7 +27,7 @@
 pub(super) struct TargetGroup {
     targets: Vec<Target>,
     numbers: HashMap<String, WorkerId>,
-    marks: HashMap<u32, WorkerId>,
+    name_hashes: HashMap<u32, WorkerId>,
     rulings: BTreeMap<String, Ruling>,
     /// Out by a plan of maintenance, since when.
     planned: BTreeMap<u32, Micros>,
@@ -44,8 +44,8 @@
         self.get(id).is_some_and(|t| t.ready)
     }
 
-    pub fn marked(&self, mark: u32) -> Option<WorkerId> {
-        self.marks.get(&mark).copied()
+    pub fn by_name_hash(&self, name_hash: u32) -> Option<WorkerId> {
+        self.name_hashes.get(&name_hash).copied()
     }
 
     /// Whether a list has ever named it.
@@ -57,13 +57,13 @@
     pub fn listed(&self) -> usize {
         self.targets
             .iter()
-            .filter(|t| t.listing.status != Status::Gone)
+            .filter(|t| t.listing.status != WorkerStatus::Removed)
             .count()
     }
 
     /// ... and of these, those that are out by hand.
     pub fn out(&self) -> usize {
-        let listed = |t: &&Target| t.listing.status != Status::Gone;
+        let listed = |t: &&Target| t.listing.status != WorkerStatus::Removed;
         self.targets
             .iter()
             .filter(listed)
@@ -83,26 +83,27 @@
 
     fn is_out(&self, name: &str) -> bool {
         self.rulings.get(name).is_some_and(|r| r.out)
-            || self.planned.contains_key(&told::mark(name))
+            || self.planned.contains_key(&load_exchange::name_hash(name))
     }
 
     /// The name behind a mark.
-    pub fn named_by(&self, mark: u32) -> Option<&str> {
-        self.get(self.marked(mark)?).map(|t| t.name.as_str())
+    pub fn named_by(&self, name_hash: u32) -> Option<&str> {
+        self.get(self.by_name_hash(name_hash)?)
+            .map(|t| t.name.as_str())
     }
 
     /// Whether the list says that a target was started after this.
-    pub fn started_after(&self, mark: u32, since: Micros) -> bool {
+    pub fn started_after(&self, name_hash: u32, since: Micros) -> bool {
         let started = self
-            .marked(mark)
+            .by_name_hash(name_hash)
             .and_then(|id| self.get(id))
             .and_then(|t| t.listing.started);
         started.is_some_and(|at| at > since)
     }
 
     /// What the list says of every target that is in it.
-    pub fn all_listed(&self) -> impl Iterator<Item = (&str, &Listing)> {
-        let listed = |t: &&Target| t.listing.status != Status::Gone;
+    pub fn all_listed(&self) -> impl Iterator<Item = (&str, &WorkerEntry)> {
+        let listed = |t: &&Target| t.listing.status != WorkerStatus::Removed;
         self.targets
             .iter()
             .filter(listed)
@@ -110,15 +111,20 @@
     }
 
     /// Leaves a target out by a plan, or has it back. Returns what the decisions are to hear, if a list has named it.
-    pub fn plan(&mut self, mark: u32, out: bool, now: Micros) -> Option<(Listing, WorkerId)> {
+    pub fn plan(
+        &mut self,
+        name_hash: u32,
+        out: bool,
+        now: Micros,
+    ) -> Option<(WorkerEntry, WorkerId)> {
         let worker = match out {
             true => {
-                self.planned.entry(mark).or_insert(now);
-                self.marked(mark)?
+                self.planned.entry(name_hash).or_insert(now);
+                self.by_name_hash(name_hash)?
             }
             false => {
-                let since = self.planned.remove(&mark)?;
-                let worker = self.marked(mark)?;
+                let since = self.planned.remove(&name_hash)?;
+                let worker = self.by_name_hash(name_hash)?;
                 if let Some(target) = self.targets.get_mut(worker.0 as usize) {
                     // As after a word of the operators: it may have been restarted, and the list not know yet.
                     target.started_from = Some(since.max(now.saturating_sub(LATE)));
@@ -127,7 +133,7 @@
             }
         };
         Some((
-            Listing {
+            WorkerEntry {
                 weight: None,
                 ..self.shown(worker)
             },
@@ -138,10 +144,10 @@
     /// Takes a list over. Returns it for the decisions, and the targets whose connections are of no more use.
     pub fn update(
         &mut self,
-        kind: ListKind,
+        kind: ListUpdateKind,
         version: Option<u64>,
         entries: Vec<Listed>,
-    ) -> (Vec<Listing>, BTreeSet<WorkerId>) {
+    ) -> (Vec<WorkerEntry>, BTreeSet<WorkerId>) {
         self.version = version;
         let mut stale = BTreeSet::new();
         let mut listings = Vec::with_capacity(entries.len());
@@ -163,10 +169,10 @@
                 weight,
                 ..
             } = entry;
-            let mark = told::mark(&target.name);
-            target.listing = Listing {
+            let name_hash = load_exchange::name_hash(&target.name);
+            target.listing = WorkerEntry {
                 worker,
-                mark,
+                name_hash,
                 status,
                 kind,
                 zone,
@@ -179,12 +185,12 @@
                 stale.insert(worker);
             }
         }
-        if kind != ListKind::Changes {
+        if kind != ListUpdateKind::Incremental {
             let listed: BTreeSet<WorkerId> = listings.iter().map(|l| l.worker).collect();
             for (n, target) in (0..).zip(&mut self.targets) {
                 if !listed.contains(&WorkerId(n)) {
                     target.ready = false;
-                    target.listing.status = Status::Gone;
+                    target.listing.status = WorkerStatus::Removed;
                     stale.insert(WorkerId(n));
                 }
             }
@@ -198,7 +204,7 @@
         &mut self,
         name: &str,
         ruling: Ruling,
-    ) -> Option<(Option<Listing>, Option<WorkerId>)> {
+    ) -> Option<(Option<WorkerEntry>, Option<WorkerId>)> {
         let before = self.rulings.get(name).copied();
         if before.is_some_and(|b| b.at >= ruling.at) {
             return None;
@@ -222,7 +228,7 @@
             };
         }
         // What the list said last of its load is no news.
-        let shown = Listing {
+        let shown = WorkerEntry {
             weight: None,
             ..self.shown(worker)
         };
@@ -230,20 +236,20 @@
     }
 
     /// What the decisions hear of a target: one that is out is so whatever the list says, unless it is gone.
-    fn shown(&mut self, worker: WorkerId) -> Listing {
+    fn shown(&mut self, worker: WorkerId) -> WorkerEntry {
         let Some(target) = self.targets.get(worker.0 as usize) else {
-            return Listing::default();
+            return WorkerEntry::default();
         };
         let (out, listing) = (self.is_out(&target.name), target.listing.clone());
         let status = match listing.status {
-            Status::Ready | Status::Draining if out => Status::Out,
+            WorkerStatus::Ready | WorkerStatus::Draining if out => WorkerStatus::Disabled,
             status => status,
         };
         let started = listing.started.max(target.started_from);
         if let Some(target) = self.targets.get_mut(worker.0 as usize) {
-            target.ready = status == Status::Ready;
+            target.ready = status == WorkerStatus::Ready;
         }
-        Listing {
+        WorkerEntry {
             status,
             started,
             ..listing
@@ -255,9 +261,9 @@
             return *id;
         }
         let id = WorkerId(self.targets.len() as u32);
-        let listing = Listing {
+        let listing = WorkerEntry {
             worker: id,
-            ..Listing::default()
+            ..WorkerEntry::default()
         };
         let (name, addr) = (entry.name.clone(), entry.addr);
         self.targets.push(Target {
@@ -267,7 +273,8 @@
             listing,
             started_from: None,
         });
-        self.marks.insert(told::mark(&entry.name), id);
+        self.name_hashes
+            .insert(load_exchange::name_hash(&entry.name), id);
         self.numbers.insert(entry.name.clone(), id);
         id
     }
--- a/crates/dispatcher/dispatcher-state/src/upkeep.rs
+++ b/crates/dispatcher/dispatcher-state/src/upkeep.rs
@@ -1,7 +1,7 @@
 //! Maintenance as operators ask for it and see it: by names, where members go by marks.
 
 use super::reducer::State;
-use dispatch_api::told;
+use dispatch_api::load_exchange;
 use maintenance::{Limits, Plan, Progress, Standing, Target, MOST_KINDS};
 use std::collections::BTreeMap;
 
@@ -68,7 +68,7 @@
         let progress = self.council.upkeep()?.progress(self.upkeep_now())?;
         let name = |t: &Target| {
             self.targets()
-                .named_by(t.mark)
+                .named_by(t.name_hash)
                 .unwrap_or_default()
                 .to_owned()
         };
@@ -114,7 +114,7 @@
             let (kind, zone) = (place(&mut kinds, kind), place(&mut zones, zone));
             let byte = |n: usize| u8::try_from(n).unwrap_or(u8::MAX);
             targets.push(Target {
-                mark: told::mark(name),
+                name_hash: load_exchange::name_hash(name),
                 kind: byte(kind),
                 zone: byte(zone),
             });
@@ -162,11 +162,11 @@
 
     /// Whether this target is out by a plan, so that work on it can be done.
     pub fn out_by_plan(&self, target: &str) -> bool {
-        let mark = told::mark(target);
+        let name_hash = load_exchange::name_hash(target);
         let standing = |p: Progress| {
             p.targets
                 .into_iter()
-                .find(|t| t.mark == mark)
+                .find(|t| t.name_hash == name_hash)
                 .map(|t| t.standing)
         };
         let upkeep = self
--- a/crates/dispatcher/dispatcher-state/tests/reducer.rs
+++ b/crates/dispatcher/dispatcher-state/tests/reducer.rs
@@ -15,7 +15,7 @@
 }
 
 impl Bench {
-    fn new(class: Class, targets: u32) -> Self {
+    fn new(class: JobClass, targets: u32) -> Self {
         let setup = Setup {
             settings: settings(vec![class]),
             seed: 7,
@@ -31,7 +31,10 @@
             now: START,
             effects: vec![],
         };
-        bench.list(ListKind::Whole, (0..targets).map(|n| (n, Status::Ready)));
+        bench.list(
+            ListUpdateKind::Full,
+            (0..targets).map(|n| (n, WorkerStatus::Ready)),
+        );
         bench
     }
 
@@ -40,7 +43,7 @@
         &self.effects
     }
 
-    fn list(&mut self, kind: ListKind, targets: impl Iterator<Item = (u32, Status)>) {
+    fn list(&mut self, kind: ListUpdateKind, targets: impl Iterator<Item = (u32, WorkerStatus)>) {
         let entry = |(n, status)| Listed {
             weight: None,
             name: format!("s-{n}"),
@@ -171,8 +174,8 @@
     let mut b = Bench::new(unsafe_class(), 1);
     let conn = b.flow(1);
     b.list(
-        ListKind::Changes,
-        [(0, Status::Draining), (1, Status::Ready)].into_iter(),
+        ListUpdateKind::Incremental,
+        [(0, WorkerStatus::Draining), (1, WorkerStatus::Ready)].into_iter(),
     );
     b.take(Input::Up(conn));
     assert_eq!(b.sent(), None);
@@ -193,10 +196,10 @@
     #[case] sent: bool,
 ) {
     let mut class = class(Idempotency::Keyed {
-        scope: Scope::Zone,
+        scope: DeduplicationScope::Zone,
         memory: 450 * MS,
     });
-    class.aim = 4_000 * MS;
+    class.latency_target = 4_000 * MS;
     let mut b = Bench::new(class, 2);
     let first = b.flow(1);
     b.take(Input::Up(first));
--- a/crates/dispatcher/dispatcher-state/tests/service.rs
+++ b/crates/dispatcher/dispatcher-state/tests/service.rs
@@ -13,7 +13,7 @@
     now: Micros,
 }
 
-fn listed(n: u32, status: Status, started: Option<Micros>) -> Listed {
+fn listed(n: u32, status: WorkerStatus, started: Option<Micros>) -> Listed {
     let addr = ([127, 0, 0, 1], 4_000 + n as u16).into();
     Listed {
         weight: None,
@@ -44,9 +44,9 @@
             now: START,
         };
         bench.list(
-            ListKind::Whole,
+            ListUpdateKind::Full,
             (0..targets)
-                .map(|n| listed(n, Status::Ready, None))
+                .map(|n| listed(n, WorkerStatus::Ready, None))
                 .collect(),
         );
         bench
@@ -61,7 +61,7 @@
         self.take(Input::Tick)
     }
 
-    fn list(&mut self, kind: ListKind, entries: Vec<Listed>) -> Vec<Effect> {
+    fn list(&mut self, kind: ListUpdateKind, entries: Vec<Listed>) -> Vec<Effect> {
         self.take(Input::Listed {
             kind,
             version: Some(1),
@@ -113,7 +113,7 @@
     /// Pool size, and those avoided.
     fn pool(&self) -> (usize, usize) {
         let seen = self.state.seen();
-        (seen.listed, seen.avoided)
+        (seen.listed, seen.ejected)
     }
 }
 
@@ -167,14 +167,14 @@
         "it came up too late"
     );
     b.list(
-        ListKind::Changes,
-        vec![listed(0, Status::Ready, Some(START))],
+        ListUpdateKind::Incremental,
+        vec![listed(0, WorkerStatus::Ready, Some(START))],
     );
     b.list(
-        ListKind::Whole,
+        ListUpdateKind::Full,
         vec![
-            listed(0, Status::Ready, Some(START)),
-            listed(1, Status::Ready, None),
+            listed(0, WorkerStatus::Ready, Some(START)),
+            listed(1, WorkerStatus::Ready, None),
         ],
     );
     b.rule("s-0", true);
@@ -184,13 +184,16 @@
         b.after(20 * MS);
     }
     // Gone and listed again, it is still out.
-    b.list(ListKind::Whole, vec![listed(1, Status::Ready, None)]);
-    let (size, avoided) = b.pool();
     b.list(
-        ListKind::Changes,
-        vec![listed(0, Status::Ready, Some(b.now))],
+        ListUpdateKind::Full,
+        vec![listed(1, WorkerStatus::Ready, None)],
     );
-    assert_eq!((size, b.pool()), (1, (2, avoided + 1)));
+    let (size, ejected) = b.pool();
+    b.list(
+        ListUpdateKind::Incremental,
+        vec![listed(0, WorkerStatus::Ready, Some(b.now))],
+    );
+    assert_eq!((size, b.pool()), (1, (2, ejected + 1)));
 }
 
 /// Guards against a target that starves after its call back, and against one that is pushed over, since it was started
@@ -262,7 +265,10 @@
                 .at,
             9
         );
-        b.list(ListKind::Changes, vec![listed(7, Status::Ready, None)]);
+        b.list(
+            ListUpdateKind::Incremental,
+            vec![listed(7, WorkerStatus::Ready, None)],
+        );
         assert_eq!(b.pool(), (3, 1), "said before the list named it");
     }
 }
@@ -272,11 +278,17 @@
 fn with_all_targets_out_jobs_are_refused_at_once_with_advice() {
     let mut b = Bench::new(2);
     b.rule("s-0", true);
-    b.list(ListKind::Changes, vec![listed(1, Status::Draining, None)]);
+    b.list(
+        ListUpdateKind::Incremental,
+        vec![listed(1, WorkerStatus::Draining, None)],
+    );
     assert!(!refused(&b.flow(1, 1)), "one drains: another may come");
     assert!(refused(&b.rule("s-1", true)), "what was held");
     assert!(refused(&b.flow(2, 1)));
-    b.list(ListKind::Changes, vec![listed(1, Status::Ready, None)]);
+    b.list(
+        ListUpdateKind::Incremental,
+        vec![listed(1, WorkerStatus::Ready, None)],
+    );
     b.rule("s-1", false);
     assert!(
         !refused(&b.flow(3, 0)),
@@ -291,7 +303,10 @@
     let conn = opened(&b.flow(1, 1)).expect("it goes out").0;
     b.take(Input::Up(conn));
     b.rule("s-0", true);
-    b.list(ListKind::Changes, vec![listed(1, Status::Draining, None)]);
+    b.list(
+        ListUpdateKind::Incremental,
+        vec![listed(1, WorkerStatus::Draining, None)],
+    );
     b.flow(2, 1);
     let ends = b.now + 1_000 * MS;
     b.take(Input::AnswerBy(ends));
@@ -367,7 +382,7 @@
                 Step::Up(conn) => b.take(Input::Up(ConnId(conn))),
                 Step::Sent(conn) => b.take(Input::Sent(ConnId(conn))),
                 Step::End(conn, how) => {
-                    let outcomes = [Outcome::Done, Outcome::Error, Outcome::Full, Outcome::Reset];
+                    let outcomes = [Outcome::Done, Outcome::Error, Outcome::Rejected, Outcome::Reset];
                     let result = (how == 0).then(|| "r".into());
                     match outcomes.get(usize::from(how)) {
                         Some(outcome) => {
--- a/crates/dispatcher/dispatcher-state/tests/upkeep.rs
+++ b/crates/dispatcher/dispatcher-state/tests/upkeep.rs
@@ -17,7 +17,7 @@
 
 fn listed(n: u32, started: Option<Micros>) -> Listed {
     let addr = ([127, 0, 0, 1], 4_000 + n as u16).into();
-    let (zone, kind, cell, status, weight) = (0, n % 2, 0, Status::Ready, None);
+    let (zone, kind, cell, status, weight) = (0, n % 2, 0, WorkerStatus::Ready, None);
     Listed {
         name: format!("s-{n}"),
         addr,
@@ -68,7 +68,7 @@
         self.take(
             me,
             Input::Listed {
-                kind: ListKind::Whole,
+                kind: ListUpdateKind::Full,
                 version: Some(1),
                 entries,
             },
@@ -174,7 +174,7 @@
             !ports.is_empty() && !ports.contains(&4_000),
             "{me}: {ports:?}"
         );
-        assert_eq!(pair.states[me].seen().avoided, 1, "operators see it");
+        assert_eq!(pair.states[me].seen().ejected, 1, "operators see it");
     }
     pair.pass(400 * MS);
     assert_eq!(pair.standing(0, 0), maintenance::Standing::Empty);
@@ -183,7 +183,7 @@
     pair.take(
         1,
         Input::Listed {
-            kind: ListKind::Changes,
+            kind: ListUpdateKind::Incremental,
             version: Some(2),
             entries: restarted,
         },
--- a/crates/dispatcher/fordrelay/src/lifecycle.rs
+++ b/crates/dispatcher/fordrelay/src/lifecycle.rs
@@ -6,7 +6,7 @@
 use crate::succession::Succession;
 use crate::usage;
 use discovery::Places;
-use dispatch_api::{ListKind, Micros, SettingsError};
+use dispatch_api::{ListUpdateKind, Micros, SettingsError};
 use dispatcher_settings::operator::{Operator, OperatorError};
 use dispatcher_settings::platform::{Config, ConfigError};
 use dispatcher_state::{ConnId, Input, Joining, State};
@@ -287,8 +287,13 @@
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     let clock = Clock::start();
-    let give_up: Vec<_> = config.settings.classes.iter().map(|c| c.give_up).collect();
-    let longest = Duration::from_micros(give_up.iter().copied().max().unwrap_or(0));
+    let client_timeout: Vec<_> = config
+        .settings
+        .classes
+        .iter()
+        .map(|c| c.client_timeout)
+        .collect();
+    let longest = Duration::from_micros(client_timeout.iter().copied().max().unwrap_or(0));
     let state = State::new(config.setup(levels))?;
     let inherited = std::env::var_os(inherited::VARIABLE);
     let inherited = inherited
@@ -352,7 +357,7 @@
     };
     // The first input makes the decisions ask for the list, also where none is known.
     let nothing = Input::Listed {
-        kind: ListKind::Inherited,
+        kind: ListUpdateKind::Inherited,
         version: None,
         entries: vec![],
     };
@@ -423,7 +428,7 @@
         classes: config.classes.clone(),
         tenants: config.tenants.clone(),
         connections: share.clients,
-        give_up,
+        client_timeout,
     };
     let listener = Listener::new(Rc::clone(&desk), terms, phases);
     if let Some(succession) = &succession {
--- a/crates/dispatcher/fordrelay/src/peers.rs
+++ b/crates/dispatcher/fordrelay/src/peers.rs
@@ -1,6 +1,6 @@
 //! Datagrams between dispatchers.
 
-use dispatch_api::told::{ENTRY_BYTES, MESSAGE_BYTES};
+use dispatch_api::load_exchange::{ENTRY_BYTES, MESSAGE_BYTES};
 use dispatcher_settings::platform::PeerAddrs;
 use dispatcher_state::{Input, Odd};
 use event_loop::{Desk, Seldom};
--- a/crates/dispatcher/fordrelay/src/succession.rs
+++ b/crates/dispatcher/fordrelay/src/succession.rs
@@ -2,7 +2,7 @@
 
 use crate::folder::{path, Folder};
 use discovery::Kept;
-use dispatch_api::Known;
+use dispatch_api::PolicySnapshot;
 use dispatcher_settings::list::{List, State as Listed};
 use dispatcher_settings::platform::Config;
 use dispatcher_state::{Input, Ruling, State};
@@ -34,7 +34,7 @@
 pub struct Knowledge {
     classes: Vec<String>,
     kinds: Vec<String>,
-    known: Known,
+    known: PolicySnapshot,
     /// The plan of maintenance, and what this dispatcher has out by it.
     #[serde(default)]
     maintenance: Option<maintenance::Kept>,
--- a/crates/dispatcher/fordrelay/tests/outer_forms.rs
+++ b/crates/dispatcher/fordrelay/tests/outer_forms.rs
@@ -21,7 +21,7 @@
 struct Knowledge {
     classes: Vec<String>,
     kinds: Vec<String>,
-    known: dispatch_api::Known,
+    known: dispatch_api::PolicySnapshot,
     maintenance: Option<maintenance::Kept>,
 }
 
@@ -211,7 +211,7 @@
     }
 }
 
-/// Figures that differ from run to run left out: `N` stands for a whole number of four digits or more, `F` for one with a
+/// PolicyMetrics that differ from run to run left out: `N` stands for a whole number of four digits or more, `F` for one with a
 /// point. The lengths of bodies that hold such are `N`, and so is the advice when to come again.
 fn masked(text: &str) -> String {
     let text = text
@@ -715,8 +715,13 @@
     );
     assert_eq!(after.known.kinds, before.known.kinds);
     assert_eq!(after.known.classes[0].run, before.known.classes[0].run);
-    let marks =
-        |known: &dispatch_api::Known| known.workers.iter().map(|w| w.mark).collect::<Vec<_>>();
+    let marks = |known: &dispatch_api::PolicySnapshot| {
+        known
+            .workers
+            .iter()
+            .map(|w| w.name_hash)
+            .collect::<Vec<_>>()
+    };
     assert_eq!(marks(&after.known), marks(&before.known));
     assert_eq!(
         after.maintenance.unwrap().plan,
--- a/crates/dispatcher/http1/src/listener.rs
+++ b/crates/dispatcher/http1/src/listener.rs
@@ -3,7 +3,7 @@
 use crate::connections::{Answers, Asked, Connections, Phase, Reading};
 use crate::seconds;
 use bytes::Bytes;
-use dispatch_api::told;
+use dispatch_api::load_exchange;
 use dispatch_api::{JobId, JobSpec, Micros};
 use dispatcher_state::{Answer, Input};
 use event_loop::{Desk, Passed, Unclaimed};
@@ -45,7 +45,7 @@
     /// Connections that may be open together.
     pub connections: usize,
     /// The longest that the client of a class waits, by class.
-    pub give_up: Vec<Micros>,
+    pub client_timeout: Vec<Micros>,
 }
 
 /// The listener's side of the dispatcher.
@@ -355,7 +355,7 @@
         // No client of the class waits for longer than that, whatever it says.
         let longest = self
             .terms
-            .give_up
+            .client_timeout
             .get(class)
             .copied()
             .unwrap_or(Micros::MAX);
@@ -391,7 +391,7 @@
     let sid = query
         .split('&')
         .find_map(|pair| pair.strip_prefix("sid="))?;
-    (!sid.is_empty()).then(|| u64::from(told::mark(sid)))
+    (!sid.is_empty()).then(|| u64::from(load_exchange::name_hash(sid)))
 }
 
 /// A figure that can be meant: a number, not negative, not beyond all bounds.
--- a/crates/dispatcher/http1/src/target.rs
+++ b/crates/dispatcher/http1/src/target.rs
@@ -297,7 +297,7 @@
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if declined => ended(
                 id,
                 LastWord {
-                    outcome: Outcome::Full,
+                    outcome: Outcome::Rejected,
                     result: None,
                     report,
                 },
@@ -393,7 +393,7 @@
             })
         }
         "failed" => last(Outcome::Error),
-        "returned" => last(Outcome::Full),
+        "returned" => last(Outcome::Rejected),
         "lost" => last(Outcome::Reset),
         other => {
             warn!(
@@ -451,7 +451,7 @@
     let text = collect(response.into_body()).await?;
     let outcome = match status {
         StatusCode::OK => Outcome::Done,
-        StatusCode::SERVICE_UNAVAILABLE => Outcome::Full,
+        StatusCode::SERVICE_UNAVAILABLE => Outcome::Rejected,
         _ => Outcome::Error,
     };
     if status == StatusCode::OK && !text.trim_ascii().is_empty() {
--- a/crates/dispatcher/maintenance/src/member.rs
+++ b/crates/dispatcher/maintenance/src/member.rs
@@ -44,14 +44,14 @@
     /// Send nothing new to a target, or use it again.
     Ban {
         /// The target.
-        mark: u32,
+        name_hash: u32,
         /// Out, as against back.
         out: bool,
     },
     /// A target stands otherwise here; for the log.
     Stands {
         /// The target.
-        mark: u32,
+        name_hash: u32,
         /// How.
         standing: Standing,
         /// Its time was up, to drain or to be out.
@@ -73,7 +73,8 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetShown {
     /// What dispatchers call it.
-    pub mark: u32,
+    #[serde(rename = "mark")]
+    pub name_hash: u32,
     /// How it stands here.
     pub standing: Standing,
     /// Since when it has been out here, Unix time in microseconds; none if it is not.
@@ -206,8 +207,8 @@
     }
 
     /// The work on a target is done. Tells whether it is out by the plan.
-    pub fn done(&mut self, now: Micros, mark: u32) -> bool {
-        let Some(at) = self.out_at(mark) else {
+    pub fn done(&mut self, now: Micros, name_hash: u32) -> bool {
+        let Some(at) = self.out_at(name_hash) else {
             return false;
         };
         self.stands(at, Standing::Back, false);
@@ -215,13 +216,13 @@
         true
     }
 
-    fn out_at(&self, mark: u32) -> Option<usize> {
+    fn out_at(&self, name_hash: u32) -> Option<usize> {
         let at = self
             .plan
             .as_ref()?
             .targets
             .iter()
-            .position(|t| t.mark == mark)?;
+            .position(|t| t.name_hash == name_hash)?;
         let own = self.own(at);
         (own > Standing::In && own < Standing::Back).then_some(at)
     }
@@ -286,8 +287,11 @@
     }
 
     fn adopt(&mut self, plan: Plan) {
-        for mark in std::mem::take(&mut self.banned) {
-            self.effects.push(Effect::Ban { mark, out: false });
+        for name_hash in std::mem::take(&mut self.banned) {
+            self.effects.push(Effect::Ban {
+                name_hash,
+                out: false,
+            });
         }
         self.since = vec![None; plan.targets.len()];
         (self.plan, self.gone) = (Some(plan), 0);
@@ -305,29 +309,29 @@
     }
 
     fn stands(&mut self, at: usize, standing: Standing, forced: bool) {
-        let Some(mark) = self
+        let Some(name_hash) = self
             .plan
             .as_ref()
             .and_then(|p| p.targets.get(at))
-            .map(|t| t.mark)
+            .map(|t| t.name_hash)
         else {
             return;
         };
         let words = self.words.entry(self.me).or_default();
         *words = say(*words, at, standing);
         self.effects.push(Effect::Stands {
-            mark,
+            name_hash,
             standing,
             forced,
         });
         let out = standing < Standing::Back;
         let changes = if out {
-            self.banned.insert(mark)
+            self.banned.insert(name_hash)
         } else {
-            self.banned.remove(&mark)
+            self.banned.remove(&name_hash)
         };
         if changes {
-            self.effects.push(Effect::Ban { mark, out });
+            self.effects.push(Effect::Ban { name_hash, out });
         }
     }
 
@@ -363,12 +367,12 @@
     }
 
     fn banned_at(&self, at: usize) -> bool {
-        let mark = self
+        let name_hash = self
             .plan
             .as_ref()
             .and_then(|p| p.targets.get(at))
-            .map(|t| t.mark);
-        mark.is_some_and(|mark| self.banned.contains(&mark))
+            .map(|t| t.name_hash);
+        name_hash.is_some_and(|name_hash| self.banned.contains(&name_hash))
     }
 
     /// Goes on with its own word on each target that is out.
@@ -378,12 +382,12 @@
         };
         for at in 0..self.gone {
             let (own, since) = (self.own(at), self.since[at]);
-            let (Some(since), Some(mark)) = (
+            let (Some(since), Some(name_hash)) = (
                 since,
                 self.plan
                     .as_ref()
                     .and_then(|p| p.targets.get(at))
-                    .map(|t| t.mark),
+                    .map(|t| t.name_hash),
             ) else {
                 continue;
             };
@@ -391,10 +395,10 @@
                 continue;
             }
             let up = now >= since + out;
-            if up || (look.restarted)(mark, since) {
+            if up || (look.restarted)(name_hash, since) {
                 self.stands(at, Standing::Back, up);
             } else if own == Standing::Out && now >= since + QUIET {
-                let empty = !(look.in_flight)(mark);
+                let empty = !(look.in_flight)(name_hash);
                 if empty || now >= since + drain {
                     self.stands(at, Standing::Empty, !empty);
                 }
@@ -487,7 +491,7 @@
             let alive = (0..self.members).filter(|m| !self.dead.contains_key(m));
             let went = at < self.gone;
             TargetShown {
-                mark: target.mark,
+                name_hash: target.name_hash,
                 standing: self.own(at),
                 since: self.since[at].filter(|_| self.own(at) < Standing::Back),
                 not_empty: alive
--- a/crates/dispatcher/maintenance/src/plan.rs
+++ b/crates/dispatcher/maintenance/src/plan.rs
@@ -13,7 +13,8 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
     /// What dispatchers call it among themselves.
-    pub mark: u32,
+    #[serde(rename = "mark")]
+    pub name_hash: u32,
     /// Its kind: a position in [`Limits::kinds`].
     pub kind: u8,
     /// Its zone, by number.
@@ -85,7 +86,7 @@
         if self
             .targets
             .iter()
-            .map(|t| t.mark)
+            .map(|t| t.name_hash)
             .collect::<BTreeSet<_>>()
             .len()
             < self.targets.len()
--- a/crates/dispatcher/maintenance/src/wire.rs
+++ b/crates/dispatcher/maintenance/src/wire.rs
@@ -110,7 +110,7 @@
                 let targets = &plan.targets[..plan.targets.len().min(MOST_TARGETS)];
                 bytes.push(targets.len() as u8);
                 for target in targets {
-                    bytes.extend(target.mark.to_be_bytes());
+                    bytes.extend(target.name_hash.to_be_bytes());
                     bytes.extend([target.kind, target.zone]);
                 }
             }
@@ -165,9 +165,9 @@
                     .collect::<Result<_, _>>()?;
                 let mut targets = vec![];
                 for _ in 0..reader.byte()? {
-                    let mark = reader.four()?;
+                    let name_hash = reader.four()?;
                     targets.push(Target {
-                        mark,
+                        name_hash,
                         kind: reader.byte()?,
                         zone: reader.byte()?,
                     });
--- a/crates/dispatcher/maintenance/tests/bytes.rs
+++ b/crates/dispatcher/maintenance/tests/bytes.rs
@@ -34,12 +34,12 @@
         cancelled: true,
         targets: vec![
             Target {
-                mark: 0xdead_beef,
+                name_hash: 0xdead_beef,
                 kind: 1,
                 zone: 0,
             },
             Target {
-                mark: 1,
+                name_hash: 1,
                 kind: 0,
                 zone: 1,
             },
@@ -132,7 +132,7 @@
     };
     member.tick(5_000_000, &look);
     let shown = serde_json::to_value(member.progress(5_000_000).unwrap()).unwrap();
-    let target = |mark: u32| serde_json::json!({"mark": mark, "standing": "out", "since": 5_000_000, "not_empty": [0], "not_back": [0]});
+    let target = |name_hash: u32| serde_json::json!({"mark": name_hash, "standing": "out", "since": 5_000_000, "not_empty": [0], "not_back": [0]});
     assert_eq!(
         shown["targets"],
         serde_json::json!([target(0xdead_beef), target(1)])
--- a/crates/dispatcher/maintenance/tests/settle.rs
+++ b/crates/dispatcher/maintenance/tests/settle.rs
@@ -15,7 +15,7 @@
 
 fn plan(targets: u32, out: u8) -> Plan {
     let target = |n| Target {
-        mark: 100 + n,
+        name_hash: 100 + n,
         kind: (n % 3) as u8,
         zone: (n % 2) as u8,
     };
@@ -108,8 +108,14 @@
                             .insert((at, self.count), (me as u16, to, bytes));
                     }
                 }
-                Effect::Ban { mark, out: true } => drop(self.bans[me].insert(mark)),
-                Effect::Ban { mark, out: false } => drop(self.bans[me].remove(&mark)),
+                Effect::Ban {
+                    name_hash,
+                    out: true,
+                } => drop(self.bans[me].insert(name_hash)),
+                Effect::Ban {
+                    name_hash,
+                    out: false,
+                } => drop(self.bans[me].remove(&name_hash)),
                 Effect::Stands { .. } => {}
             }
         }
@@ -158,16 +164,24 @@
             let now = self.now;
             let look = Look {
                 alive: &|m| alive[usize::from(m)],
-                in_flight: &|mark| works.get(&mark).is_none_or(|ends| now + 1_000_000 < *ends),
-                restarted: &|mark, _| works.get(&mark).is_some_and(|ends| now >= *ends),
+                in_flight: &|name_hash| {
+                    works
+                        .get(&name_hash)
+                        .is_none_or(|ends| now + 1_000_000 < *ends)
+                },
+                restarted: &|name_hash, _| works.get(&name_hash).is_some_and(|ends| now >= *ends),
             };
             let Some(member) = &mut self.members[me] else {
                 continue;
             };
             let effects = member.tick(self.now, &look);
             for effect in &effects {
-                if let Effect::Ban { mark, out: true } = effect {
-                    self.works.entry(*mark).or_insert(now + 1_500_000);
+                if let Effect::Ban {
+                    name_hash,
+                    out: true,
+                } = effect
+                {
+                    self.works.entry(*name_hash).or_insert(now + 1_500_000);
                 }
             }
             // A process that is killed leaves what it kept a moment before.
