--- a/crates/dispatcher/simulator-protocol/src/lib.rs
+++ b/crates/dispatcher/simulator-protocol/src/lib.rs
@@ -1,7 +1,7 @@
 //! Translation between the simulator's wire and [`dispatch_api`]. Nothing is decided here.
 //!
 //! ```rust
-//! use dispatch_api::{Action, Event, ListKind, Listing, Status, WorkerId};
+//! use dispatch_api::{Action, Event, ListUpdateKind, WorkerEntry, WorkerStatus, WorkerId};
 //! use simulator_protocol::Host;
 //!
 //! // The simulator's wire: one line in, one line out. An empty batch gets an empty reply.
@@ -9,18 +9,18 @@
 //! assert_eq!(reply.as_deref(), Ok(r#"{"n":1,"dispatchers":[]}"#));
 //!
 //! // The same types, without any wire.
-//! let listing = Listing { worker: WorkerId(0), status: Status::Ready, ..Listing::default() };
-//! let _event = Event::Listed { kind: ListKind::Whole, entries: vec![listing] };
-//! let _action = Action::Watch;
+//! let listing = WorkerEntry { worker: WorkerId(0), status: WorkerStatus::Ready, ..WorkerEntry::default() };
+//! let _event = Event::WorkersUpdated { kind: ListUpdateKind::Full, entries: vec![listing] };
+//! let _action = Action::WatchWorkers;
 //! ```
 
 #![expect(clippy::too_many_lines, reason = "not revised yet")]
 
 use degradation::Governed;
-use dispatch_api::told::{self, mark};
+use dispatch_api::load_exchange::{self, name_hash};
 use dispatch_api::{
-    Action, CallLost, Event, JobId, JobSpec, ListKind, Listing, LoadReport, Micros, Outcome,
-    Status, WorkerId,
+    Action, DiscoveryFailure, Event, JobId, JobSpec, ListUpdateKind, LoadReport, Micros, Outcome,
+    WorkerEntry, WorkerId, WorkerStatus,
 };
 use dispatcher_settings::facts::{micros, settings, Facts};
 use dispatcher_settings::operator::{Operator, Source};
@@ -227,7 +227,7 @@
     match code {
         0 => Outcome::Done,
         255 => Outcome::Error,
-        254 => Outcome::Full,
+        254 => Outcome::Rejected,
         253 => Outcome::TimedOut,
         252 => Outcome::ConnectFailed,
         251 => Outcome::Reset,
@@ -282,7 +282,7 @@
     layout: ReportLayout,
     names: Vec<String>,
     numbers: HashMap<String, WorkerId>,
-    marks: HashMap<u32, WorkerId>,
+    name_hashes: HashMap<u32, WorkerId>,
 }
 
 impl Instance {
@@ -292,7 +292,7 @@
         }
         let id = WorkerId(self.names.len() as u32);
         self.names.push(name.to_owned());
-        self.marks.insert(mark(name), id);
+        self.name_hashes.insert(name_hash(name), id);
         self.numbers.insert(name.to_owned(), id);
         id
     }
@@ -303,11 +303,11 @@
             let text = std::str::from_utf8(pair).ok()?;
             u8::from_str_radix(text, 16).ok()
         });
-        let known = |(mark, slots)| Some((*self.marks.get(&mark)?, slots));
-        let held = told::entries(&bytes.collect::<Vec<u8>>())
+        let known = |(name_hash, slots)| Some((*self.name_hashes.get(&name_hash)?, slots));
+        let held = load_exchange::decode_entries(&bytes.collect::<Vec<u8>>())
             .filter_map(known)
             .collect();
-        Event::Told {
+        Event::PeerLoad {
             from: m.src_peer,
             held,
         }
@@ -315,7 +315,7 @@
 
     fn event(&mut self, message: &Message) -> Option<Event> {
         if let Some(m) = &message.settled {
-            Some(Event::Ended {
+            Some(Event::AttemptEnded {
                 job: JobId(m.id),
                 attempt: m.leg,
                 worker: self.number(m.worker),
@@ -326,12 +326,12 @@
         } else if let Some(m) = &message.interim {
             let (job, attempt, worker) = (JobId(m.id), m.leg, self.number(m.worker));
             match m.what {
-                1 => Some(Event::Started {
+                1 => Some(Event::JobStarted {
                     job,
                     attempt,
                     worker,
                 }),
-                2 => Some(Event::Progress {
+                2 => Some(Event::JobProgress {
                     job,
                     attempt,
                     worker,
@@ -340,7 +340,7 @@
                 _ => None,
             }
         } else if let Some(m) = &message.req {
-            Some(Event::Job(JobSpec {
+            Some(Event::JobAccepted(JobSpec {
                 id: JobId(m.id),
                 class: m.cls,
                 tenant: m.project.unwrap_or(0),
@@ -354,33 +354,33 @@
         } else if message.timer.is_some() {
             Some(Event::Wake)
         } else if let Some(m) = &message.left {
-            Some(Event::ClientGone(JobId(m.id)))
+            Some(Event::ClientDisconnected(JobId(m.id)))
         } else if let Some(m) = &message.echo {
-            Some(Event::Probed {
+            Some(Event::ProbeEnded {
                 worker: self.number(m.worker),
                 outcome: outcome(m.how),
                 report: self.layout.read(&m.report),
             })
         } else if let Some(m) = &message.started {
-            Some(Event::StreamBegun {
+            Some(Event::StreamStarted {
                 job: JobId(m.id),
                 attempt: m.leg,
                 worker: self.number(m.worker),
             })
         } else if let Some(m) = &message.membership {
             let kind = match m.kind.as_str() {
-                "patch" => ListKind::Changes,
-                "whole" => ListKind::Whole,
-                "stale_copy" => ListKind::Inherited,
-                _ => return Some(Event::ListFailed(CallLost::Failed)),
+                "patch" => ListUpdateKind::Incremental,
+                "whole" => ListUpdateKind::Full,
+                "stale_copy" => ListUpdateKind::Inherited,
+                _ => return Some(Event::WatchFailed(DiscoveryFailure::Failed)),
             };
-            let entries = m.entries.iter().flatten().map(|e| Listing {
+            let entries = m.entries.iter().flatten().map(|e| WorkerEntry {
                 worker: self.number(e.worker),
-                mark: mark(e.worker),
+                name_hash: name_hash(e.worker),
                 status: match e.status.as_str() {
-                    "ready" => Status::Ready,
-                    "gone" => Status::Gone,
-                    _ => Status::Draining,
+                    "ready" => WorkerStatus::Ready,
+                    "gone" => WorkerStatus::Removed,
+                    _ => WorkerStatus::Draining,
                 },
                 kind: e.kind.unwrap_or(0),
                 zone: e.dc.unwrap_or(0),
@@ -389,7 +389,7 @@
                 weight: e.rating,
             });
             let entries = entries.collect();
-            Some(Event::Listed { kind, entries })
+            Some(Event::WorkersUpdated { kind, entries })
         } else {
             None
         }
@@ -402,29 +402,30 @@
                 id: job.0,
                 worker: name(worker)?,
             },
-            Action::Cancel { job, attempt } => Order::Abandon {
+            Action::CancelAttempt { job, attempt } => Order::Abandon {
                 id: job.0,
                 leg: attempt,
             },
-            Action::Refuse { job, retry_after } => Order::Bounce {
+            Action::RejectJob { job, retry_after } => Order::Bounce {
                 id: job.0,
                 come_back: retry_after.map(millis),
             },
-            Action::Fail { job } => Order::Error { id: job.0 },
+            Action::FailJob { job } => Order::Error { id: job.0 },
             Action::Probe { worker } => Order::SoundOut {
                 worker: name(worker)?,
             },
-            Action::CloseIdle { worker } => Order::Disconnect {
+            Action::CloseIdleConnections { worker } => Order::Disconnect {
                 worker: name(worker)?,
             },
-            Action::Tell { held } => {
-                let entry =
-                    |(w, slots): &(WorkerId, u32)| Some(told::entry(mark(name(*w)?), *slots));
+            Action::PublishLoad { held } => {
+                let entry = |(w, slots): &(WorkerId, u32)| {
+                    Some(load_exchange::encode_entry(name_hash(name(*w)?), *slots))
+                };
                 let hex = |byte: u8| format!("{byte:02x}");
                 let raw = held.iter().filter_map(entry).flatten().map(hex).collect();
                 Order::Publish { peer: "all", raw }
             }
-            Action::Watch => Order::KeepInformed { want: true },
+            Action::WatchWorkers => Order::KeepInformed { want: true },
             Action::WakeAt(t) => Order::Remind {
                 due: millis(t),
                 handle: "wake",
@@ -522,13 +523,14 @@
             let layout = ReportLayout::new(&start.facts);
             return Ok(match made {
                 Ok(decisions) => {
-                    let (names, numbers, marks) = (Vec::new(), HashMap::new(), HashMap::new());
+                    let (names, numbers, name_hashes) =
+                        (Vec::new(), HashMap::new(), HashMap::new());
                     let instance = Instance {
                         decisions,
                         layout,
                         names,
                         numbers,
-                        marks,
+                        name_hashes,
                     };
                     self.instances.insert(who, Some(instance));
                     Ok(())
--- a/crates/testbed/testbed/src/model.rs
+++ b/crates/testbed/testbed/src/model.rs
@@ -8,7 +8,9 @@
 use bytes::Bytes;
 use degradation::{Readings, Spec};
 use discovery_pacing::{ANSWER_WAIT, WATCH_WAIT};
-use dispatch_api::{CallLost, JobId, JobSpec, ListKind, LoadReport, Micros, Outcome, Status};
+use dispatch_api::{
+    DiscoveryFailure, JobId, JobSpec, ListUpdateKind, LoadReport, Micros, Outcome, WorkerStatus,
+};
 use dispatcher_settings::platform::{Config, ConfigError};
 use dispatcher_state::{reduce, Answer, ConnId, Effect, Input, Listed, Setup, State};
 use rand::Rng;
@@ -406,7 +408,7 @@
             model.inherits(dispatcher);
             if vast.is_none() {
                 let all: Vec<_> = (0..model.boxes.len()).collect();
-                let fresh = model.listing(ListKind::Whole, &all);
+                let fresh = model.listing(ListUpdateKind::Full, &all);
                 model.later(
                     START + 20_000,
                     Due::Report {
@@ -458,7 +460,7 @@
     /// A dispatcher that starts has the list as it was at the start of the run.
     fn inherits(&mut self, dispatcher: usize) {
         let input = Input::Listed {
-            kind: ListKind::Inherited,
+            kind: ListUpdateKind::Inherited,
             version: Some(1),
             entries: self.old.clone(),
         };
@@ -473,7 +475,7 @@
         self.between(self.scenario.travel)
     }
 
-    fn listing(&self, kind: ListKind, which: &[usize]) -> Input {
+    fn listing(&self, kind: ListUpdateKind, which: &[usize]) -> Input {
         // In a small fleet discovery tells what is so then; in a large one what it has in its list.
         let vast = self.scenario.vast.is_some();
         let entry = |at: &usize| {
@@ -552,7 +554,7 @@
             }
             Due::Fault { at, fault } => self.fault(at, fault),
             Due::Tell { dispatcher, at } => {
-                let input = self.listing(ListKind::Changes, &[at]);
+                let input = self.listing(ListUpdateKind::Incremental, &[at]);
                 self.report(dispatcher, input);
                 let ready = self.boxes[at].reachable() && !self.boxes[at].draining();
                 self.checker.told(self.now, at, dispatcher as u32, ready);
@@ -601,7 +603,7 @@
                     at + self.scenario.travel.1,
                     Due::Report {
                         dispatcher,
-                        input: Input::ListFailed(CallLost::Failed),
+                        input: Input::ListFailed(DiscoveryFailure::Failed),
                     },
                 );
             }
@@ -612,9 +614,9 @@
     fn news(&mut self, dispatcher: usize, after: Option<u64>) {
         let which = self.registry.news(after);
         let kind = if after.is_some() {
-            ListKind::Changes
+            ListUpdateKind::Incremental
         } else {
-            ListKind::Whole
+            ListUpdateKind::Full
         };
         self.next_watch += 1;
         let (number, told) = (self.next_watch, self.registry.version());
@@ -631,7 +633,7 @@
             self.sums.stale_for = self.sums.stale_for.max(stale_for);
         }
         for at in which.iter().copied().filter(|at| *at < self.boxes.len()) {
-            let ready = self.lines[at].status == Status::Ready;
+            let ready = self.lines[at].status == WorkerStatus::Ready;
             self.checker.told(self.now, at, dispatcher as u32, ready);
             self.dispatchers[dispatcher].starts[at] = self.lines[at].started;
         }
@@ -652,8 +654,8 @@
             Service::Refuses | Service::Silent => {
                 self.dispatchers[dispatcher].watch = None;
                 let (at, lost) = match self.registry.service() {
-                    Service::Silent => (self.now + ANSWER_WAIT, CallLost::Silent),
-                    _ => (self.now, CallLost::Failed),
+                    Service::Silent => (self.now + ANSWER_WAIT, DiscoveryFailure::TimedOut),
+                    _ => (self.now, DiscoveryFailure::Failed),
                 };
                 self.later(
                     at,
@@ -692,12 +694,13 @@
     fn weights(&mut self) {
         for at in 0..self.boxes.len() {
             let (engine, line) = (&self.boxes[at], &mut self.lines[at]);
-            if line.status != Status::Gone {
+            if line.status != WorkerStatus::Removed {
                 let cores = engine.shape().cores;
                 line.weight = Some(cores / (1.0 + engine.load().1 as f64 / cores.max(1.0)));
             }
         }
-        let listed = (0..self.boxes.len()).filter(|at| self.lines[*at].status != Status::Gone);
+        let listed =
+            (0..self.boxes.len()).filter(|at| self.lines[*at].status != WorkerStatus::Removed);
         self.list_changed(listed.collect::<Vec<_>>());
         let renew = self.scenario.vast.as_ref().map_or(SECOND, |v| v.renew);
         self.later(self.now + renew, Due::Weights);
@@ -1137,7 +1140,7 @@
                         Input::Free(conn),
                     ]
                 }
-                Word::Declined(_) => vec![ended(Outcome::Full, None), Input::Free(conn)],
+                Word::Declined(_) => vec![ended(Outcome::Rejected, None), Input::Free(conn)],
                 Word::Lost(_) => vec![Input::Closed {
                     conn,
                     unsent: false,
@@ -1241,7 +1244,7 @@
 /// How a box stands in the list; beyond the last one there are those that are long gone.
 fn line(boxes: &[Engine], at: usize) -> Listed {
     let Some(engine) = boxes.get(at) else {
-        let (zone, kind, cell, status) = (0, 0, 0, Status::Gone);
+        let (zone, kind, cell, status) = (0, 0, 0, WorkerStatus::Removed);
         let (name, addr) = (name(at), addr(at));
         return Listed {
             name,
@@ -1255,9 +1258,9 @@
         };
     };
     let status = match engine.health() {
-        Health::Down | Health::Fallen => Status::Gone,
-        _ if engine.draining() => Status::Draining,
-        _ => Status::Ready,
+        Health::Down | Health::Fallen => WorkerStatus::Removed,
+        _ if engine.draining() => WorkerStatus::Draining,
+        _ => WorkerStatus::Ready,
     };
     let shape = engine.shape();
     let (zone, kind, cell) = (shape.zone, shape.kind, at as u32 / 2);
--- a/crates/testbed/testbed/tests/levels.rs
+++ b/crates/testbed/testbed/tests/levels.rs
@@ -192,9 +192,9 @@
     let mut worse = (*shipped()).clone();
     for level in &mut worse.levels {
         for class in &mut level.terms.classes {
-            class.admit = 0.0;
+            class.admitted_share = 0.0;
         }
-        level.terms.above = 0;
+        level.terms.min_backlog = 0;
     }
     let operators = [
         (25 * SECOND, Input::Levels(Some(Arc::new(worse)))),
