--- a/crates/dispatcher/admin/src/figures.rs
+++ b/crates/dispatcher/admin/src/figures.rs
@@ -1,7 +1,7 @@
 //! What is counted, as Prometheus text.
 
 use crate::view::Levels;
-use dispatcher_state::{Odd, Seen};
+use dispatcher_state::{Anomaly, StateSnapshot};
 use membership::State;
 use metrics::{counter, describe_counter, describe_gauge, gauge};
 use metrics_exporter_prometheus::{BuildError, PrometheusBuilder, PrometheusHandle};
@@ -77,7 +77,7 @@
 }
 
 /// Lays out what there is to see, with classes of these names. Their number bounds the lines.
-pub(crate) fn export(seen: &Seen, classes: &[String]) {
+pub(crate) fn export(seen: &StateSnapshot, classes: &[String]) {
     for (name, class) in classes.iter().zip(&seen.counts.classes) {
         for (result, count) in [
             ("ok", class.ok),
@@ -89,8 +89,9 @@
         counter!("svc_tries", "kind" => name.clone()).absolute(class.tries);
         counter!("fordrelay_clients_gone_total", "class" => name.clone()).absolute(class.gone);
     }
-    for odd in Odd::ALL {
-        counter!("fordrelay_odd_total", "what" => odd.word()).absolute(seen.counts.odd(odd));
+    for odd in Anomaly::ALL {
+        counter!("fordrelay_odd_total", "what" => odd.as_str())
+            .absolute(seen.counts.anomalies(odd));
     }
     if let Some(members) = &seen.members {
         for state in [State::Alive, State::Suspect, State::Dead, State::Left] {
--- a/crates/dispatcher/admin/src/server.rs
+++ b/crates/dispatcher/admin/src/server.rs
@@ -5,8 +5,8 @@
 use crate::view::{self, Levels};
 use bytes::Bytes;
 use dispatch_api::Micros;
-use dispatcher_state::{Seen, WantedError};
-use event_loop::{Ask, Window};
+use dispatcher_state::{PlanRequestError, StateSnapshot};
+use event_loop::{OperatorHandle, OperatorRequest};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
 use hyper::header::{HeaderValue, ALLOW, CONTENT_TYPE};
@@ -64,7 +64,7 @@
 
 /// Answers the calls on every socket that it is given.
 pub struct Server {
-    window: Window,
+    window: OperatorHandle,
     metrics: PrometheusHandle,
     /// Names of the classes.
     classes: Vec<String>,
@@ -90,7 +90,7 @@
 /// # Errors
 /// What the system refuses.
 pub fn start(
-    window: Window,
+    window: OperatorHandle,
     metrics: PrometheusHandle,
     classes: Vec<String>,
     doors: Vec<(Door, Bounds)>,
@@ -163,8 +163,8 @@
     }
 }
 
-fn maintenance(seen: &Seen) -> Reply {
-    let Some(upkeep) = &seen.upkeep else {
+fn maintenance(seen: &StateSnapshot) -> Reply {
+    let Some(upkeep) = &seen.maintenance else {
         return plain(StatusCode::NOT_FOUND, "no plan is known");
     };
     match serde_json::to_string(&view::Maintenance::new(upkeep)) {
@@ -173,7 +173,7 @@
     }
 }
 
-fn members(seen: &Seen) -> Reply {
+fn members(seen: &StateSnapshot) -> Reply {
     let Some(members) = &seen.members else {
         return plain(
             StatusCode::NOT_FOUND,
@@ -280,12 +280,12 @@
             Ok(Call::Maintenance) => maintenance(&*self.window.look(LOOK_WAIT).await),
             Ok(Call::Plan) => self.plan(head.uri.query().unwrap_or("")).await,
             Ok(Call::Cancel) => {
-                done(self.window.ask(ASK_WAIT, Ask::CallOff).await, "called off", "no plan is under way")
+                done(self.window.ask(ASK_WAIT, OperatorRequest::CancelPlan).await, "called off", "no plan is under way")
             }
             Ok(Call::Done) => {
                 let query = view::query(head.uri.query().unwrap_or(""));
                 let target = query.get("target").cloned().unwrap_or_default();
-                let answer = self.window.ask(ASK_WAIT, |answer| Ask::Done(target, answer)).await;
+                let answer = self.window.ask(ASK_WAIT, |answer| OperatorRequest::TargetWorkDone(target, answer)).await;
                 done(answer, "it comes back", "target: is not out by a plan here")
             }
             Ok(Call::Levels) => self.show(&*self.window.look(LOOK_WAIT).await),
@@ -310,7 +310,9 @@
         let word = if out { "disabled" } else { "enabled" };
         match self
             .window
-            .ask(ASK_WAIT, |answer| Ask::Rule(target.clone(), out, answer))
+            .ask(ASK_WAIT, |answer| {
+                OperatorRequest::OverrideTarget(target.clone(), out, answer)
+            })
             .await
         {
             Some(true) => plain(StatusCode::OK, format!("{target} is {word}")),
@@ -334,14 +336,16 @@
         let id = wanted.id;
         match self
             .window
-            .ask(ASK_WAIT, |answer| Ask::Plan(wanted, answer))
+            .ask(ASK_WAIT, |answer| {
+                OperatorRequest::SubmitPlan(wanted, answer)
+            })
             .await
         {
             Some(Ok(())) => plain(StatusCode::OK, format!("plan {id} is followed")),
-            Some(Err(e @ WantedError::UnderWay { .. })) => {
+            Some(Err(e @ PlanRequestError::UnderWay { .. })) => {
                 plain(StatusCode::CONFLICT, e.to_string())
             }
-            Some(Err(e @ WantedError::Off)) => plain(StatusCode::NOT_FOUND, e.to_string()),
+            Some(Err(e @ PlanRequestError::Off)) => plain(StatusCode::NOT_FOUND, e.to_string()),
             Some(Err(e)) => plain(StatusCode::BAD_REQUEST, e.to_string()),
             None => plain(
                 StatusCode::SERVICE_UNAVAILABLE,
@@ -350,7 +354,7 @@
         }
     }
 
-    fn show(&self, seen: &Seen) -> Reply {
+    fn show(&self, seen: &StateSnapshot) -> Reply {
         match Levels::new(&seen.status, &self.classes).map(|l| serde_json::to_string(&l)) {
             Some(Ok(text)) => reply(StatusCode::OK, "application/json", text + "\n"),
             Some(Err(e)) => plain(StatusCode::INTERNAL_SERVER_ERROR, e.to_string()),
@@ -397,7 +401,9 @@
         };
         match self
             .window
-            .ask(ASK_WAIT, |answer| Ask::Force(wanted, answer))
+            .ask(ASK_WAIT, |answer| {
+                OperatorRequest::ForceLevel(wanted, answer)
+            })
             .await
         {
             Some(seen) => self.show(&seen),
--- a/crates/dispatcher/admin/src/view.rs
+++ b/crates/dispatcher/admin/src/view.rs
@@ -2,7 +2,7 @@
 
 use degradation::{Cause, Change, Gauge, LevelStatus, Status};
 use dispatch_api::Micros;
-use dispatcher_state::Wanted;
+use dispatcher_state::PlanRequest;
 use percent_encoding::percent_decode_str;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -105,7 +105,7 @@
 }
 
 impl Maintenance {
-    pub(crate) fn new(upkeep: &dispatcher_state::Upkeep) -> Self {
+    pub(crate) fn new(upkeep: &dispatcher_state::MaintenanceStatus) -> Self {
         let maintenance::Progress {
             plan,
             gone,
@@ -145,7 +145,7 @@
 }
 
 /// A plan as a query says it.
-pub(crate) fn wanted(query: &BTreeMap<String, String>) -> Result<Wanted, String> {
+pub(crate) fn wanted(query: &BTreeMap<String, String>) -> Result<PlanRequest, String> {
     fn read<T: FromStr<Err: fmt::Display>>(
         query: &BTreeMap<String, String>,
         key: &str,
@@ -165,7 +165,7 @@
         .get("targets")
         .ok_or("targets is missing, as in targets=s-1,s-2")?;
     let out = read(query, "out", 1)?;
-    Ok(Wanted {
+    Ok(PlanRequest {
         targets: targets
             .split(',')
             .filter(|t| !t.is_empty())
--- a/crates/dispatcher/coordination/src/lib.rs
+++ b/crates/dispatcher/coordination/src/lib.rs
@@ -75,7 +75,7 @@
     members: Option<Swim>,
     upkeep: Option<Maintenance>,
     /// What is to be kept for a successor has changed.
-    unkept: bool,
+    unsaved_change: bool,
 }
 
 impl Council {
@@ -87,7 +87,7 @@
             seed,
             members: None,
             upkeep: None,
-            unkept: false,
+            unsaved_change: false,
         }
     }
 
@@ -117,8 +117,8 @@
     }
 
     /// Whether that has changed since the last call: it is to be kept before anybody else is told.
-    pub fn take_unkept(&mut self) -> bool {
-        std::mem::take(&mut self.unkept)
+    pub fn take_unsaved_change(&mut self) -> bool {
+        std::mem::take(&mut self.unsaved_change)
     }
 
     /// When [`Council::tick`] is wanted next.
@@ -173,7 +173,7 @@
                 (Some(said), Some(upkeep)) => {
                     let before = upkeep.kept();
                     let found = upkeep.take(now, &said);
-                    self.unkept |= before != upkeep.kept();
+                    self.unsaved_change |= before != upkeep.kept();
                     self.maintain(found, &mut effects);
                 }
                 (None, _) => effects.push(Effect::Odd),
@@ -258,7 +258,7 @@
             }
             None => effects.push(Effect::CalledOff(upkeep.cancel(now))),
         }
-        self.unkept = true;
+        self.unsaved_change = true;
         self.tick_upkeep(now, targets, effects)
     }
 
@@ -303,7 +303,7 @@
                 standing,
                 forced,
             } => {
-                self.unkept = true;
+                self.unsaved_change = true;
                 Effect::Stands {
                     name_hash,
                     standing,
--- a/crates/dispatcher/discovery/src/lib.rs
+++ b/crates/dispatcher/discovery/src/lib.rs
@@ -11,8 +11,8 @@
 use dispatch_api::load_exchange;
 use dispatch_api::{DiscoveryFailure, ListUpdateKind, Micros, WorkerStatus};
 use dispatcher_settings::list::{Entry, List, State};
-use dispatcher_state::{Input, Listed, Odd};
-use event_loop::{Clock, Desk, Seldom};
+use dispatcher_state::{Anomaly, Endpoint, Input};
+use event_loop::{Clock, LogRateLimiter, LoopHandle};
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper::{Request, StatusCode};
@@ -80,7 +80,7 @@
             let known = names.iter().position(|n| n == name);
             known.map_or_else(|| load_exchange::name_hash(name) | 1 << 31, |at| at as u32)
         };
-        let entry = |e: Entry| Listed {
+        let entry = |e: Entry| Endpoint {
             zone: place(&self.zones, &e.zone),
             kind: place(&self.kinds, &e.kind),
             name: e.id,
@@ -100,7 +100,7 @@
             false => ListUpdateKind::Incremental,
         };
         let entries = list.servers.into_iter().map(entry).collect();
-        Input::Listed {
+        Input::EndpointsUpdated {
             kind,
             version: Some(list.version),
             entries,
@@ -133,11 +133,11 @@
 pub async fn watch(
     mut at: watch::Receiver<SocketAddr>,
     places: Places,
-    desk: Rc<Desk>,
+    loop_handle: Rc<LoopHandle>,
     mut wanted: mpsc::UnboundedReceiver<Option<u64>>,
     pushed: bool,
 ) {
-    let (mut link, mut seldom) = (None, Seldom::default());
+    let (mut link, mut log_limiter) = (None, LogRateLimiter::default());
     let (mut lists, mut said) = (odd::Lists::default(), BTreeMap::new());
     // Another discovery may count its versions in another way: the whole list is asked for first.
     let mut whole = pushed;
@@ -157,7 +157,7 @@
         loop {
             let addr = *at.borrow_and_update();
             debug!(%addr, ?after, "watching the list");
-            let asked = desk.clock().now();
+            let asked = loop_handle.clock().now();
             let answer = tokio::select! {
                 biased;
                 () = moved(&mut at) => {
@@ -178,27 +178,27 @@
                     if whole {
                         lists.moved();
                     }
-                    say(&desk, &mut said, lists.look(&list, &places));
+                    say(&loop_handle, &mut said, lists.look(&list, &places));
                     let early = going
-                        && desk.clock().now() - asked
+                        && loop_handle.clock().now() - asked
                             < news_wait(going, pushed).as_micros() as Micros / 2;
                     let idle = early && !list.full && list.servers.is_empty();
                     (after, whole, going) = (Some(list.version), false, true);
-                    desk.report(places.input(list, false, addr));
-                    desk.listed();
+                    loop_handle.send_input(places.input(list, false, addr));
+                    loop_handle.set_endpoints_known();
                     if idle {
                         tokio::time::sleep(IDLE_PAUSE).await;
                     }
                 }
                 Err(e) => {
-                    match seldom.failed(desk.clock().now()) {
+                    match log_limiter.record(loop_handle.clock().now()) {
                         Some(kept_back) => warn!(kept_back, "a call to discovery failed: {e}"),
                         None => debug!("a call to discovery failed: {e}"),
                     }
                     // Only one watch at a time: what was asked for amid this one is answered by its failure.
                     while wanted.try_recv().is_ok() {}
                     let silent = matches!(e, CallError::Silent(_));
-                    desk.report(Input::ListFailed(if silent {
+                    loop_handle.send_input(Input::WatchFailed(if silent {
                         DiscoveryFailure::TimedOut
                     } else {
                         DiscoveryFailure::Failed
@@ -212,15 +212,19 @@
 }
 
 /// Says and counts what is odd about a list; each kind of it once in a while.
-fn say(desk: &Desk, said: &mut BTreeMap<Odd, Seldom>, found: odd::Found) {
+fn say(loop_handle: &LoopHandle, said: &mut BTreeMap<Anomaly, LogRateLimiter>, found: odd::Found) {
     for (what, (times, example)) in found {
-        if let Some(kept_back) = said.entry(what).or_default().failed(desk.clock().now()) {
+        if let Some(kept_back) = said
+            .entry(what)
+            .or_default()
+            .record(loop_handle.clock().now())
+        {
             warn!(
-                what = what.word(),
+                what = what.as_str(),
                 times, kept_back, "an odd list: {example}"
             );
         }
-        desk.report(Input::Odd(what, times));
+        loop_handle.send_input(Input::AnomalySeen(what, times));
     }
 }
 
--- a/crates/dispatcher/discovery/src/odd.rs
+++ b/crates/dispatcher/discovery/src/odd.rs
@@ -3,7 +3,7 @@
 
 use crate::Places;
 use dispatcher_settings::list::{List, State};
-use dispatcher_state::Odd;
+use dispatcher_state::Anomaly;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A whole list with less than this share of the targets that were listed before it is worth a word.
@@ -18,7 +18,7 @@
 }
 
 /// How often something was odd about a list, and one example in words.
-pub(crate) type Found = BTreeMap<Odd, (u64, String)>;
+pub(crate) type Found = BTreeMap<Anomaly, (u64, String)>;
 
 impl Lists {
     /// Looks at a list, which counts from then on.
@@ -27,7 +27,7 @@
         let mut odd = |what, example: String| found.entry(what).or_insert((0, example)).0 += 1;
         if list.version < self.version {
             odd(
-                Odd::OlderList,
+                Anomaly::OlderList,
                 format!("version {} after {}", list.version, self.version),
             );
         }
@@ -36,7 +36,10 @@
         let mut addrs = BTreeMap::new();
         for entry in &list.servers {
             if !ids.insert(&entry.id) {
-                odd(Odd::RepeatedTarget, format!("{} is named twice", entry.id));
+                odd(
+                    Anomaly::RepeatedTarget,
+                    format!("{} is named twice", entry.id),
+                );
             }
             if entry.state == State::Gone {
                 continue;
@@ -46,14 +49,14 @@
                 .filter(|other| **other != entry.id)
             {
                 odd(
-                    Odd::SharedAddress,
+                    Anomaly::SharedAddress,
                     format!("{other} and {} are both at {}", entry.id, entry.addr),
                 );
             }
             for (names, name) in [(&places.zones, &entry.zone), (&places.kinds, &entry.kind)] {
                 if !names.is_empty() && !names.contains(name) {
                     odd(
-                        Odd::UnknownPlace,
+                        Anomaly::UnknownPlace,
                         format!("{name:?} of {} is not in the settings", entry.id),
                     );
                 }
@@ -61,7 +64,10 @@
             if entry.weight.is_some_and(|w| {
                 !(w.is_finite() && (0.0..=discovery_pacing::LARGEST_WEIGHT).contains(&w))
             }) {
-                odd(Odd::Weight, format!("{:?} of {}", entry.weight, entry.id));
+                odd(
+                    Anomaly::Weight,
+                    format!("{:?} of {}", entry.weight, entry.id),
+                );
             }
         }
         let before = self.listed.len();
@@ -77,10 +83,13 @@
         }
         let now = self.listed.len();
         if list.full && before > 0 && now == 0 {
-            odd(Odd::EmptyList, format!("none of {before} targets is left"));
+            odd(
+                Anomaly::EmptyList,
+                format!("none of {before} targets is left"),
+            );
         } else if list.full && (now as f64) < before as f64 * SHRUNKEN {
             odd(
-                Odd::ShrunkenList,
+                Anomaly::ShrunkenList,
                 format!("{now} of {before} targets are left"),
             );
         }
@@ -141,21 +150,21 @@
             ("s-2", 1, "b", "ready", -1.0),
         ];
         let found = lists.look(&list(4, true, &odd), &places);
-        let counts: Vec<(Odd, u64)> = found
+        let counts: Vec<(Anomaly, u64)> = found
             .iter()
             .map(|(odd, (count, _))| (*odd, *count))
             .collect();
         let expected = [
-            (Odd::ShrunkenList, 1),
-            (Odd::OlderList, 1),
-            (Odd::RepeatedTarget, 1),
-            (Odd::SharedAddress, 1),
-            (Odd::UnknownPlace, 2),
-            (Odd::Weight, 2),
+            (Anomaly::ShrunkenList, 1),
+            (Anomaly::OlderList, 1),
+            (Anomaly::RepeatedTarget, 1),
+            (Anomaly::SharedAddress, 1),
+            (Anomaly::UnknownPlace, 2),
+            (Anomaly::Weight, 2),
         ];
         assert_eq!(counts, expected);
         assert_eq!(
-            found[&Odd::SharedAddress].1,
+            found[&Anomaly::SharedAddress].1,
             "s-1 and s-2 are both at 127.0.0.1:1"
         );
         lists.moved();
@@ -163,7 +172,7 @@
             lists
                 .look(&list(1, true, &[]), &places)
                 .keys()
-                .eq([&Odd::EmptyList]),
+                .eq([&Anomaly::EmptyList]),
             "of a new discovery"
         );
     }
@@ -184,7 +193,7 @@
             });
             let list = List { version: 1, full, servers: servers.collect() };
             lists.look(&list, &places());
-            prop_assert!(!lists.look(&list, &places()).contains_key(&Odd::OlderList));
+            prop_assert!(!lists.look(&list, &places()).contains_key(&Anomaly::OlderList));
         }
     }
 }
--- a/crates/dispatcher/dispatcher-settings/src/platform.rs
+++ b/crates/dispatcher/dispatcher-settings/src/platform.rs
@@ -237,8 +237,8 @@
 
 impl Config {
     /// What the reducer takes of it, with levels of reduced service or without.
-    pub fn setup(&self, levels: Option<Arc<degradation::Spec>>) -> dispatcher_state::Setup {
-        dispatcher_state::Setup {
+    pub fn setup(&self, levels: Option<Arc<degradation::Spec>>) -> dispatcher_state::StateConfig {
+        dispatcher_state::StateConfig {
             settings: self.settings.clone(),
             seed: self.seed,
             me: self.me,
--- a/crates/dispatcher/dispatcher-state/src/counts.rs
+++ b/crates/dispatcher/dispatcher-state/src/counts.rs
@@ -8,7 +8,7 @@
 
 /// The jobs of one class, since the start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct ClassCounts {
+pub struct ClassCounters {
     /// Taken, or turned back before they were.
     pub taken: u64,
     /// Served.
@@ -23,7 +23,7 @@
     pub tries: u64,
 }
 
-impl ClassCounts {
+impl ClassCounters {
     /// Those that have ended.
     pub fn ended(&self) -> u64 {
         self.ok + self.shed + self.errors + self.gone
@@ -32,7 +32,7 @@
 
 /// What is odd about something from outside that the program can read, or drops: each has a name and is counted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Odd {
+pub enum Anomaly {
     /// A whole list leaves no target.
     EmptyList,
     /// A whole list leaves less than half of the targets.
@@ -55,51 +55,51 @@
     Stranger,
 }
 
-impl Odd {
+impl Anomaly {
     /// All of them.
-    pub const ALL: [Odd; 10] = [
-        Odd::EmptyList,
-        Odd::ShrunkenList,
-        Odd::OlderList,
-        Odd::RepeatedTarget,
-        Odd::SharedAddress,
-        Odd::UnknownPlace,
-        Odd::Weight,
-        Odd::LongDatagram,
-        Odd::CutDatagram,
-        Odd::Stranger,
+    pub const ALL: [Anomaly; 10] = [
+        Anomaly::EmptyList,
+        Anomaly::ShrunkenList,
+        Anomaly::OlderList,
+        Anomaly::RepeatedTarget,
+        Anomaly::SharedAddress,
+        Anomaly::UnknownPlace,
+        Anomaly::Weight,
+        Anomaly::LongDatagram,
+        Anomaly::CutDatagram,
+        Anomaly::Stranger,
     ];
 
     /// Its name in figures and logs.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
-            Odd::EmptyList => "empty-list",
-            Odd::ShrunkenList => "shrunken-list",
-            Odd::OlderList => "older-list",
-            Odd::RepeatedTarget => "repeated-target",
-            Odd::SharedAddress => "shared-address",
-            Odd::UnknownPlace => "unknown-place",
-            Odd::Weight => "weight",
-            Odd::LongDatagram => "long-datagram",
-            Odd::CutDatagram => "cut-datagram",
-            Odd::Stranger => "stranger",
+            Anomaly::EmptyList => "empty-list",
+            Anomaly::ShrunkenList => "shrunken-list",
+            Anomaly::OlderList => "older-list",
+            Anomaly::RepeatedTarget => "repeated-target",
+            Anomaly::SharedAddress => "shared-address",
+            Anomaly::UnknownPlace => "unknown-place",
+            Anomaly::Weight => "weight",
+            Anomaly::LongDatagram => "long-datagram",
+            Anomaly::CutDatagram => "cut-datagram",
+            Anomaly::Stranger => "stranger",
         }
     }
 }
 
 /// All classes, by position, and what was odd.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct JobCounters {
     /// By class.
-    pub classes: Vec<ClassCounts>,
-    odd: [u64; Odd::ALL.len()],
+    pub classes: Vec<ClassCounters>,
+    anomalies: [u64; Anomaly::ALL.len()],
 }
 
-impl Counts {
+impl JobCounters {
     pub(super) fn new(classes: usize) -> Self {
-        Counts {
-            classes: vec![ClassCounts::default(); classes],
-            ..Counts::default()
+        JobCounters {
+            classes: vec![ClassCounters::default(); classes],
+            ..JobCounters::default()
         }
     }
 
@@ -109,15 +109,15 @@
     }
 
     /// How often something was odd.
-    pub fn odd(&self, what: Odd) -> u64 {
-        self.odd[what as usize]
+    pub fn anomalies(&self, what: Anomaly) -> u64 {
+        self.anomalies[what as usize]
     }
 
-    pub(super) fn was_odd(&mut self, what: Odd, times: u64) {
-        self.odd[what as usize] += times;
+    pub(super) fn count_anomaly(&mut self, what: Anomaly, times: u64) {
+        self.anomalies[what as usize] += times;
     }
 
-    fn class(&mut self, class: usize, count: impl FnOnce(&mut ClassCounts)) {
+    fn class(&mut self, class: usize, count: impl FnOnce(&mut ClassCounters)) {
         if let Some(counts) = self.classes.get_mut(class) {
             count(counts);
         }
@@ -130,8 +130,8 @@
     pub(super) fn answered(&mut self, class: usize, answer: &Answer) {
         self.class(class, |c| match answer {
             Answer::Served(_) => c.ok += 1,
-            Answer::Refused { .. } => c.shed += 1,
-            Answer::Failed | Answer::Unusable => c.errors += 1,
+            Answer::Rejected { .. } => c.shed += 1,
+            Answer::Failed | Answer::Unprocessable => c.errors += 1,
         });
     }
 
--- a/crates/dispatcher/dispatcher-state/src/lib.rs
+++ b/crates/dispatcher/dispatcher-state/src/lib.rs
@@ -7,14 +7,14 @@
 
 mod counts;
 mod flows;
+mod plans;
 mod pool;
 mod reducer;
 mod targets;
-mod upkeep;
 
-pub use counts::{ClassCounts, Counts, Odd};
-pub use reducer::{reduce, Seen, State, Watched};
-pub use upkeep::{Upkeep, Wanted, WantedError};
+pub use counts::{Anomaly, ClassCounters, JobCounters};
+pub use plans::{MaintenanceStatus, PlanRequest, PlanRequestError};
+pub use reducer::{reduce, MembershipSnapshot, State, StateSnapshot};
 
 use bytes::Bytes;
 use degradation::{Spec, Usage};
@@ -31,7 +31,7 @@
 
 /// The operators' word on a target; the latest counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Ruling {
+pub struct TargetOverride {
     /// It is left out, whatever the list says.
     pub out: bool,
     /// When they said so.
@@ -42,7 +42,7 @@
 
 /// How a process joins the other dispatchers as a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Joining {
+pub struct MembershipConfig {
     /// It pings one of them in each, microseconds.
     pub period: Micros,
     /// Later than that of any process before it.
@@ -51,7 +51,7 @@
 
 /// What the reducer is told at the start.
 #[derive(Debug, Clone)]
-pub struct Setup {
+pub struct StateConfig {
     /// For the decisions.
     pub settings: Settings,
     /// For their random numbers.
@@ -72,7 +72,7 @@
 
 /// One target of a list.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Listed {
+pub struct Endpoint {
     /// Its name, the same at every dispatcher.
     pub name: String,
     /// Where it listens.
@@ -95,46 +95,46 @@
 #[derive(Debug, Clone)]
 pub enum Input {
     /// A list of targets, or changes to it.
-    Listed {
+    EndpointsUpdated {
         /// How it relates to the list before.
         kind: ListUpdateKind,
         /// Its version; none if nothing is known, and the whole list is to be asked for.
         version: Option<u64>,
         /// Its entries.
-        entries: Vec<Listed>,
+        entries: Vec<Endpoint>,
     },
     /// The watch on the list has failed and ended.
-    ListFailed(DiscoveryFailure),
+    WatchFailed(DiscoveryFailure),
     /// A flow was taken; its id is new.
-    Taken(JobSpec),
+    FlowAccepted(JobSpec),
     /// A request got a fixed response before it was a flow, and its class was known.
-    TurnedBack {
+    FlowRejected {
         /// Its class, by position.
         class: usize,
         /// What it was answered as; none if its client had left by then.
         answer: Option<Answer>,
     },
     /// The client of a flow has gone before its answer.
-    Left(JobId),
+    ClientDisconnected(JobId),
     /// A connection is up and can carry something.
-    Up(ConnId),
+    ConnectionUp(ConnId),
     /// A connection has carried its exchange to the end and can carry the next.
-    Free(ConnId),
+    ConnectionFree(ConnId),
     /// A connection is closed on this side. Reported once for each that was opened, whatever came of it.
-    Closed {
+    ConnectionClosed {
         /// The connection.
         conn: ConnId,
         /// What was being sent on it when it broke was certainly not sent whole.
         unsent: bool,
     },
     /// The last byte of what was ordered on the connection is out.
-    Sent(ConnId),
+    RequestSent(ConnId),
     /// The target has begun the job.
-    Started(ConnId),
+    JobStarted(ConnId),
     /// The target has come this far with the job.
-    Progress(ConnId, f64),
+    JobProgress(ConnId, f64),
     /// The target's last word on a job or a probe.
-    Ended {
+    ExchangeEnded {
         /// The connection.
         conn: ConnId,
         /// What it said.
@@ -145,47 +145,47 @@
         report: Option<LoadReport>,
     },
     /// The target's last word on a request that it can't use: the request is at fault.
-    Unusable {
+    RequestUnusable {
         /// The connection.
         conn: ConnId,
         /// The target's load report.
         report: Option<LoadReport>,
     },
     /// A message from another dispatcher.
-    Told {
+    PeerDatagram {
         /// Its number.
         from: u32,
         /// What it sent.
         message: Vec<u8>,
     },
     /// This process speaks for its dispatcher among all from now on, or does so no more. Of no effect with less than two.
-    Member(Option<Joining>),
+    MembershipChanged(Option<MembershipConfig>),
     /// This process has been told to stop, and says so to the other dispatchers.
-    Leaving,
+    ShuttingDown,
     /// This dispatcher takes part in maintenance from now on, with what another process of it kept, if there was any.
-    Maintained(Option<Box<maintenance::Kept>>),
+    MaintenanceEnabled(Option<Box<maintenance::Kept>>),
     /// The operators want a plan followed; with none, the one under way called off.
-    Planned(Option<Box<maintenance::Plan>>),
+    PlanRequested(Option<Box<maintenance::Plan>>),
     /// The operators' work on a target that is out by the plan is done.
-    Done(String),
+    TargetWorkDone(String),
     /// Something from outside was odd, so many times.
-    Odd(Odd, u64),
+    AnomalySeen(Anomaly, u64),
     /// How much of the program's own limits is in use.
-    Used(Usage),
+    ResourceUsage(Usage),
     /// Other levels of reduced service are in force from now on, or none.
-    Levels(Option<Arc<Spec>>),
+    LevelsReplaced(Option<Arc<Spec>>),
     /// The operators ask for a level, 0 for full service, for so long; with none for what the figures say.
-    Force(Option<(usize, Micros)>),
+    LevelForced(Option<(usize, Micros)>),
     /// The operators' latest word on targets, here or at another process of this dispatcher.
-    Ruled(Vec<(String, Ruling)>),
+    OverridesChanged(Vec<(String, TargetOverride)>),
     /// What a predecessor knew of the targets that are listed by now.
-    Recalled(Box<PolicySnapshot>),
+    SnapshotRecalled(Box<PolicySnapshot>),
     /// Every flow that is open is to have its final answer by then.
-    AnswerBy(Micros),
+    AnswerDeadline(Micros),
     /// So many connections to targets may be open together from now on.
-    Connections(usize),
+    ConnectionLimit(usize),
     /// So many processes of this dispatcher live, this one included.
-    Processes(u32),
+    ProcessCount(u32),
     /// The time that [`State::wake_at`] named has come.
     Tick,
 }
@@ -196,28 +196,28 @@
     /// What the target made of it.
     Served(Bytes),
     /// Not served, and trying again is harmless.
-    Refused {
+    Rejected {
         /// Advice when to come again.
         retry_after: Option<Micros>,
     },
     /// Not served, and it may have run.
     Failed,
     /// Not served, since no target can use it.
-    Unusable,
+    Unprocessable,
 }
 
 /// What the reducer asks for.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Effect {
     /// Open a connection.
-    Open {
+    OpenConnection {
         /// Its number.
         conn: ConnId,
         /// Where to.
         addr: SocketAddr,
     },
     /// Send a flow's request on a connection that is up and free.
-    Send {
+    SendRequest {
         /// The connection.
         conn: ConnId,
         /// The flow.
@@ -226,25 +226,25 @@
         wait: Micros,
     },
     /// Ask for the target's load on a connection that is up and free.
-    Probe(ConnId),
+    SendProbe(ConnId),
     /// Close a connection, whatever it carries.
-    Close(ConnId),
+    CloseConnection(ConnId),
     /// Answer a flow.
-    Answer {
+    AnswerFlow {
         /// The flow.
         flow: JobId,
         /// Its answer.
         answer: Answer,
     },
     /// Watch the list for what is newer than this version, until a call fails.
-    Watch {
+    WatchEndpoints {
         /// The version held; with none the whole list is wanted.
         after: Option<u64>,
     },
     /// Send this to every other dispatcher.
-    Tell(Vec<u8>),
+    BroadcastToPeers(Vec<u8>),
     /// Send this to one other dispatcher.
-    TellOne {
+    SendToPeer {
         /// Its number.
         to: u32,
         /// The message.
--- a/crates/dispatcher/dispatcher-state/src/upkeep.rs
+++ b/crates/dispatcher/dispatcher-state/src/plans.rs
@@ -7,7 +7,7 @@
 
 /// A plan as operators want it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Wanted {
+pub struct PlanRequest {
     /// Names of targets, in the order in which they go out.
     pub targets: Vec<String>,
     /// How many may be out together.
@@ -26,7 +26,7 @@
 
 /// Why a plan is refused, with what would be right.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum WantedError {
+pub enum PlanRequestError {
     /// Dispatchers don't settle anything here.
     #[error(
         "no maintenance here: it needs the blocks membership and handover of the operators' file"
@@ -56,7 +56,7 @@
 
 /// The plan that is known here, as operators see it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Upkeep {
+pub struct MaintenanceStatus {
     /// How far it is.
     pub progress: Progress,
     /// The names of its targets, in order; those that no list here has named are empty.
@@ -64,15 +64,15 @@
 }
 
 impl State {
-    pub(super) fn shown_upkeep(&self) -> Option<Upkeep> {
-        let progress = self.council.upkeep()?.progress(self.upkeep_now())?;
+    pub(super) fn maintenance_status(&self) -> Option<MaintenanceStatus> {
+        let progress = self.council.upkeep()?.progress(self.last_input_at())?;
         let name = |t: &Target| {
             self.targets()
                 .named_by(t.name_hash)
                 .unwrap_or_default()
                 .to_owned()
         };
-        Some(Upkeep {
+        Some(MaintenanceStatus {
             names: progress.plan.targets.iter().map(name).collect(),
             progress,
         })
@@ -82,16 +82,16 @@
     ///
     /// # Errors
     /// Why it is refused.
-    pub fn plan(&self, wanted: &Wanted) -> Result<Plan, WantedError> {
-        let upkeep = self.council.upkeep().ok_or(WantedError::Off)?;
+    pub fn build_plan(&self, wanted: &PlanRequest) -> Result<Plan, PlanRequestError> {
+        let upkeep = self.council.upkeep().ok_or(PlanRequestError::Off)?;
         if let Some(kept) = upkeep.kept().filter(|_| upkeep.active()) {
-            return Err(WantedError::UnderWay {
+            return Err(PlanRequestError::UnderWay {
                 id: kept.plan.id,
                 by: kept.plan.by,
             });
         }
         if !(wanted.share > 0.0 && wanted.share <= 1.0) {
-            return Err(WantedError::Share);
+            return Err(PlanRequestError::Share);
         }
         let listed: BTreeMap<&str, (u32, u32)> = self
             .targets()
@@ -110,7 +110,7 @@
         for name in &wanted.targets {
             let (kind, zone) = *listed
                 .get(name.as_str())
-                .ok_or_else(|| WantedError::Unknown(name.clone()))?;
+                .ok_or_else(|| PlanRequestError::Unknown(name.clone()))?;
             let (kind, zone) = (place(&mut kinds, kind), place(&mut zones, zone));
             let byte = |n: usize| u8::try_from(n).unwrap_or(u8::MAX);
             targets.push(Target {
@@ -123,7 +123,7 @@
         for (at, kind) in kinds.iter().enumerate().take(MOST_KINDS + 1) {
             let all = listed.values().filter(|(k, _)| k == kind).count();
             if targets.iter().filter(|t| usize::from(t.kind) == at).count() >= all {
-                return Err(WantedError::Kind(all));
+                return Err(PlanRequestError::Kind(all));
             }
             limits.push(((all as f64 * wanted.share) as u8).max(1));
         }
@@ -133,7 +133,7 @@
             kinds: limits,
         };
         let (version, by, cancelled) = (0, 0, false);
-        let Wanted {
+        let PlanRequest {
             drain_ms,
             out_ms,
             id,
@@ -154,14 +154,14 @@
     }
 
     /// Whether a plan is under way.
-    pub fn plans(&self) -> bool {
+    pub fn has_active_plan(&self) -> bool {
         self.council
             .upkeep()
             .is_some_and(maintenance::Maintenance::active)
     }
 
     /// Whether this target is out by a plan, so that work on it can be done.
-    pub fn out_by_plan(&self, target: &str) -> bool {
+    pub fn is_out_by_plan(&self, target: &str) -> bool {
         let name_hash = load_exchange::name_hash(target);
         let standing = |p: Progress| {
             p.targets
@@ -172,7 +172,7 @@
         let upkeep = self
             .council
             .upkeep()
-            .and_then(|u| u.progress(self.upkeep_now()));
+            .and_then(|u| u.progress(self.last_input_at()));
         matches!(
             upkeep.and_then(standing),
             Some(Standing::Out | Standing::Empty)
--- a/crates/dispatcher/dispatcher-state/src/reducer.rs
+++ b/crates/dispatcher/dispatcher-state/src/reducer.rs
@@ -1,11 +1,13 @@
 //! The one place that changes the state.
 
-use super::counts::Counts;
+use super::counts::JobCounters;
 use super::flows::Flows;
+use super::plans::MaintenanceStatus;
 use super::pool::{Load, Pool, Stage};
 use super::targets::TargetGroup;
-use super::upkeep::Upkeep;
-use super::{Answer, ConnId, Effect, Input, Joining, Odd, Ruling, Setup};
+use super::{
+    Anomaly, Answer, ConnId, Effect, Input, MembershipConfig, StateConfig, TargetOverride,
+};
 use bytes::Bytes;
 use coordination::{Council, Targets};
 use degradation::{Governed, Status};
@@ -24,12 +26,12 @@
 /// All that a dispatcher keeps.
 #[derive(Debug)]
 pub struct State {
-    setup: Setup,
+    setup: StateConfig,
     decisions: Governed,
     flows: Flows,
     targets: TargetGroup,
     pool: Pool,
-    counts: Counts,
+    counts: JobCounters,
     /// When the program ends, and every flow that is open by then is answered.
     ends: Option<Micros>,
     /// What the dispatchers settle among themselves.
@@ -47,14 +49,14 @@
     ///
     /// # Errors
     /// What makes the settings unusable.
-    pub fn new(setup: Setup) -> Result<Self, SettingsError> {
+    pub fn new(setup: StateConfig) -> Result<Self, SettingsError> {
         let decisions = Governed::new(setup.settings.clone(), setup.seed, setup.levels.clone())?;
         let (flows, targets, pool) = (
             Default::default(),
             Default::default(),
             Pool::new(setup.idle),
         );
-        let counts = Counts::new(setup.settings.classes.len());
+        let counts = JobCounters::new(setup.settings.classes.len());
         let council = Council::new(setup.me, setup.settings.dispatchers, setup.seed);
         let (wakes, actions, ends, now) = Default::default();
         Ok(State {
@@ -73,45 +75,50 @@
     }
 
     /// What can be seen from outside.
-    pub fn seen(&self) -> Seen {
+    pub fn snapshot(&self) -> StateSnapshot {
         let status = self.decisions.status();
         let ejected = self.targets.out() + status.figures.ejected;
-        let members = self.council.members().map(|m| Watched::of(m, self.now));
-        let (counts, listed, upkeep) = (
+        let members = self
+            .council
+            .members()
+            .map(|m| MembershipSnapshot::of(m, self.now));
+        let (counts, listed, maintenance) = (
             self.counts.clone(),
             self.targets.listed(),
-            self.shown_upkeep(),
+            self.maintenance_status(),
         );
-        Seen {
+        StateSnapshot {
             counts,
             listed,
             ejected,
             status,
             members,
-            upkeep,
+            maintenance,
         }
     }
 
     /// What a successor can use.
-    pub fn known(&self) -> PolicySnapshot {
+    pub fn policy_snapshot(&self) -> PolicySnapshot {
         self.decisions.known()
     }
 
     /// The operators' latest word on each target that they ever spoke of.
-    pub fn rulings(&self) -> impl Iterator<Item = (&str, Ruling)> {
-        self.targets.rulings()
+    pub fn overrides(&self) -> impl Iterator<Item = (&str, TargetOverride)> {
+        self.targets.overrides()
     }
 
     /// What the operators' word on a target comes to at this time; none if no list has ever named it.
-    pub fn word(&self, target: &str, out: bool, now: Micros) -> Option<Ruling> {
-        let before = self.named(target).then(|| self.targets.ruling(target))?;
+    pub fn resolve_override(&self, target: &str, out: bool, now: Micros) -> Option<TargetOverride> {
+        let before = self
+            .is_known_target(target)
+            .then(|| self.targets.target_override(target))?;
         let at = before.map_or(now, |b| now.max(b.at + 1));
         let since = before.filter(|b| b.out).map_or(at, |b| b.since);
-        Some(Ruling { out, at, since })
+        Some(TargetOverride { out, at, since })
     }
 
     /// Whether a list has ever named this target.
-    pub fn named(&self, target: &str) -> bool {
+    pub fn is_known_target(&self, target: &str) -> bool {
         self.targets.named(target)
     }
 
@@ -138,54 +145,54 @@
     }
 
     /// The time of the last input.
-    pub(super) fn upkeep_now(&self) -> Micros {
+    pub(super) fn last_input_at(&self) -> Micros {
         self.now
     }
 
     /// What maintenance leaves to a successor; none without a plan.
-    pub fn kept_upkeep(&self) -> Option<maintenance::Kept> {
+    pub fn saved_maintenance(&self) -> Option<maintenance::Kept> {
         self.council.kept()
     }
 
     /// Whether that has changed since the last call: it is to be kept before anybody else is told.
-    pub fn take_unkept(&mut self) -> bool {
-        self.council.take_unkept()
+    pub fn take_unsaved_change(&mut self) -> bool {
+        self.council.take_unsaved_change()
     }
 }
 
 /// What can be seen of the state from outside.
 #[derive(Debug, Clone)]
-pub struct Seen {
+pub struct StateSnapshot {
     /// What the decisions believe and count, and the levels.
     pub status: Status,
     /// What has become of the jobs.
-    pub counts: Counts,
+    pub counts: JobCounters,
     /// Targets in the list, those that drain included.
     pub listed: usize,
     /// ... and of these, those that are out by hand or get nothing for now.
     pub ejected: usize,
     /// What is believed of each dispatcher, by number, where they watch each other.
-    pub members: Option<Watched>,
+    pub members: Option<MembershipSnapshot>,
     /// The plan of maintenance, where one is known.
-    pub upkeep: Option<Upkeep>,
+    pub maintenance: Option<MaintenanceStatus>,
 }
 
 /// What is believed of the dispatchers.
 #[derive(Debug, Clone)]
-pub struct Watched {
+pub struct MembershipSnapshot {
     /// Of each, by number: what it is believed to be, whether it was heard lately, and whether it hears this one.
     pub members: Vec<(membership::Change, bool, bool)>,
     /// The number of the view, the same at all that hold the same others for there.
     pub view: u32,
 }
 
-impl Watched {
+impl MembershipSnapshot {
     fn of(swim: &Swim, now: Micros) -> Self {
         let shown = |change: Change| {
             let (heard, by) = swim.heard(change.member, now);
             (change, heard, by)
         };
-        Watched {
+        MembershipSnapshot {
             members: swim.view().into_iter().map(shown).collect(),
             view: swim.view_number(),
         }
@@ -236,7 +243,7 @@
 impl Turn<'_> {
     fn take(&mut self, input: Input) {
         match input {
-            Input::Listed {
+            Input::EndpointsUpdated {
                 kind,
                 version,
                 entries,
@@ -246,31 +253,31 @@
                 self.events
                     .push_back(Event::WorkersUpdated { kind, entries });
             }
-            Input::Ruled(rulings) => self.ruled(rulings),
-            Input::ListFailed(lost) => self.events.push_back(Event::WatchFailed(lost)),
-            Input::Taken(spec) => {
+            Input::OverridesChanged(overrides) => self.ruled(overrides),
+            Input::WatchFailed(lost) => self.events.push_back(Event::WatchFailed(lost)),
+            Input::FlowAccepted(spec) => {
                 self.state.flows.take(spec.id, spec.class, spec.expires);
                 self.state.counts.taken(spec.class);
                 self.events.push_back(Event::JobAccepted(spec));
             }
-            Input::TurnedBack { class, answer } => {
+            Input::FlowRejected { class, answer } => {
                 self.state.counts.taken(class);
                 match answer {
                     Some(answer) => self.state.counts.answered(class, &answer),
                     None => self.state.counts.gone(class),
                 }
             }
-            Input::Left(flow) => {
+            Input::ClientDisconnected(flow) => {
                 if let Some(class) = self.state.flows.finish(flow) {
                     self.state.counts.gone(class);
                     self.events.push_back(Event::ClientDisconnected(flow));
                 }
             }
-            Input::Up(conn) => self.up(conn),
-            Input::Free(conn) => self.free(conn),
-            Input::Closed { conn, unsent } => self.closed(conn, unsent),
-            Input::Sent(conn) => self.sent(conn),
-            Input::Started(conn) => {
+            Input::ConnectionUp(conn) => self.up(conn),
+            Input::ConnectionFree(conn) => self.free(conn),
+            Input::ConnectionClosed { conn, unsent } => self.closed(conn, unsent),
+            Input::RequestSent(conn) => self.sent(conn),
+            Input::JobStarted(conn) => {
                 if let Some((job, attempt, worker)) = self.attempt(conn) {
                     debug!(flow = job.0, attempt, target = worker.0, "started");
                     self.events.push_back(Event::JobStarted {
@@ -280,7 +287,7 @@
                     });
                 }
             }
-            Input::Progress(conn, done) => {
+            Input::JobProgress(conn, done) => {
                 if let Some((job, attempt, worker)) = self.attempt(conn) {
                     self.events.push_back(Event::JobProgress {
                         job,
@@ -290,20 +297,20 @@
                     });
                 }
             }
-            Input::Ended {
+            Input::ExchangeEnded {
                 conn,
                 outcome,
                 result,
                 report,
             } => self.last_word(conn, outcome, result, report),
-            Input::Unusable { conn, report } => {
+            Input::RequestUnusable { conn, report } => {
                 if let Some((job, _, _)) = self.attempt(conn) {
-                    self.answer(job, Answer::Unusable);
+                    self.answer(job, Answer::Unprocessable);
                 }
                 // It says nothing of the target's health.
                 self.last_word(conn, Outcome::Unknown, None, report);
             }
-            Input::Told { from, message } => {
+            Input::PeerDatagram { from, message } => {
                 // To all means to this dispatcher too; a number out of range is nobody's.
                 if from == self.state.setup.me || from >= self.state.setup.settings.dispatchers {
                     return;
@@ -323,9 +330,9 @@
                     self.events.push_back(Event::PeerLoad { from, held });
                 }
             }
-            Input::Member(joining) => {
+            Input::MembershipChanged(joining) => {
                 let joining = joining.map(
-                    |Joining {
+                    |MembershipConfig {
                          period,
                          incarnation,
                      }| (period, incarnation),
@@ -333,18 +340,18 @@
                 let effects = self.state.council.join(self.now, joining);
                 self.settled(effects);
             }
-            Input::Leaving => {
+            Input::ShuttingDown => {
                 let effects = self.state.council.leave(self.now);
                 self.settled(effects);
             }
-            Input::Maintained(kept) => {
+            Input::MaintenanceEnabled(kept) => {
                 let effects = self
                     .state
                     .council
                     .maintains(self.now, kept.map(|kept| *kept));
                 self.settled(effects);
             }
-            Input::Planned(plan) => {
+            Input::PlanRequested(plan) => {
                 if let Some(plan) = plan
                     .as_ref()
                     .filter(|_| self.state.council.upkeep().is_some())
@@ -357,25 +364,25 @@
                 }
                 self.asks(|council, now, known| council.plan(now, plan.map(|plan| *plan), known));
             }
-            Input::Done(target) => {
+            Input::TargetWorkDone(target) => {
                 self.asks(|council, now, known| {
                     council.done(now, load_exchange::name_hash(&target), known)
                 });
             }
-            Input::Odd(what, times) => self.state.counts.was_odd(what, times),
-            Input::Used(usage) => self.state.decisions.used(usage),
-            Input::Levels(spec) => {
+            Input::AnomalySeen(what, times) => self.state.counts.count_anomaly(what, times),
+            Input::ResourceUsage(usage) => self.state.decisions.used(usage),
+            Input::LevelsReplaced(spec) => {
                 self.decide(|decisions, now, actions| decisions.replace(now, spec, actions))
             }
-            Input::Force(level) => {
+            Input::LevelForced(level) => {
                 self.decide(|decisions, now, actions| decisions.force(now, level, actions))
             }
-            Input::Recalled(known) => self.state.decisions.recall(self.now, &known),
-            Input::AnswerBy(at) => {
+            Input::SnapshotRecalled(known) => self.state.decisions.recall(self.now, &known),
+            Input::AnswerDeadline(at) => {
                 self.state.ends = Some(at);
                 self.state.wakes.insert(at.max(self.now + 1));
             }
-            Input::Connections(most) => {
+            Input::ConnectionLimit(most) => {
                 self.state.setup.connections = most;
                 for _ in most..self.state.pool.len() {
                     let Some(longest) = self.state.pool.idle_longest() else {
@@ -384,7 +391,7 @@
                     self.close(longest, None);
                 }
             }
-            Input::Processes(processes) => self.state.decisions.share_among(processes),
+            Input::ProcessCount(processes) => self.state.decisions.share_among(processes),
             Input::Tick => {}
         }
     }
@@ -467,7 +474,7 @@
         for effect in effects {
             match effect {
                 coordination::Effect::Send { to, message } => {
-                    self.effects.push(Effect::TellOne { to, message })
+                    self.effects.push(Effect::SendToPeer { to, message })
                 }
                 coordination::Effect::Rule { name_hash, out } => self.ban(name_hash, out),
                 coordination::Effect::Joined {
@@ -501,7 +508,9 @@
                 coordination::Effect::CalledOff(called_off) => {
                     info!(called_off, "a plan of maintenance is called off");
                 }
-                coordination::Effect::Odd => self.state.counts.was_odd(Odd::CutDatagram, 1),
+                coordination::Effect::Odd => {
+                    self.state.counts.count_anomaly(Anomaly::CutDatagram, 1)
+                }
             }
         }
     }
@@ -526,7 +535,7 @@
             Action::Push { job, worker } => self.push(job, worker),
             Action::CancelAttempt { job, attempt } => self.cancel(job, attempt),
             Action::RejectJob { job, retry_after } => {
-                self.answer(job, Answer::Refused { retry_after })
+                self.answer(job, Answer::Rejected { retry_after })
             }
             Action::FailJob { job } => self.answer(job, Answer::Failed),
             Action::Probe { worker } => self.carry(worker, Load::Probe),
@@ -539,9 +548,9 @@
                     ))
                 };
                 let message: Vec<u8> = held.iter().filter_map(entry).flatten().collect();
-                self.effects.push(Effect::Tell(message));
+                self.effects.push(Effect::BroadcastToPeers(message));
             }
-            Action::WatchWorkers => self.effects.push(Effect::Watch {
+            Action::WatchWorkers => self.effects.push(Effect::WatchEndpoints {
                 after: self.state.targets.version,
             }),
             // One that is due already comes next, never within this call.
@@ -552,7 +561,7 @@
     fn answer(&mut self, flow: JobId, answer: Answer) {
         if let Some(class) = self.state.flows.finish(flow) {
             self.state.counts.answered(class, &answer);
-            self.effects.push(Effect::Answer { flow, answer });
+            self.effects.push(Effect::AnswerFlow { flow, answer });
         }
     }
 
@@ -572,12 +581,16 @@
     }
 
     /// The operators' word on targets: the decisions hear of one that is out as of one that drains.
-    fn ruled(&mut self, rulings: Vec<(String, Ruling)>) {
-        for (target, ruling) in rulings {
-            let Some((entry, out)) = self.state.targets.rule(&target, ruling) else {
+    fn ruled(&mut self, overrides: Vec<(String, TargetOverride)>) {
+        for (target, target_override) in overrides {
+            let Some((entry, out)) = self.state.targets.rule(&target, target_override) else {
                 continue;
             };
-            info!(target, out = ruling.out, "the operators' word on a target");
+            info!(
+                target,
+                out = target_override.out,
+                "the operators' word on a target"
+            );
             if let Some(worker) = out {
                 self.close_idle(worker);
             }
@@ -627,7 +640,7 @@
                 .into_iter()
                 .for_each(|f| f.out = Some(conn));
         }
-        self.effects.push(Effect::Open { conn, addr });
+        self.effects.push(Effect::OpenConnection { conn, addr });
     }
 
     /// Whether it may be sent again after it was lost on its way.
@@ -662,13 +675,13 @@
                     .get_mut(flow)
                     .into_iter()
                     .for_each(|f| f.out = Some(conn));
-                Effect::Send {
+                Effect::SendRequest {
                     conn,
                     flow,
                     wait: until.saturating_sub(self.now),
                 }
             }
-            Load::Probe => Effect::Probe(conn),
+            Load::Probe => Effect::SendProbe(conn),
         });
     }
 
@@ -708,7 +721,7 @@
 
     fn close(&mut self, conn: ConnId, ending: Option<(Load, Outcome)>) {
         self.state.pool.set(conn, Stage::Closing(ending), None);
-        self.effects.push(Effect::Close(conn));
+        self.effects.push(Effect::CloseConnection(conn));
     }
 
     fn close_idle(&mut self, target: WorkerId) {
--- a/crates/dispatcher/dispatcher-state/src/targets.rs
+++ b/crates/dispatcher/dispatcher-state/src/targets.rs
@@ -1,6 +1,6 @@
 //! The target group: every target that a list has named, numbered for the decisions, and the operators' word on some.
 
-use super::{Listed, Ruling};
+use super::{Endpoint, TargetOverride};
 use dispatch_api::load_exchange;
 use dispatch_api::{ListUpdateKind, Micros, WorkerEntry, WorkerId, WorkerStatus};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -28,7 +28,7 @@
     targets: Vec<Target>,
     numbers: HashMap<String, WorkerId>,
     name_hashes: HashMap<u32, WorkerId>,
-    rulings: BTreeMap<String, Ruling>,
+    overrides: BTreeMap<String, TargetOverride>,
     /// Out by a plan of maintenance, since when.
     planned: BTreeMap<u32, Micros>,
     /// The version of the list held.
@@ -71,18 +71,18 @@
             .count()
     }
 
-    pub fn rulings(&self) -> impl Iterator<Item = (&str, Ruling)> {
-        self.rulings
+    pub fn overrides(&self) -> impl Iterator<Item = (&str, TargetOverride)> {
+        self.overrides
             .iter()
-            .map(|(name, ruling)| (name.as_str(), *ruling))
+            .map(|(name, target_override)| (name.as_str(), *target_override))
     }
 
-    pub fn ruling(&self, name: &str) -> Option<Ruling> {
-        self.rulings.get(name).copied()
+    pub fn target_override(&self, name: &str) -> Option<TargetOverride> {
+        self.overrides.get(name).copied()
     }
 
     fn is_out(&self, name: &str) -> bool {
-        self.rulings.get(name).is_some_and(|r| r.out)
+        self.overrides.get(name).is_some_and(|r| r.out)
             || self.planned.contains_key(&load_exchange::name_hash(name))
     }
 
@@ -146,7 +146,7 @@
         &mut self,
         kind: ListUpdateKind,
         version: Option<u64>,
-        entries: Vec<Listed>,
+        entries: Vec<Endpoint>,
     ) -> (Vec<WorkerEntry>, BTreeSet<WorkerId>) {
         self.version = version;
         let mut stale = BTreeSet::new();
@@ -160,7 +160,7 @@
                 stale.insert(worker);
             }
             target.addr = entry.addr;
-            let Listed {
+            let Endpoint {
                 zone,
                 kind,
                 cell,
@@ -203,24 +203,27 @@
     pub fn rule(
         &mut self,
         name: &str,
-        ruling: Ruling,
+        target_override: TargetOverride,
     ) -> Option<(Option<WorkerEntry>, Option<WorkerId>)> {
-        let before = self.rulings.get(name).copied();
-        if before.is_some_and(|b| b.at >= ruling.at) {
+        let before = self.overrides.get(name).copied();
+        if before.is_some_and(|b| b.at >= target_override.at) {
             return None;
         }
-        self.rulings.insert(name.to_owned(), ruling);
+        self.overrides.insert(name.to_owned(), target_override);
         let Some(worker) = self.numbers.get(name).copied() else {
             return Some((None, None));
         };
         if let Some(target) = self
             .targets
             .get_mut(worker.0 as usize)
-            .filter(|_| !ruling.out)
+            .filter(|_| !target_override.out)
         {
             // Out since then, it may have been restarted at any time and be cold.
-            let was_out = before.is_some_and(|b| b.out) || ruling.since < ruling.at;
-            let from = ruling.since.max(ruling.at.saturating_sub(LATE));
+            let was_out =
+                before.is_some_and(|b| b.out) || target_override.since < target_override.at;
+            let from = target_override
+                .since
+                .max(target_override.at.saturating_sub(LATE));
             target.started_from = if was_out {
                 Some(from)
             } else {
@@ -232,7 +235,7 @@
             weight: None,
             ..self.shown(worker)
         };
-        Some((Some(shown), ruling.out.then_some(worker)))
+        Some((Some(shown), target_override.out.then_some(worker)))
     }
 
     /// What the decisions hear of a target: one that is out is so whatever the list says, unless it is gone.
@@ -256,7 +259,7 @@
         }
     }
 
-    fn number(&mut self, entry: &Listed) -> WorkerId {
+    fn number(&mut self, entry: &Endpoint) -> WorkerId {
         if let Some(id) = self.numbers.get(&entry.name) {
             return *id;
         }
--- a/crates/dispatcher/dispatcher-state/tests/reducer.rs
+++ b/crates/dispatcher/dispatcher-state/tests/reducer.rs
@@ -5,7 +5,7 @@
 
 use common::*;
 use dispatch_api::*;
-use dispatcher_state::{reduce, Answer, ConnId, Effect, Input, Listed, Setup, State};
+use dispatcher_state::{reduce, Answer, ConnId, Effect, Endpoint, Input, State, StateConfig};
 use rstest::rstest;
 
 struct Bench {
@@ -16,7 +16,7 @@
 
 impl Bench {
     fn new(class: JobClass, targets: u32) -> Self {
-        let setup = Setup {
+        let setup = StateConfig {
             settings: settings(vec![class]),
             seed: 7,
             me: 0,
@@ -44,7 +44,7 @@
     }
 
     fn list(&mut self, kind: ListUpdateKind, targets: impl Iterator<Item = (u32, WorkerStatus)>) {
-        let entry = |(n, status)| Listed {
+        let entry = |(n, status)| Endpoint {
             weight: None,
             name: format!("s-{n}"),
             addr: ([127, 0, 0, 1], 4_000 + n as u16).into(),
@@ -54,7 +54,7 @@
             status,
             started: None,
         };
-        self.take(Input::Listed {
+        self.take(Input::EndpointsUpdated {
             kind,
             version: Some(1),
             entries: targets.map(entry).collect(),
@@ -73,27 +73,27 @@
             work: None,
             key: None,
         };
-        self.take(Input::Taken(spec));
+        self.take(Input::FlowAccepted(spec));
         self.opened().expect("a connection is opened")
     }
 
     fn opened(&self) -> Option<ConnId> {
         self.effects.iter().find_map(|e| match e {
-            Effect::Open { conn, .. } => Some(*conn),
+            Effect::OpenConnection { conn, .. } => Some(*conn),
             _ => None,
         })
     }
 
     fn sent(&self) -> Option<ConnId> {
         self.effects.iter().find_map(|e| match e {
-            Effect::Send { conn, .. } => Some(*conn),
+            Effect::SendRequest { conn, .. } => Some(*conn),
             _ => None,
         })
     }
 
     fn answer(&self) -> Option<Answer> {
         self.effects.iter().find_map(|e| match e {
-            Effect::Answer { answer, .. } => Some(answer.clone()),
+            Effect::AnswerFlow { answer, .. } => Some(answer.clone()),
             _ => None,
         })
     }
@@ -110,20 +110,20 @@
             work: None,
             key: None,
         };
-        self.take(Input::Taken(spec));
+        self.take(Input::FlowAccepted(spec));
         let (opened, sent) = (self.opened(), self.sent());
         if let Some(conn) = opened {
-            self.take(Input::Up(conn));
+            self.take(Input::ConnectionUp(conn));
         }
         let conn = opened.or(sent).expect("it goes out at once");
         self.done(conn);
-        self.take(Input::Free(conn));
+        self.take(Input::ConnectionFree(conn));
         (conn, opened.is_some())
     }
 
     fn done(&mut self, conn: ConnId) {
         let result = Some("r".into());
-        self.take(Input::Ended {
+        self.take(Input::ExchangeEnded {
             conn,
             outcome: Outcome::Done,
             result,
@@ -147,7 +147,7 @@
         work: None,
         key: None,
     };
-    b.take(Input::Taken(spec));
+    b.take(Input::FlowAccepted(spec));
     while b.answer().is_none() {
         b.now = b
             .state
@@ -155,14 +155,14 @@
             .expect("a held flow always has a time at which it is looked at");
         assert!(b.now < expires, "not answered in time");
         // News that changes nothing arrives just as the time has come.
-        b.take(Input::Told {
+        b.take(Input::PeerDatagram {
             from: 0,
             message: vec![],
         });
     }
     assert!(matches!(
         b.answer(),
-        Some(Answer::Refused {
+        Some(Answer::Rejected {
             retry_after: Some(_)
         })
     ));
@@ -177,9 +177,9 @@
         ListUpdateKind::Incremental,
         [(0, WorkerStatus::Draining), (1, WorkerStatus::Ready)].into_iter(),
     );
-    b.take(Input::Up(conn));
+    b.take(Input::ConnectionUp(conn));
     assert_eq!(b.sent(), None);
-    assert!(b.effects.contains(&Effect::Close(conn)));
+    assert!(b.effects.contains(&Effect::CloseConnection(conn)));
     assert!(
         b.opened().is_some(),
         "it never ran, so it goes to the other target"
@@ -202,15 +202,15 @@
     class.latency_target = 4_000 * MS;
     let mut b = Bench::new(class, 2);
     let first = b.flow(1);
-    b.take(Input::Up(first));
+    b.take(Input::ConnectionUp(first));
     b.now += 380 * MS;
-    b.take(Input::Closed {
+    b.take(Input::ConnectionClosed {
         conn: first,
         unsent: false,
     });
     let second = b.opened().expect("inside the window it is tried again");
     b.now += (up_after - 380) * MS;
-    b.take(Input::Up(second));
+    b.take(Input::ConnectionUp(second));
     assert_eq!(b.sent().is_some(), sent);
     assert_eq!(
         b.answer(),
@@ -233,10 +233,10 @@
         work: None,
         key: None,
     };
-    b.take(Input::Taken(spec));
+    b.take(Input::FlowAccepted(spec));
     let conn = b.opened().expect("a connection is opened");
     b.now = expires;
-    b.take(Input::Up(conn));
+    b.take(Input::ConnectionUp(conn));
     assert_eq!(b.sent(), None);
 }
 
@@ -247,14 +247,14 @@
 fn the_next_attempt_waits_until_the_connection_is_closed(#[case] client_leaves: bool) {
     let mut b = Bench::new(safe(), 2);
     let conn = b.flow(1);
-    b.take(Input::Up(conn));
+    b.take(Input::ConnectionUp(conn));
     assert_eq!(b.sent(), Some(conn));
     if client_leaves {
-        b.take(Input::Left(JobId(1)));
+        b.take(Input::ClientDisconnected(JobId(1)));
     }
-    while !b.effects.contains(&Effect::Close(conn)) {
+    while !b.effects.contains(&Effect::CloseConnection(conn)) {
         b.effects
-            .retain(|e| !matches!(e, Effect::Send { conn: c, .. } if *c == conn));
+            .retain(|e| !matches!(e, Effect::SendRequest { conn: c, .. } if *c == conn));
         assert_eq!((b.sent(), b.opened(), b.answer()), (None, None, None));
         b.now = b
             .state
@@ -267,7 +267,7 @@
         (None, None),
         "not before it is closed"
     );
-    b.take(Input::Closed {
+    b.take(Input::ConnectionClosed {
         conn,
         unsent: false,
     });
@@ -283,8 +283,8 @@
 ) {
     let mut b = Bench::new(unsafe_class(), 2);
     let conn = b.flow(1);
-    b.take(Input::Up(conn));
-    b.take(Input::Closed { conn, unsent });
+    b.take(Input::ConnectionUp(conn));
+    b.take(Input::ConnectionClosed { conn, unsent });
     assert_eq!(b.answer(), (!unsent).then_some(Answer::Failed));
     assert_eq!(b.opened().is_some(), unsent);
 }
@@ -294,16 +294,16 @@
 fn a_last_word_that_crosses_the_closing_is_served_once() {
     let mut b = Bench::new(safe(), 1);
     let conn = b.flow(1);
-    b.take(Input::Up(conn));
+    b.take(Input::ConnectionUp(conn));
     b.now += 5_000 * MS - 1;
     b.take(Input::Tick);
     assert!(
-        matches!(b.answer(), Some(Answer::Refused { .. })),
+        matches!(b.answer(), Some(Answer::Rejected { .. })),
         "its time is up"
     );
     b.done(conn);
     assert_eq!(b.answer(), None, "one answer is final");
-    b.take(Input::Closed {
+    b.take(Input::ConnectionClosed {
         conn,
         unsent: false,
     });
@@ -315,10 +315,10 @@
 fn a_connection_is_used_again_and_closed_when_it_idles() {
     let mut b = Bench::new(safe(), 1);
     let conn = b.flow(1);
-    b.take(Input::Up(conn));
+    b.take(Input::ConnectionUp(conn));
     b.done(conn);
     assert_eq!(b.answer(), Some(Answer::Served("r".into())));
-    b.take(Input::Free(conn));
+    b.take(Input::ConnectionFree(conn));
     let spec = JobSpec {
         id: JobId(2),
         class: 0,
@@ -328,12 +328,12 @@
         work: None,
         key: None,
     };
-    b.take(Input::Taken(spec));
+    b.take(Input::FlowAccepted(spec));
     assert_eq!((b.sent(), b.opened()), (Some(conn), None));
     b.done(conn);
-    b.take(Input::Free(conn));
+    b.take(Input::ConnectionFree(conn));
     b.now += 5_000 * MS;
-    assert!(b.take(Input::Tick).contains(&Effect::Close(conn)));
+    assert!(b.take(Input::Tick).contains(&Effect::CloseConnection(conn)));
 }
 
 /// Guards against requests that are lost on connections which the other side has forgotten long before the time
@@ -344,7 +344,7 @@
     let (first, _) = b.serve(1);
     b.now += 200 * MS;
     let expires = b.now + 900 * MS;
-    b.take(Input::Taken(JobSpec {
+    b.take(Input::FlowAccepted(JobSpec {
         id: JobId(2),
         class: 0,
         tenant: 0,
@@ -354,19 +354,20 @@
         key: None,
     }));
     assert_eq!(b.sent(), Some(first), "200 ms are nothing yet");
-    b.take(Input::Closed {
+    b.take(Input::ConnectionClosed {
         conn: first,
         unsent: false,
     });
     let second = b.opened().expect("it is sent again, on a new one");
-    b.take(Input::Up(second));
+    b.take(Input::ConnectionUp(second));
     b.done(second);
-    b.take(Input::Free(second));
+    b.take(Input::ConnectionFree(second));
     b.now += 90 * MS;
     assert_eq!(b.serve(3), (second, false));
     b.now += 101 * MS;
     assert!(
-        b.take(Input::Tick).contains(&Effect::Close(second)),
+        b.take(Input::Tick)
+            .contains(&Effect::CloseConnection(second)),
         "no use is left for it"
     );
     assert!(b.serve(4).1);
@@ -399,7 +400,7 @@
             work: None,
             key: None,
         };
-        b.take(Input::Taken(spec));
+        b.take(Input::FlowAccepted(spec));
         open.extend(b.opened());
         assert!(open.len() <= 10, "{open:?}");
     }
@@ -408,7 +409,7 @@
     b.take(Input::Tick);
     assert!(open
         .iter()
-        .all(|conn| b.effects.contains(&Effect::Close(*conn))));
+        .all(|conn| b.effects.contains(&Effect::CloseConnection(*conn))));
 }
 
 /// Guards against messages from other dispatchers that are cut short, speak of strangers or come from nobody.
@@ -418,6 +419,6 @@
 #[case(u32::MAX, vec![1, 2, 3])]
 fn a_message_that_makes_no_sense_changes_nothing(#[case] from: u32, #[case] message: Vec<u8>) {
     let mut b = Bench::new(safe(), 1);
-    assert!(b.take(Input::Told { from, message }).is_empty());
+    assert!(b.take(Input::PeerDatagram { from, message }).is_empty());
     b.flow(1);
 }
--- a/crates/dispatcher/dispatcher-state/tests/service.rs
+++ b/crates/dispatcher/dispatcher-state/tests/service.rs
@@ -5,7 +5,9 @@
 
 use common::*;
 use dispatch_api::*;
-use dispatcher_state::{reduce, Answer, ConnId, Effect, Input, Listed, Ruling, Setup, State};
+use dispatcher_state::{
+    reduce, Answer, ConnId, Effect, Endpoint, Input, State, StateConfig, TargetOverride,
+};
 use proptest::prelude::*;
 
 struct Bench {
@@ -13,9 +15,9 @@
     now: Micros,
 }
 
-fn listed(n: u32, status: WorkerStatus, started: Option<Micros>) -> Listed {
+fn listed(n: u32, status: WorkerStatus, started: Option<Micros>) -> Endpoint {
     let addr = ([127, 0, 0, 1], 4_000 + n as u16).into();
-    Listed {
+    Endpoint {
         weight: None,
         name: format!("s-{n}"),
         addr,
@@ -29,7 +31,7 @@
 
 impl Bench {
     fn new(targets: u32) -> Self {
-        let setup = Setup {
+        let setup = StateConfig {
             settings: settings(vec![safe(), unsafe_class()]),
             seed: 7,
             me: 0,
@@ -61,8 +63,8 @@
         self.take(Input::Tick)
     }
 
-    fn list(&mut self, kind: ListUpdateKind, entries: Vec<Listed>) -> Vec<Effect> {
-        self.take(Input::Listed {
+    fn list(&mut self, kind: ListUpdateKind, entries: Vec<Endpoint>) -> Vec<Effect> {
+        self.take(Input::EndpointsUpdated {
             kind,
             version: Some(1),
             entries,
@@ -73,9 +75,9 @@
     fn rule(&mut self, target: &str, out: bool) -> Vec<Effect> {
         let word = self
             .state
-            .word(target, out, self.now)
+            .resolve_override(target, out, self.now)
             .expect("it was listed");
-        self.take(Input::Ruled(vec![(target.to_owned(), word)]))
+        self.take(Input::OverridesChanged(vec![(target.to_owned(), word)]))
     }
 
     fn flow(&mut self, id: u64, class: usize) -> Vec<Effect> {
@@ -89,7 +91,7 @@
             work: None,
             key: None,
         };
-        self.take(Input::Taken(spec))
+        self.take(Input::FlowAccepted(spec))
     }
 
     fn serve(&mut self, id: u64) {
@@ -98,21 +100,21 @@
             .or(sent(&effects))
             .expect("it goes out at once")
             .0;
-        self.take(Input::Up(conn));
-        self.take(Input::Sent(conn));
+        self.take(Input::ConnectionUp(conn));
+        self.take(Input::RequestSent(conn));
         let (outcome, result) = (Outcome::Done, Some("r".into()));
-        self.take(Input::Ended {
+        self.take(Input::ExchangeEnded {
             conn,
             outcome,
             result,
             report: None,
         });
-        self.take(Input::Free(conn));
+        self.take(Input::ConnectionFree(conn));
     }
 
     /// Pool size, and those avoided.
     fn pool(&self) -> (usize, usize) {
-        let seen = self.state.seen();
+        let seen = self.state.snapshot();
         (seen.listed, seen.ejected)
     }
 }
@@ -120,14 +122,14 @@
 /// A connection that is opened, and the port.
 fn opened(effects: &[Effect]) -> Option<(ConnId, u16)> {
     effects.iter().find_map(|e| match e {
-        Effect::Open { conn, addr } => Some((*conn, addr.port())),
+        Effect::OpenConnection { conn, addr } => Some((*conn, addr.port())),
         _ => None,
     })
 }
 
 fn sent(effects: &[Effect]) -> Option<(ConnId, u16)> {
     effects.iter().find_map(|e| match e {
-        Effect::Send { conn, .. } => Some((*conn, 0)),
+        Effect::SendRequest { conn, .. } => Some((*conn, 0)),
         _ => None,
     })
 }
@@ -136,8 +138,8 @@
     effects.iter().any(|e| {
         matches!(
             e,
-            Effect::Answer {
-                answer: Answer::Refused {
+            Effect::AnswerFlow {
+                answer: Answer::Rejected {
                     retry_after: Some(_)
                 },
                 ..
@@ -161,7 +163,7 @@
     b.rule("s-0", true);
     assert_eq!(b.pool(), (2, 1));
     let conn = coming_up.expect("one of them goes there");
-    let effects = b.take(Input::Up(conn));
+    let effects = b.take(Input::ConnectionUp(conn));
     assert!(
         sent(&effects).is_none_or(|(other, _)| other != conn),
         "it came up too late"
@@ -213,16 +215,16 @@
         if let Some((conn, _)) = opened(&effects).or(opened(&later)) {
             gaps.push(b.now - last);
             last = b.now;
-            b.take(Input::Up(conn));
-            b.take(Input::Started(conn));
+            b.take(Input::ConnectionUp(conn));
+            b.take(Input::JobStarted(conn));
             let (outcome, result) = (Outcome::Done, Some("r".into()));
-            b.take(Input::Ended {
+            b.take(Input::ExchangeEnded {
                 conn,
                 outcome,
                 result,
                 report: None,
             });
-            b.take(Input::Closed {
+            b.take(Input::ConnectionClosed {
                 conn,
                 unsent: false,
             });
@@ -235,30 +237,33 @@
         gaps.len()
     );
     // A call back of what is not out changes nothing.
-    let word = b.state.word("s-0", false, b.now).unwrap();
+    let word = b.state.resolve_override("s-0", false, b.now).unwrap();
     assert_eq!(word.since, word.at);
-    assert!(b.state.word("s-9", true, b.now).is_none(), "never listed");
+    assert!(
+        b.state.resolve_override("s-9", true, b.now).is_none(),
+        "never listed"
+    );
 }
 
 /// Guards against two processes that fall out over who spoke last.
 #[test]
 fn the_latest_word_counts_in_whatever_order_they_come() {
-    let word = |out, at| Ruling { out, at, since: at };
+    let word = |out, at| TargetOverride { out, at, since: at };
     for words in [
         [word(true, 5), word(false, 9)],
         [word(false, 9), word(true, 5)],
     ] {
         let mut b = Bench::new(2);
-        for ruling in words {
-            b.take(Input::Ruled(vec![
-                ("s-1".into(), ruling),
+        for target_override in words {
+            b.take(Input::OverridesChanged(vec![
+                ("s-1".into(), target_override),
                 ("s-7".into(), word(true, 3)),
             ]));
         }
         assert_eq!(b.pool(), (2, 0));
         assert_eq!(
             b.state
-                .rulings()
+                .overrides()
                 .find(|(name, _)| *name == "s-1")
                 .unwrap()
                 .1
@@ -301,7 +306,7 @@
 fn what_is_open_when_the_program_ends_is_answered_as_its_class_allows() {
     let mut b = Bench::new(1);
     let conn = opened(&b.flow(1, 1)).expect("it goes out").0;
-    b.take(Input::Up(conn));
+    b.take(Input::ConnectionUp(conn));
     b.rule("s-0", true);
     b.list(
         ListUpdateKind::Incremental,
@@ -309,18 +314,18 @@
     );
     b.flow(2, 1);
     let ends = b.now + 1_000 * MS;
-    b.take(Input::AnswerBy(ends));
+    b.take(Input::AnswerDeadline(ends));
     assert!(b.after(900 * MS).is_empty());
     let answers: Vec<_> = b
         .after(100 * MS)
         .into_iter()
-        .filter(|e| matches!(e, Effect::Answer { .. }))
+        .filter(|e| matches!(e, Effect::AnswerFlow { .. }))
         .collect();
     let (failed, held) = (&answers[0], &answers[1]);
     assert!(
         matches!(
             failed,
-            Effect::Answer {
+            Effect::AnswerFlow {
                 flow: JobId(1),
                 answer: Answer::Failed
             }
@@ -329,12 +334,12 @@
     );
     assert!(matches!(
         held,
-        Effect::Answer {
+        Effect::AnswerFlow {
             flow: JobId(2),
-            answer: Answer::Refused { .. }
+            answer: Answer::Rejected { .. }
         }
     ));
-    assert_eq!(b.state.seen().counts.active(), 0);
+    assert_eq!(b.state.snapshot().counts.active(), 0);
 }
 
 #[derive(Debug, Clone)]
@@ -378,40 +383,40 @@
                     jobs += 1;
                     b.flow(jobs - 1, class.min(1))
                 }
-                Step::Leave(flow) => b.take(Input::Left(JobId(flow))),
-                Step::Up(conn) => b.take(Input::Up(ConnId(conn))),
-                Step::Sent(conn) => b.take(Input::Sent(ConnId(conn))),
+                Step::Leave(flow) => b.take(Input::ClientDisconnected(JobId(flow))),
+                Step::Up(conn) => b.take(Input::ConnectionUp(ConnId(conn))),
+                Step::Sent(conn) => b.take(Input::RequestSent(ConnId(conn))),
                 Step::End(conn, how) => {
                     let outcomes = [Outcome::Done, Outcome::Error, Outcome::Rejected, Outcome::Reset];
                     let result = (how == 0).then(|| "r".into());
                     match outcomes.get(usize::from(how)) {
                         Some(outcome) => {
                             let (conn, outcome) = (ConnId(conn), *outcome);
-                            b.take(Input::Ended { conn, outcome, result, report: None })
+                            b.take(Input::ExchangeEnded { conn, outcome, result, report: None })
                         }
-                        None => b.take(Input::Unusable { conn: ConnId(conn), report: None }),
+                        None => b.take(Input::RequestUnusable { conn: ConnId(conn), report: None }),
                     }
                 }
-                Step::Close(conn, unsent) => b.take(Input::Closed { conn: ConnId(conn), unsent }),
+                Step::Close(conn, unsent) => b.take(Input::ConnectionClosed { conn: ConnId(conn), unsent }),
                 Step::TurnBack(class, how) => {
                     turned += u64::from(class < 2);
                     left += u64::from(class < 2 && how == 2);
-                    let answers = [Some(Answer::Refused { retry_after: None }), Some(Answer::Failed), None];
-                    b.take(Input::TurnedBack { class, answer: answers[usize::from(how)].clone() })
+                    let answers = [Some(Answer::Rejected { retry_after: None }), Some(Answer::Failed), None];
+                    b.take(Input::FlowRejected { class, answer: answers[usize::from(how)].clone() })
                 }
                 Step::Rule(target, out) => b.rule(&format!("s-{target}"), out),
                 Step::Wait(ms) => b.after(ms * MS),
             };
             for effect in &effects {
                 match effect {
-                    Effect::Answer { answer: Answer::Served(_), .. } => answers[0] += 1,
-                    Effect::Answer { answer: Answer::Refused { .. }, .. } => answers[1] += 1,
-                    Effect::Answer { .. } => answers[2] += 1,
+                    Effect::AnswerFlow { answer: Answer::Served(_), .. } => answers[0] += 1,
+                    Effect::AnswerFlow { answer: Answer::Rejected { .. }, .. } => answers[1] += 1,
+                    Effect::AnswerFlow { .. } => answers[2] += 1,
                     _ => {}
                 }
             }
-            let counts = b.state.seen().counts;
-            let sum = |of: fn(&dispatcher_state::ClassCounts) -> u64| counts.classes.iter().map(of).sum::<u64>();
+            let counts = b.state.snapshot().counts;
+            let sum = |of: fn(&dispatcher_state::ClassCounters) -> u64| counts.classes.iter().map(of).sum::<u64>();
             prop_assert_eq!(sum(|c| c.taken), jobs + turned);
             prop_assert_eq!(sum(|c| c.taken), sum(|c| c.ended()) + counts.active());
             prop_assert_eq!(sum(|c| c.ok), answers[0]);
--- a/crates/dispatcher/dispatcher-state/tests/upkeep.rs
+++ b/crates/dispatcher/dispatcher-state/tests/upkeep.rs
@@ -5,7 +5,10 @@
 
 use common::*;
 use dispatch_api::*;
-use dispatcher_state::{reduce, Effect, Input, Joining, Listed, Setup, State, Wanted, WantedError};
+use dispatcher_state::{
+    reduce, Effect, Endpoint, Input, MembershipConfig, PlanRequest, PlanRequestError, State,
+    StateConfig,
+};
 
 /// Two dispatchers that hear each other, or not, before four targets of two kinds.
 struct Pair {
@@ -15,10 +18,10 @@
     opened: Vec<(usize, u16)>,
 }
 
-fn listed(n: u32, started: Option<Micros>) -> Listed {
+fn listed(n: u32, started: Option<Micros>) -> Endpoint {
     let addr = ([127, 0, 0, 1], 4_000 + n as u16).into();
     let (zone, kind, cell, status, weight) = (0, n % 2, 0, WorkerStatus::Ready, None);
-    Listed {
+    Endpoint {
         name: format!("s-{n}"),
         addr,
         zone,
@@ -36,7 +39,7 @@
         ..settings(vec![safe()])
     };
     let (connect_timeout, idle, probe_timeout) = (250 * MS, 5_000 * MS, 400 * MS);
-    let setup = Setup {
+    let setup = StateConfig {
         settings,
         seed: 7,
         me,
@@ -67,17 +70,17 @@
         let entries = (0..4).map(|n| listed(n, None)).collect();
         self.take(
             me,
-            Input::Listed {
+            Input::EndpointsUpdated {
                 kind: ListUpdateKind::Full,
                 version: Some(1),
                 entries,
             },
         );
-        self.take(me, Input::Maintained(kept));
+        self.take(me, Input::MaintenanceEnabled(kept));
         let incarnation = membership::serial::at(self.now / 1_000_000);
         self.take(
             me,
-            Input::Member(Some(Joining {
+            Input::MembershipChanged(Some(MembershipConfig {
                 period: 100 * MS,
                 incarnation,
             })),
@@ -87,16 +90,16 @@
     fn take(&mut self, me: usize, input: Input) {
         for effect in reduce(&mut self.states[me], self.now, input) {
             match effect {
-                Effect::TellOne { to, message } if !self.apart => {
+                Effect::SendToPeer { to, message } if !self.apart => {
                     self.take(
                         to as usize,
-                        Input::Told {
+                        Input::PeerDatagram {
                             from: me as u32,
                             message,
                         },
                     );
                 }
-                Effect::Open { addr, .. } => self.opened.push((me, addr.port())),
+                Effect::OpenConnection { addr, .. } => self.opened.push((me, addr.port())),
                 _ => {}
             }
         }
@@ -109,10 +112,10 @@
         }
     }
 
-    fn wants(&self, targets: &[&str]) -> Result<maintenance::Plan, WantedError> {
+    fn wants(&self, targets: &[&str]) -> Result<maintenance::Plan, PlanRequestError> {
         let targets = targets.iter().map(|t| (*t).to_owned()).collect();
         let (out, zone, share, drain_ms, out_ms, id) = (1, 1, 1.0, 1_000, 60_000, 5);
-        self.states[0].plan(&Wanted {
+        self.states[0].build_plan(&PlanRequest {
             targets,
             out,
             zone,
@@ -125,7 +128,7 @@
 
     fn plan(&mut self) {
         let plan = self.wants(&["s-0", "s-1"]).expect("it can be followed");
-        self.take(0, Input::Planned(Some(Box::new(plan))));
+        self.take(0, Input::PlanRequested(Some(Box::new(plan))));
     }
 
     /// Where jobs of a dispatcher go.
@@ -142,8 +145,8 @@
                 work: None,
                 key: None,
             };
-            self.take(me, Input::Taken(spec));
-            self.take(me, Input::Left(JobId(id)));
+            self.take(me, Input::FlowAccepted(spec));
+            self.take(me, Input::ClientDisconnected(JobId(id)));
         }
         self.opened
             .iter()
@@ -154,8 +157,8 @@
 
     fn standing(&self, me: usize, at: usize) -> maintenance::Standing {
         self.states[me]
-            .seen()
-            .upkeep
+            .snapshot()
+            .maintenance
             .expect("a plan")
             .progress
             .targets[at]
@@ -174,7 +177,7 @@
             !ports.is_empty() && !ports.contains(&4_000),
             "{me}: {ports:?}"
         );
-        assert_eq!(pair.states[me].seen().ejected, 1, "operators see it");
+        assert_eq!(pair.states[me].snapshot().ejected, 1, "operators see it");
     }
     pair.pass(400 * MS);
     assert_eq!(pair.standing(0, 0), maintenance::Standing::Empty);
@@ -182,7 +185,7 @@
     let restarted = vec![listed(0, Some(pair.now))];
     pair.take(
         1,
-        Input::Listed {
+        Input::EndpointsUpdated {
             kind: ListUpdateKind::Incremental,
             version: Some(2),
             entries: restarted,
@@ -197,13 +200,16 @@
         pair.standing(0, 1) > maintenance::Standing::In,
         "the next one is out"
     );
-    pair.take(0, Input::Done("s-1".into()));
+    pair.take(0, Input::TargetWorkDone("s-1".into()));
     pair.pass(400 * MS);
     assert_eq!(
-        pair.states[1].seen().upkeep.map(|u| u.progress.over),
+        pair.states[1]
+            .snapshot()
+            .maintenance
+            .map(|u| u.progress.over),
         Some(true)
     );
-    assert!(!pair.states[0].plans());
+    assert!(!pair.states[0].has_active_plan());
 }
 
 #[test]
@@ -211,8 +217,11 @@
     let mut pair = Pair::new();
     pair.plan();
     pair.pass(200 * MS);
-    assert!(pair.states[1].take_unkept(), "the note must be written");
-    let kept = pair.states[1].kept_upkeep().map(Box::new);
+    assert!(
+        pair.states[1].take_unsaved_change(),
+        "the note must be written"
+    );
+    let kept = pair.states[1].saved_maintenance().map(Box::new);
     pair.states[1] = state(1);
     pair.apart = true;
     pair.begin(1, kept);
@@ -220,8 +229,13 @@
         !pair.goes_to(1, 500).contains(&4_000),
         "from its note, though nobody tells it"
     );
-    let gone = |pair: &Pair| pair.states[0].seen().upkeep.map_or(0, |u| u.progress.gone);
-    pair.take(0, Input::Done("s-0".into()));
+    let gone = |pair: &Pair| {
+        pair.states[0]
+            .snapshot()
+            .maintenance
+            .map_or(0, |u| u.progress.gone)
+    };
+    pair.take(0, Input::TargetWorkDone("s-0".into()));
     pair.pass(20_000 * MS);
     assert_eq!(gone(&pair), 1, "one of two is no majority");
 }
@@ -231,19 +245,19 @@
     let mut pair = Pair::new();
     assert_eq!(
         pair.wants(&["s-0", "s-9"]),
-        Err(WantedError::Unknown("s-9".into()))
+        Err(PlanRequestError::Unknown("s-9".into()))
     );
     assert_eq!(
         pair.wants(&["s-0", "s-2"]),
-        Err(WantedError::Kind(2)),
+        Err(PlanRequestError::Kind(2)),
         "no other of its kind would be left"
     );
-    assert!(matches!(pair.wants(&[]), Err(WantedError::Plan(_))));
+    assert!(matches!(pair.wants(&[]), Err(PlanRequestError::Plan(_))));
     pair.plan();
     assert_eq!(
         pair.wants(&["s-1"]),
-        Err(WantedError::UnderWay { id: 5, by: 0 })
+        Err(PlanRequestError::UnderWay { id: 5, by: 0 })
     );
-    pair.take(0, Input::Planned(None));
+    pair.take(0, Input::PlanRequested(None));
     assert!(pair.wants(&["s-1"]).is_ok(), "called off");
 }
--- a/crates/dispatcher/event-loop/src/lib.rs
+++ b/crates/dispatcher/event-loop/src/lib.rs
@@ -4,18 +4,18 @@
 #![expect(clippy::too_many_lines, reason = "not revised yet")]
 
 mod clock;
-mod seldom;
-mod window;
+mod log_limiter;
+mod operator;
 
 pub use clock::Clock;
-pub use seldom::Seldom;
-use window::Reply;
-pub use window::{Ask, Window};
+pub use log_limiter::LogRateLimiter;
+use operator::Reply;
+pub use operator::{OperatorHandle, OperatorRequest};
 
 use bytes::Bytes;
 use dispatch_api::{JobId, JobSpec, Micros};
 use dispatcher_settings::report::ReportNames;
-use dispatcher_state::{reduce, Answer, ConnId, Effect, Input, Seen, State};
+use dispatcher_state::{reduce, Answer, ConnId, Effect, Input, State, StateSnapshot};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -28,7 +28,7 @@
 
 /// What is open together at most.
 #[derive(Debug, Clone, Copy)]
-pub struct Bounds {
+pub struct FlowLimits {
     /// Flows.
     pub flows: usize,
     /// Bytes that they take.
@@ -36,31 +36,35 @@
 }
 
 /// What a flow holds from its head on until nothing of it is out any more: its id, and a part of the memory.
-pub struct Claim {
-    desk: Rc<Desk>,
+pub struct FlowReservation {
+    loop_handle: Rc<LoopHandle>,
     id: Bytes,
     bytes: usize,
 }
 
-impl Claim {
+impl FlowReservation {
     /// Gives back what is more than this.
     pub fn shrink(&mut self, bytes: usize) {
         let less = self.bytes.saturating_sub(bytes);
         self.bytes -= less;
-        self.desk.claimed.set(self.desk.claimed.get() - less);
+        self.loop_handle
+            .claimed
+            .set(self.loop_handle.claimed.get() - less);
     }
 }
 
-impl Drop for Claim {
+impl Drop for FlowReservation {
     fn drop(&mut self) {
-        self.desk.ids.borrow_mut().remove(&self.id);
-        self.desk.claimed.set(self.desk.claimed.get() - self.bytes);
+        self.loop_handle.ids.borrow_mut().remove(&self.id);
+        self.loop_handle
+            .claimed
+            .set(self.loop_handle.claimed.get() - self.bytes);
     }
 }
 
 /// Why a flow is not taken.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Unclaimed {
+pub enum ReservationError {
     /// Another one with its id is open.
     Repeated,
     /// There is no room.
@@ -68,7 +72,7 @@
 }
 
 /// What goes on to a target as it came, whatever protocol it came by and goes on by.
-pub struct Passed {
+pub struct ForwardedRequest {
     /// Path and query.
     pub path: Bytes,
     /// The request's id.
@@ -78,45 +82,50 @@
     /// The body.
     pub body: Bytes,
     /// Held as long as an attempt may be out.
-    pub claim: Claim,
+    pub claim: FlowReservation,
 }
 
 /// A flow that waits for its answer.
 struct Waiting {
-    passed: Rc<Passed>,
+    passed: Rc<ForwardedRequest>,
     answer: oneshot::Sender<Answer>,
 }
 
 /// What a connection to a target is to do next. Dropping the sender closes the connection at once.
-pub enum Order {
+pub enum ConnectionCommand {
     /// Send a job.
     Job {
         /// Its flow.
         flow: JobId,
         /// The job.
-        passed: Rc<Passed>,
+        passed: Rc<ForwardedRequest>,
         /// How long this dispatcher will wait.
         wait: Micros,
     },
-    /// Ask for the target's load.
+    /// OperatorRequest for the target's load.
     Probe,
 }
 
 /// What the loop needs of those who hold sockets.
-pub trait Outlets {
+pub trait IoBackend {
     /// Opens a connection to a target, which carries out what it is ordered and reports when it is closed.
-    fn open(&self, conn: ConnId, addr: SocketAddr, orders: mpsc::UnboundedReceiver<Order>);
+    fn open_connection(
+        &self,
+        conn: ConnId,
+        addr: SocketAddr,
+        orders: mpsc::UnboundedReceiver<ConnectionCommand>,
+    );
     /// Watches the list for what is newer than this version; with none the whole list is wanted.
-    fn watch(&self, after: Option<u64>);
+    fn watch_endpoints(&self, after: Option<u64>);
     /// Sends a message to every other dispatcher.
-    fn tell(&self, message: &[u8]);
+    fn broadcast_to_peers(&self, message: &[u8]);
     /// Sends a message to the other dispatcher of this number.
-    fn tell_one(&self, to: u32, message: &[u8]);
+    fn send_to_peer(&self, to: u32, message: &[u8]);
     /// Keeps what is known for whatever process comes after this one: at once where the operators have just said
     /// something, else when it seems time. Tells whether nothing failed.
-    fn keep(&self, state: &State, at_once: bool) -> bool;
+    fn save_state(&self, state: &State, at_once: bool) -> bool;
     /// Whether there is anything to be kept.
-    fn keeps(&self) -> bool;
+    fn saves_state(&self) -> bool;
 }
 
 /// What operators ask that may wait together.
@@ -125,13 +134,13 @@
 const LAY_OUT: Micros = 200_000;
 
 /// What is reported to the desk, for the loop.
-pub struct Reports {
+pub struct LoopInputs {
     inputs: mpsc::UnboundedReceiver<Input>,
-    asks: mpsc::Receiver<Ask>,
-    seen: Option<watch::Sender<Arc<Seen>>>,
+    asks: mpsc::Receiver<OperatorRequest>,
+    seen: Option<watch::Sender<Arc<StateSnapshot>>>,
 }
 
-impl Reports {
+impl LoopInputs {
     /// The next one, for whoever feeds the reducer; none once nobody can report any more.
     pub async fn next(&mut self) -> Option<Input> {
         self.inputs.recv().await
@@ -139,25 +148,25 @@
 
     /// What operators look through, for as long as the loop runs. To be called once at most: without it nothing is
     /// laid out.
-    pub fn window(&mut self, state: &State, desk: &Desk) -> Window {
-        let (sender, seen) = watch::channel(Arc::new(state.seen()));
+    pub fn window(&mut self, state: &State, loop_handle: &LoopHandle) -> OperatorHandle {
+        let (sender, seen) = watch::channel(Arc::new(state.snapshot()));
         self.seen = Some(sender);
-        Window {
-            asks: desk.asks.clone(),
+        OperatorHandle {
+            asks: loop_handle.asks.clone(),
             seen,
-            ready: Arc::clone(&desk.ready),
+            ready: Arc::clone(&loop_handle.ready),
         }
     }
 }
 
 /// What the protocols share: where inputs go, and the flows that wait.
-pub struct Desk {
+pub struct LoopHandle {
     inputs: mpsc::UnboundedSender<Input>,
-    asks: mpsc::Sender<Ask>,
+    asks: mpsc::Sender<OperatorRequest>,
     ready: Arc<AtomicBool>,
     clock: Clock,
     names: ReportNames,
-    bounds: Cell<Bounds>,
+    bounds: Cell<FlowLimits>,
     listed: Cell<bool>,
     ids: RefCell<HashSet<Bytes>>,
     claimed: Cell<usize>,
@@ -165,14 +174,14 @@
     flows: Cell<u64>,
 }
 
-impl Desk {
+impl LoopHandle {
     /// A desk, and what is reported to it.
-    pub fn new(clock: Clock, names: ReportNames, bounds: Bounds) -> (Rc<Self>, Reports) {
+    pub fn new(clock: Clock, names: ReportNames, bounds: FlowLimits) -> (Rc<Self>, LoopInputs) {
         let (inputs, receiver) = mpsc::unbounded_channel();
         let (asks, asked) = mpsc::channel(ASKS);
         let (ready, listed, ids, claimed, waiting, flows) = Default::default();
         let bounds = Cell::new(bounds);
-        let desk = Desk {
+        let loop_handle = LoopHandle {
             inputs,
             asks,
             ready,
@@ -186,8 +195,8 @@
             flows,
         };
         (
-            Rc::new(desk),
-            Reports {
+            Rc::new(loop_handle),
+            LoopInputs {
                 inputs: receiver,
                 asks: asked,
                 seen: None,
@@ -199,26 +208,30 @@
     ///
     /// # Errors
     /// Why it can't be taken.
-    pub fn claim(self: &Rc<Self>, id: Bytes, bytes: usize) -> Result<Claim, Unclaimed> {
+    pub fn reserve(
+        self: &Rc<Self>,
+        id: Bytes,
+        bytes: usize,
+    ) -> Result<FlowReservation, ReservationError> {
         let mut ids = self.ids.borrow_mut();
         let claimed = self.claimed.get().saturating_add(bytes);
         if ids.contains(&id) {
-            return Err(Unclaimed::Repeated);
+            return Err(ReservationError::Repeated);
         }
-        if ids.len() >= self.bounds().flows || claimed > self.bounds().bytes {
-            return Err(Unclaimed::Full);
+        if ids.len() >= self.limits().flows || claimed > self.limits().bytes {
+            return Err(ReservationError::Full);
         }
         ids.insert(id.clone());
         self.claimed.set(claimed);
-        Ok(Claim {
-            desk: Rc::clone(self),
+        Ok(FlowReservation {
+            loop_handle: Rc::clone(self),
             id,
             bytes,
         })
     }
 
-    /// Reports to the reducer. It is gone only when the program ends.
-    pub fn report(&self, input: Input) {
+    /// LoopInputs to the reducer. It is gone only when the program ends.
+    pub fn send_input(&self, input: Input) {
         let _ = self.inputs.send(input);
     }
 
@@ -228,33 +241,33 @@
     }
 
     /// Whether jobs are served here, as operators are told.
-    pub fn ready(&self, ready: bool) {
+    pub fn set_ready(&self, ready: bool) {
         self.ready
             .store(ready, std::sync::atomic::Ordering::Relaxed);
     }
 
     /// What may be open together.
-    pub fn bounds(&self) -> Bounds {
+    pub fn limits(&self) -> FlowLimits {
         self.bounds.get()
     }
 
     /// So much may be open together from now on; what is open already stays.
-    pub fn bound(&self, bounds: Bounds) {
+    pub fn set_limits(&self, bounds: FlowLimits) {
         self.bounds.set(bounds);
     }
 
     /// Discovery has told of the targets.
-    pub fn listed(&self) {
+    pub fn set_endpoints_known(&self) {
         self.listed.set(true);
     }
 
     /// Whether it ever has.
-    pub fn has_list(&self) -> bool {
+    pub fn endpoints_known(&self) -> bool {
         self.listed.get()
     }
 
     /// How load reports are read.
-    pub fn names(&self) -> &ReportNames {
+    pub fn report_names(&self) -> &ReportNames {
         &self.names
     }
 
@@ -265,12 +278,16 @@
 
     /// Whether a client still waits for this flow's answer. It is known here first: the reducer hears of a client that has
     /// left with its next input, and what it has ordered before is not to go out any more.
-    pub fn waits(&self, flow: JobId) -> bool {
+    pub fn is_awaited(&self, flow: JobId) -> bool {
         self.waiting.borrow().contains_key(&flow)
     }
 
     /// Takes a flow, numbers it, and hands it to the decisions.
-    pub fn take(self: &Rc<Self>, mut spec: JobSpec, passed: Passed) -> Flow {
+    pub fn accept_flow(
+        self: &Rc<Self>,
+        mut spec: JobSpec,
+        passed: ForwardedRequest,
+    ) -> PendingFlow {
         let id = JobId(self.flows.get());
         self.flows.set(id.0 + 1);
         spec.id = id;
@@ -283,16 +300,16 @@
             },
         );
         debug!(flow = id.0, class = spec.class, "taken");
-        self.report(Input::Taken(spec));
-        Flow {
-            desk: Rc::clone(self),
+        self.send_input(Input::FlowAccepted(spec));
+        PendingFlow {
+            loop_handle: Rc::clone(self),
             id,
             answer,
             answered: false,
         }
     }
 
-    fn passed(&self, flow: JobId) -> Option<Rc<Passed>> {
+    fn passed(&self, flow: JobId) -> Option<Rc<ForwardedRequest>> {
         self.waiting
             .borrow()
             .get(&flow)
@@ -305,14 +322,14 @@
 }
 
 /// A flow that was taken. Dropped before its answer, its client has left, and the decisions are told.
-pub struct Flow {
-    desk: Rc<Desk>,
+pub struct PendingFlow {
+    loop_handle: Rc<LoopHandle>,
     id: JobId,
     answer: oneshot::Receiver<Answer>,
     answered: bool,
 }
 
-impl Flow {
+impl PendingFlow {
     /// Its number.
     pub fn id(&self) -> JobId {
         self.id
@@ -327,30 +344,36 @@
     }
 }
 
-impl Drop for Flow {
+impl Drop for PendingFlow {
     fn drop(&mut self) {
         if !self.answered {
             debug!(flow = self.id.0, "client left");
-            self.desk.close(self.id);
-            self.desk.report(Input::Left(self.id));
+            self.loop_handle.close(self.id);
+            self.loop_handle
+                .send_input(Input::ClientDisconnected(self.id));
         }
     }
 }
 
 /// Feeds the reducer and carries out what it asks for; ends when no task can report any more.
-pub async fn run(mut state: State, desk: Rc<Desk>, mut reports: Reports, outlets: impl Outlets) {
-    let mut conns: HashMap<ConnId, mpsc::UnboundedSender<Order>> = HashMap::new();
+pub async fn run(
+    mut state: State,
+    loop_handle: Rc<LoopHandle>,
+    mut reports: LoopInputs,
+    backend: impl IoBackend,
+) {
+    let mut conns: HashMap<ConnId, mpsc::UnboundedSender<ConnectionCommand>> = HashMap::new();
     let mut lay_out = 0;
     loop {
-        let now = desk.clock.now();
-        let watched = reports.seen.is_some() || outlets.keeps();
+        let now = loop_handle.clock.now();
+        let watched = reports.seen.is_some() || backend.saves_state();
         if watched && now >= lay_out {
             lay_out = now + LAY_OUT;
             reports
                 .seen
                 .iter()
-                .for_each(|seen| drop(seen.send_replace(Arc::new(state.seen()))));
-            outlets.keep(&state, false);
+                .for_each(|seen| drop(seen.send_replace(Arc::new(state.snapshot()))));
+            backend.save_state(&state, false);
         }
         let next = watched.then_some(lay_out);
         let wake = [state.wake_at(), next].into_iter().flatten().min();
@@ -368,52 +391,52 @@
             },
             () = tokio::time::sleep(wait.unwrap_or_default()), if wait.is_some() => (Input::Tick, Reply::None),
         };
-        let mut ruled = matches!(input, Input::Ruled(_));
-        if let Input::Closed { conn, .. } = &input {
+        let mut ruled = matches!(input, Input::OverridesChanged(_));
+        if let Input::ConnectionClosed { conn, .. } = &input {
             conns.remove(conn);
         }
-        let effects = reduce(&mut state, desk.clock.now(), input);
+        let effects = reduce(&mut state, loop_handle.clock.now(), input);
         // What is said to others must hold for a successor, too: it is kept before they hear of it.
         let mut kept = true;
-        if state.take_unkept() {
-            (kept, ruled) = (outlets.keep(&state, true), false);
+        if state.take_unsaved_change() {
+            (kept, ruled) = (backend.save_state(&state, true), false);
         }
         for effect in effects {
             match effect {
-                Effect::Open { conn, addr } => {
+                Effect::OpenConnection { conn, addr } => {
                     let (orders, receiver) = mpsc::unbounded_channel();
                     conns.insert(conn, orders);
-                    outlets.open(conn, addr, receiver);
+                    backend.open_connection(conn, addr, receiver);
                 }
-                Effect::Send { conn, flow, wait } => {
+                Effect::SendRequest { conn, flow, wait } => {
                     // Without its request the connection is given up: its end is an outcome of the attempt.
-                    match (conns.get(&conn), desk.passed(flow)) {
+                    match (conns.get(&conn), loop_handle.passed(flow)) {
                         (Some(orders), Some(passed)) => {
-                            let _ = orders.send(Order::Job { flow, passed, wait });
+                            let _ = orders.send(ConnectionCommand::Job { flow, passed, wait });
                         }
                         _ => drop(conns.remove(&conn)),
                     }
                 }
-                Effect::Probe(conn) => {
+                Effect::SendProbe(conn) => {
                     conns
                         .get(&conn)
                         .into_iter()
-                        .for_each(|c| drop(c.send(Order::Probe)));
+                        .for_each(|c| drop(c.send(ConnectionCommand::Probe)));
                 }
-                Effect::Close(conn) => drop(conns.remove(&conn)),
-                Effect::Answer { flow, answer } => {
+                Effect::CloseConnection(conn) => drop(conns.remove(&conn)),
+                Effect::AnswerFlow { flow, answer } => {
                     // A client that has just gone needs none.
-                    if let Some(client) = desk.close(flow) {
+                    if let Some(client) = loop_handle.close(flow) {
                         let _ = client.send(answer);
                     }
                 }
-                Effect::Watch { after } => outlets.watch(after),
-                Effect::Tell(message) => outlets.tell(&message),
-                Effect::TellOne { to, message } => outlets.tell_one(to, &message),
+                Effect::WatchEndpoints { after } => backend.watch_endpoints(after),
+                Effect::BroadcastToPeers(message) => backend.broadcast_to_peers(&message),
+                Effect::SendToPeer { to, message } => backend.send_to_peer(to, &message),
             }
         }
         // In force but not kept, it is no yes: whoever asked hears nothing from here, and is told to ask again.
-        if kept && (!ruled || outlets.keep(&state, true)) {
+        if kept && (!ruled || backend.save_state(&state, true)) {
             answer.give(&state);
         }
     }
--- a/crates/dispatcher/event-loop/src/seldom.rs
+++ b/crates/dispatcher/event-loop/src/log_limiter.rs
@@ -7,15 +7,15 @@
 
 /// Whether a failure is to be said.
 #[derive(Debug, Default)]
-pub struct Seldom {
+pub struct LogRateLimiter {
     said: Option<Micros>,
     kept_back: u64,
 }
 
-impl Seldom {
+impl LogRateLimiter {
     /// A failure at this time. Returns how many were kept back since the last one that was said, if this one is to
     /// be said; the first is, and one in ten seconds after it.
-    pub fn failed(&mut self, now: Micros) -> Option<u64> {
+    pub fn record(&mut self, now: Micros) -> Option<u64> {
         if self.said.is_some_and(|at| now < at.saturating_add(EVERY)) {
             self.kept_back += 1;
             return None;
@@ -27,13 +27,13 @@
 
 #[cfg(test)]
 mod tests {
-    use super::{Seldom, EVERY};
+    use super::{LogRateLimiter, EVERY};
 
     #[test]
     fn a_storm_of_failures_is_one_line_in_ten_seconds_and_none_goes_uncounted() {
-        let mut seldom = Seldom::default();
+        let mut log_limiter = LogRateLimiter::default();
         let said: Vec<u64> = (0..1_000)
-            .filter_map(|n| seldom.failed(n * EVERY / 100))
+            .filter_map(|n| log_limiter.record(n * EVERY / 100))
             .collect();
         assert_eq!(said, [0, 99, 99, 99, 99, 99, 99, 99, 99, 99]);
     }
--- a/crates/dispatcher/fordrelay/src/lifecycle.rs
+++ b/crates/dispatcher/fordrelay/src/lifecycle.rs
@@ -9,8 +9,8 @@
 use dispatch_api::{ListUpdateKind, Micros, SettingsError};
 use dispatcher_settings::operator::{Operator, OperatorError};
 use dispatcher_settings::platform::{Config, ConfigError};
-use dispatcher_state::{ConnId, Input, Joining, State};
-use event_loop::{run, Bounds, Clock, Desk, Order, Outlets};
+use dispatcher_state::{ConnId, Input, MembershipConfig, State};
+use event_loop::{run, Clock, ConnectionCommand, FlowLimits, IoBackend, LoopHandle};
 use http1::{Listener, Phase, Terms};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -137,40 +137,50 @@
 
 /// Who holds the sockets that the loop asks for.
 struct Sockets {
-    desk: Rc<Desk>,
+    loop_handle: Rc<LoopHandle>,
     watches: mpsc::UnboundedSender<Option<u64>>,
     peers: Option<Rc<Peers>>,
     succession: Option<Rc<Succession>>,
 }
 
-impl Outlets for Sockets {
-    fn open(&self, conn: ConnId, addr: SocketAddr, orders: mpsc::UnboundedReceiver<Order>) {
-        spawn_local(http1::connection(conn, addr, orders, Rc::clone(&self.desk)));
+impl IoBackend for Sockets {
+    fn open_connection(
+        &self,
+        conn: ConnId,
+        addr: SocketAddr,
+        orders: mpsc::UnboundedReceiver<ConnectionCommand>,
+    ) {
+        spawn_local(http1::connection(
+            conn,
+            addr,
+            orders,
+            Rc::clone(&self.loop_handle),
+        ));
     }
 
-    fn watch(&self, after: Option<u64>) {
+    fn watch_endpoints(&self, after: Option<u64>) {
         let _ = self.watches.send(after);
     }
 
-    fn tell(&self, message: &[u8]) {
+    fn broadcast_to_peers(&self, message: &[u8]) {
         if let Some(peers) = &self.peers {
             peers.tell(message);
         }
     }
 
-    fn tell_one(&self, to: u32, message: &[u8]) {
+    fn send_to_peer(&self, to: u32, message: &[u8]) {
         if let Some(peers) = &self.peers {
             peers.tell_one(to, message);
         }
     }
 
-    fn keep(&self, state: &State, at_once: bool) -> bool {
+    fn save_state(&self, state: &State, at_once: bool) -> bool {
         self.succession
             .as_ref()
             .is_none_or(|succession| succession.keep(state, at_once))
     }
 
-    fn keeps(&self) -> bool {
+    fn saves_state(&self) -> bool {
         self.succession.is_some()
     }
 }
@@ -181,7 +191,7 @@
     mut hangup: Signal,
     files: Files,
     logs: Logs,
-    desk: Rc<Desk>,
+    loop_handle: Rc<LoopHandle>,
     classes: Vec<String>,
     discovery: watch::Sender<SocketAddr>,
 ) {
@@ -199,7 +209,7 @@
                 logs.change(&operator.log);
                 // A level counts classes by position, and the positions in force are those of the start.
                 if config.classes == classes {
-                    desk.report(Input::Levels(levels));
+                    loop_handle.send_input(Input::LevelsReplaced(levels));
                 } else {
                     warn!(
                         "the classes differ from those of the start: the levels stay as they were"
@@ -212,10 +222,10 @@
 }
 
 /// Watches the other dispatchers from now on, if the operators' file says so.
-fn joins(desk: &Desk, operator: &Operator, clock: Clock) {
+fn joins(loop_handle: &LoopHandle, operator: &Operator, clock: Clock) {
     if let Some(membership) = &operator.membership {
         let incarnation = membership::serial::at(clock.now() / 1_000_000);
-        desk.report(Input::Member(Some(Joining {
+        loop_handle.send_input(Input::MembershipChanged(Some(MembershipConfig {
             period: membership.period_ms * 1_000,
             incarnation,
         })));
@@ -308,10 +318,10 @@
     let succession = folder.and_then(|base| Succession::begin(&base, &config, clock));
     let others = succession.as_ref().map_or(0, |s| s.others());
     let share = config.share(1 + others);
-    let (desk, mut inputs) = Desk::new(
+    let (loop_handle, mut inputs) = LoopHandle::new(
         clock,
         config.reports.clone(),
-        Bounds {
+        FlowLimits {
             flows: share.flows,
             bytes: share.bytes,
         },
@@ -327,16 +337,17 @@
                 .as_ref()
                 .map_or(config.listen, |addrs| addrs.listen);
             peers.bind().await.map_err(bind("peer_listen", listen))?;
-            joins(&desk, &operator, clock);
-            spawn_local(Rc::clone(peers).listen(Rc::clone(&desk)));
+            joins(&loop_handle, &operator, clock);
+            spawn_local(Rc::clone(peers).listen(Rc::clone(&loop_handle)));
         }
         Some(peers) => {
-            let (peers, desk, operator) = (Rc::clone(peers), Rc::clone(&desk), operator.clone());
+            let (peers, loop_handle, operator) =
+                (Rc::clone(peers), Rc::clone(&loop_handle), operator.clone());
             spawn_local(async move {
                 peers.succeed().await;
                 // Only now: without the port nobody could answer it, and it would take all for dead.
-                joins(&desk, &operator, clock);
-                peers.listen(desk).await;
+                joins(&loop_handle, &operator, clock);
+                peers.listen(loop_handle).await;
             });
         }
         None if operator.membership.is_some() => {
@@ -356,24 +367,25 @@
         None => config.known.clone(),
     };
     // The first input makes the decisions ask for the list, also where none is known.
-    let nothing = Input::Listed {
+    let nothing = Input::EndpointsUpdated {
         kind: ListUpdateKind::Inherited,
         version: None,
         entries: vec![],
     };
-    desk.report(known.map_or(nothing, |known| places.input(known, true, config.discovery)));
+    loop_handle
+        .send_input(known.map_or(nothing, |known| places.input(known, true, config.discovery)));
     if let Some(succession) = &succession {
         // Before anything is sent: what was out by a plan is out.
         if operator.membership.is_some() && config.peers.is_some() {
             succession.maintains();
-            desk.report(Input::Maintained(succession.maintenance()));
+            loop_handle.send_input(Input::MaintenanceEnabled(succession.maintenance()));
         }
         succession
             .recalled()
             .into_iter()
-            .for_each(|known| desk.report(known));
-        desk.report(succession.words());
-        desk.report(Input::Connections(share.targets));
+            .for_each(|known| loop_handle.send_input(known));
+        loop_handle.send_input(succession.words());
+        loop_handle.send_input(Input::ConnectionLimit(share.targets));
     }
     let (watches, wanted) = mpsc::unbounded_channel();
     let (discovery_at, discovery) = watch::channel(config.discovery);
@@ -381,7 +393,7 @@
     spawn_local(discovery::watch(
         discovery,
         places,
-        Rc::clone(&desk),
+        Rc::clone(&loop_handle),
         wanted,
         pushed,
     ));
@@ -389,11 +401,11 @@
         hangup,
         files.clone(),
         logs,
-        Rc::clone(&desk),
+        Rc::clone(&loop_handle),
         classes.clone(),
         discovery_at,
     ));
-    spawn_local(usage::watch(Rc::clone(&desk), limits));
+    spawn_local(usage::watch(Rc::clone(&loop_handle), limits));
     if let Some(metrics) = metrics {
         let mut doors = vec![];
         if let Some(addr) = config.admin {
@@ -413,15 +425,15 @@
                 },
             ));
         }
-        admin::start(inputs.window(&state, &desk), metrics, classes, doors)?;
+        admin::start(inputs.window(&state, &loop_handle), metrics, classes, doors)?;
     }
     let sockets = Sockets {
-        desk: Rc::clone(&desk),
+        loop_handle: Rc::clone(&loop_handle),
         watches,
         peers: peers.clone(),
         succession: succession.clone(),
     };
-    spawn_local(run(state, Rc::clone(&desk), inputs, sockets));
+    spawn_local(run(state, Rc::clone(&loop_handle), inputs, sockets));
 
     let (phase, phases) = watch::channel(Phase::Serving);
     let terms = Terms {
@@ -430,9 +442,13 @@
         connections: share.clients,
         client_timeout,
     };
-    let listener = Listener::new(Rc::clone(&desk), terms, phases);
+    let listener = Listener::new(Rc::clone(&loop_handle), terms, phases);
     if let Some(succession) = &succession {
-        let rest = (Rc::clone(&desk), Rc::clone(&listener), config.clone());
+        let rest = (
+            Rc::clone(&loop_handle),
+            Rc::clone(&listener),
+            config.clone(),
+        );
         spawn_local(Rc::clone(succession).follow(rest.0, rest.1, rest.2));
     }
     let shared = inherited.is_some();
@@ -470,7 +486,7 @@
     if pushed {
         // What the agent has counts from the first moment; one that is lost itself has nothing.
         let heard = async {
-            while !desk.has_list() {
+            while !loop_handle.endpoints_known() {
                 tokio::time::sleep(LOOK).await;
             }
         };
@@ -482,28 +498,30 @@
     }
     let accepting = spawn_local(Rc::clone(&listener).accept(socket));
     spawn_local(Rc::clone(&listener).sweep());
-    desk.ready(true);
+    loop_handle.set_ready(true);
     info!(name = config.name, "serving on {listen}");
 
     stopping.await;
-    desk.ready(false);
+    loop_handle.set_ready(false);
     // On a socket of its own nobody else takes what comes until it is closed.
     let succeeded = succession.as_ref().is_some_and(|s| s.leave()) && shared;
-    info!(flows = desk.open_flows(), succeeded, "told to stop");
+    info!(flows = loop_handle.open_flows(), succeeded, "told to stop");
     let ends = clock.now() + ANSWERED.as_micros() as Micros;
     listener.answer_by(ends);
     // What was taken before may have longer; the platform may end the program a little later.
-    desk.report(Input::AnswerBy(ends + LAST_ANSWERS.as_micros() as Micros));
+    loop_handle.send_input(Input::AnswerDeadline(
+        ends + LAST_ANSWERS.as_micros() as Micros,
+    ));
     phase.send_replace(if succeeded {
         Phase::Succeeded
     } else {
         Phase::Leaving
     });
     if !succeeded {
-        desk.report(Input::Leaving);
+        loop_handle.send_input(Input::ShuttingDown);
     }
     if succeeded {
-        desk.report(Input::Member(None));
+        loop_handle.send_input(Input::MembershipChanged(None));
         peers.iter().for_each(|peers| peers.leave());
     }
     tokio::time::sleep(if succeeded { SUCCEEDED } else { GRACE }).await;
--- a/crates/dispatcher/fordrelay/src/peers.rs
+++ b/crates/dispatcher/fordrelay/src/peers.rs
@@ -2,8 +2,8 @@
 
 use dispatch_api::load_exchange::{ENTRY_BYTES, MESSAGE_BYTES};
 use dispatcher_settings::platform::PeerAddrs;
-use dispatcher_state::{Input, Odd};
-use event_loop::{Desk, Seldom};
+use dispatcher_state::{Anomaly, Input};
+use event_loop::{LogRateLimiter, LoopHandle};
 use membership::Message;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -99,9 +99,9 @@
     }
 
     /// Reports what arrives from addresses that are known, until the port is given up.
-    pub async fn listen(self: Rc<Self>, desk: Rc<Desk>) {
+    pub async fn listen(self: Rc<Self>, loop_handle: Rc<LoopHandle>) {
         let mut buffer = [0; MESSAGE_BYTES + 1];
-        let mut said: BTreeMap<Odd, Seldom> = BTreeMap::new();
+        let mut said: BTreeMap<Anomaly, LogRateLimiter> = BTreeMap::new();
         let Some(socket) = self.socket.borrow().clone() else {
             return;
         };
@@ -115,27 +115,27 @@
                 Ok((len, from)) => {
                     let number = self.addrs.numbers.iter().position(|addr| *addr == from);
                     let odd = match number {
-                        None => Some(Odd::Stranger),
-                        Some(_) if len > MESSAGE_BYTES => Some(Odd::LongDatagram),
+                        None => Some(Anomaly::Stranger),
+                        Some(_) if len > MESSAGE_BYTES => Some(Anomaly::LongDatagram),
                         // What members tell each other is the reducer's to read, and to count.
                         Some(_)
                             if len % ENTRY_BYTES != 0
                                 && Message::decode(&buffer[..len]).is_err() =>
                         {
-                            Some(Odd::CutDatagram)
+                            Some(Anomaly::CutDatagram)
                         }
                         Some(_) => None,
                     };
                     if let Some(odd) = odd {
-                        let now = desk.clock().now();
-                        if let Some(kept_back) = said.entry(odd).or_default().failed(now) {
-                            warn!(what = odd.word(), %from, len, kept_back, "an odd datagram");
+                        let now = loop_handle.clock().now();
+                        if let Some(kept_back) = said.entry(odd).or_default().record(now) {
+                            warn!(what = odd.as_str(), %from, len, kept_back, "an odd datagram");
                         }
-                        desk.report(Input::Odd(odd, 1));
+                        loop_handle.send_input(Input::AnomalySeen(odd, 1));
                     }
                     if let Some(number) = number.filter(|_| len <= MESSAGE_BYTES) {
                         let message = buffer[..len].to_vec();
-                        desk.report(Input::Told {
+                        loop_handle.send_input(Input::PeerDatagram {
                             from: number as u32,
                             message,
                         });
--- a/crates/dispatcher/fordrelay/src/succession.rs
+++ b/crates/dispatcher/fordrelay/src/succession.rs
@@ -5,8 +5,8 @@
 use dispatch_api::PolicySnapshot;
 use dispatcher_settings::list::{List, State as Listed};
 use dispatcher_settings::platform::Config;
-use dispatcher_state::{Input, Ruling, State};
-use event_loop::{Bounds, Clock, Desk};
+use dispatcher_state::{Input, State, TargetOverride};
+use event_loop::{Clock, FlowLimits, LoopHandle};
 use hot_restart::{Event, Note, Place, Word};
 use http1::Listener;
 use std::cell::{Cell, RefCell};
@@ -77,17 +77,17 @@
 }
 
 fn input(words: impl IntoIterator<Item = (String, Word)>) -> Input {
-    let ruling = |(name, w): (String, Word)| {
+    let target_override = |(name, w): (String, Word)| {
         (
             name,
-            Ruling {
+            TargetOverride {
                 out: w.out,
                 at: w.at,
                 since: w.since,
             },
         )
     };
-    Input::Ruled(words.into_iter().map(ruling).collect())
+    Input::OverridesChanged(words.into_iter().map(target_override).collect())
 }
 
 impl Succession {
@@ -196,7 +196,7 @@
     pub fn recalled(&self) -> Option<Input> {
         let known = self.found.borrow_mut().0.take()?.known?;
         let alike = known.classes == self.classes && known.kinds == self.kinds;
-        alike.then(|| Input::Recalled(Box::new(known.known)))
+        alike.then(|| Input::SnapshotRecalled(Box::new(known.known)))
     }
 
     /// What operators have said at other processes.
@@ -249,7 +249,7 @@
         if !at_once && !moved && now < self.written.get() + every {
             return true;
         }
-        let words = state.rulings().map(|(name, r)| {
+        let words = state.overrides().map(|(name, r)| {
             (
                 name.to_owned(),
                 Word {
@@ -270,8 +270,8 @@
             known: Some(Knowledge {
                 classes: self.classes.clone(),
                 kinds: self.kinds.clone(),
-                known: state.known(),
-                maintenance: state.kept_upkeep(),
+                known: state.policy_snapshot(),
+                maintenance: state.saved_maintenance(),
             }),
         };
         let written = self.folder.borrow().write(&note);
@@ -287,10 +287,15 @@
 
     /// Watches the folder for as long as the program runs: takes over what others tell, and holds what all may hold
     /// together.
-    pub async fn follow(self: Rc<Self>, desk: Rc<Desk>, listener: Rc<Listener>, config: Config) {
+    pub async fn follow(
+        self: Rc<Self>,
+        loop_handle: Rc<LoopHandle>,
+        listener: Rc<Listener>,
+        config: Config,
+    ) {
         let mut processes = 0;
         loop {
-            if desk.has_list() {
+            if loop_handle.endpoints_known() {
                 self.event(Event::Listed);
             }
             let now = self.clock.now();
@@ -305,7 +310,7 @@
                     .and_then(|known| known.maintenance)
                     .filter(|_| self.maintains.get())
                 {
-                    desk.report(Input::Maintained(Some(Box::new(kept))));
+                    loop_handle.send_input(Input::MaintenanceEnabled(Some(Box::new(kept))));
                 }
                 // Only what is news: each would answer the other's note with its own else, without end.
                 let mut heard = self.heard.borrow_mut();
@@ -314,7 +319,7 @@
                 let news: Vec<_> = note.words.into_iter().filter(news).collect();
                 if !news.is_empty() {
                     newest(&mut heard, news.iter().cloned().collect());
-                    desk.report(input(news));
+                    loop_handle.send_input(input(news));
                 }
             }
             let others = self.folder.borrow().living();
@@ -328,12 +333,12 @@
                     ?share,
                     "the limits are there for so many processes"
                 );
-                desk.bound(Bounds {
+                loop_handle.set_limits(FlowLimits {
                     flows: share.flows,
                     bytes: share.bytes,
                 });
-                desk.report(Input::Connections(share.targets));
-                desk.report(Input::Processes(
+                loop_handle.send_input(Input::ConnectionLimit(share.targets));
+                loop_handle.send_input(Input::ProcessCount(
                     u32::try_from(processes).unwrap_or(u32::MAX),
                 ));
                 self.dead_since.set((others == 0).then_some(now));
--- a/crates/dispatcher/fordrelay/src/usage.rs
+++ b/crates/dispatcher/fordrelay/src/usage.rs
@@ -2,7 +2,7 @@
 
 use degradation::Usage;
 use dispatcher_state::Input;
-use event_loop::Desk;
+use event_loop::LoopHandle;
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -21,12 +21,12 @@
 }
 
 /// Reports it, for as long as the program runs. What the system does not tell counts as none.
-pub async fn watch(desk: Rc<Desk>, limits: Limits) {
+pub async fn watch(loop_handle: Rc<LoopHandle>, limits: Limits) {
     loop {
         tokio::time::sleep(EVERY).await;
         let share = |used: usize, of: usize| used as f64 / of.max(1) as f64;
-        desk.report(Input::Used(Usage {
-            flows: share(desk.open_flows(), desk.bounds().flows),
+        loop_handle.send_input(Input::ResourceUsage(Usage {
+            flows: share(loop_handle.open_flows(), loop_handle.limits().flows),
             memory: share(resident().unwrap_or(0), limits.memory),
             descriptors: share(descriptors().unwrap_or(0), limits.descriptors),
         }));
--- a/crates/dispatcher/http1/src/listener.rs
+++ b/crates/dispatcher/http1/src/listener.rs
@@ -6,7 +6,7 @@
 use dispatch_api::load_exchange;
 use dispatch_api::{JobId, JobSpec, Micros};
 use dispatcher_state::{Answer, Input};
-use event_loop::{Desk, Passed, Unclaimed};
+use event_loop::{ForwardedRequest, LoopHandle, ReservationError};
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
 use hyper::header::{HeaderValue, ALLOW, CONNECTION, RETRY_AFTER, TRANSFER_ENCODING};
@@ -50,7 +50,7 @@
 
 /// The listener's side of the dispatcher.
 pub struct Listener {
-    desk: Rc<Desk>,
+    loop_handle: Rc<LoopHandle>,
     terms: Terms,
     connections: Rc<Connections>,
     /// What is taken must be answered by then: the platform ends a program that was told to stop.
@@ -138,7 +138,11 @@
 
 impl Listener {
     /// A listener that is not accepting yet.
-    pub fn new(desk: Rc<Desk>, terms: Terms, phase: watch::Receiver<Phase>) -> Rc<Self> {
+    pub fn new(
+        loop_handle: Rc<LoopHandle>,
+        terms: Terms,
+        phase: watch::Receiver<Phase>,
+    ) -> Rc<Self> {
         let reading = Reading {
             head_wait: Some(IDLE_WAIT),
             head: None,
@@ -147,7 +151,7 @@
         };
         let connections = Rc::new(Connections::new(phase, terms.connections, reading));
         Rc::new(Listener {
-            desk,
+            loop_handle,
             terms,
             connections,
             ends: Cell::new(Micros::MAX),
@@ -205,7 +209,7 @@
             crowded,
         }: Asked<'_>,
     ) -> Result<Response<Full<Bytes>>, Refusal> {
-        let came = self.desk.clock().now();
+        let came = self.loop_handle.clock().now();
         let (head, body) = request.into_parts();
         // A length beside it may hide another request in the body, and hyper drops that length unseen.
         let chunks = head.headers.contains_key(TRANSFER_ENCODING);
@@ -228,13 +232,14 @@
         let class = spec.class;
         let turned_back = |refusal: Refusal| {
             let answer = match refusal {
-                Refusal::Overload => Some(Answer::Refused { retry_after: None }),
+                Refusal::Overload => Some(Answer::Rejected { retry_after: None }),
                 Refusal::Slow => Some(Answer::Failed),
                 Refusal::Left => None,
                 // Nothing that a usual client sends; it counts as a fixed response only.
                 _ => return refusal,
             };
-            self.desk.report(Input::TurnedBack { class, answer });
+            self.loop_handle
+                .send_input(Input::FlowRejected { class, answer });
             refusal
         };
         if crowded {
@@ -242,11 +247,11 @@
         }
         let id = Bytes::copy_from_slice(id.as_bytes());
         let mut claim = self
-            .desk
-            .claim(id.clone(), length as usize + FLOW_BYTES)
+            .loop_handle
+            .reserve(id.clone(), length as usize + FLOW_BYTES)
             .map_err(|e| match e {
-                Unclaimed::Repeated => Refusal::Id,
-                Unclaimed::Full => turned_back(Refusal::Overload),
+                ReservationError::Repeated => Refusal::Id,
+                ReservationError::Full => turned_back(Refusal::Overload),
             })?;
         let wait = Duration::from_micros(spec.expires.saturating_sub(came));
         let until = (guard.asking_since() + self.connections.guards().waits().request)
@@ -273,9 +278,9 @@
             return Err(turned_back(Refusal::Left));
         }
         // hyper drops the service's future when the client leaves, and the flow with it.
-        let flow = self.desk.take(
+        let flow = self.loop_handle.accept_flow(
             spec,
-            Passed {
+            ForwardedRequest {
                 path,
                 id,
                 key,
@@ -287,19 +292,19 @@
         let answer = flow.answer().await;
         debug!(
             flow = number,
-            took = self.desk.clock().now() - came,
+            took = self.loop_handle.clock().now() - came,
             "{}",
             name(&answer)
         );
         Ok(match answer {
             Answer::Served(result) => Response::new(Full::new(result)),
-            Answer::Refused { retry_after: wait } => {
+            Answer::Rejected { retry_after: wait } => {
                 let mut response = fixed(StatusCode::SERVICE_UNAVAILABLE, "try again\n".into());
                 wait.into_iter()
                     .for_each(|wait| retry_after(&mut response, wait));
                 response
             }
-            Answer::Unusable => return Err(Refusal::Unusable),
+            Answer::Unprocessable => return Err(Refusal::Unusable),
             Answer::Failed => fixed(StatusCode::BAD_GATEWAY, "failed\n".into()),
         })
     }
@@ -380,8 +385,8 @@
 fn name(answer: &Answer) -> &'static str {
     match answer {
         Answer::Served(_) => "served",
-        Answer::Refused { .. } => "refused",
-        Answer::Unusable => "unusable",
+        Answer::Rejected { .. } => "refused",
+        Answer::Unprocessable => "unusable",
         Answer::Failed => "failed",
     }
 }
--- a/crates/dispatcher/http1/src/target.rs
+++ b/crates/dispatcher/http1/src/target.rs
@@ -6,7 +6,7 @@
 use dispatch_api::{LoadReport, Micros, Outcome};
 use dispatcher_settings::report::ReportNames;
 use dispatcher_state::{ConnId, Input};
-use event_loop::{Desk, Order, Passed};
+use event_loop::{ConnectionCommand, ForwardedRequest, LoopHandle};
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
 use hyper::client::conn::http1::{self, SendRequest};
@@ -71,7 +71,7 @@
 /// What is written on a connection.
 struct Outgoing {
     conn: ConnId,
-    desk: Rc<Desk>,
+    loop_handle: Rc<LoopHandle>,
     /// Bytes since the last order.
     written: Cell<u64>,
     /// A request that has written less than this is certainly not whole; while none is on its way, any is not.
@@ -81,13 +81,14 @@
 }
 
 impl Outgoing {
-    fn ordered(&self, order: &Order) {
+    fn ordered(&self, order: &ConnectionCommand) {
         self.written.set(0);
-        self.owed.set(matches!(order, Order::Job { .. }));
+        self.owed
+            .set(matches!(order, ConnectionCommand::Job { .. }));
         self.whole.set(match order {
             // More than this is written for certain by the time that a request is whole.
-            Order::Job { passed, .. } => (passed.path.len() + passed.body.len()) as u64,
-            Order::Probe => 1,
+            ConnectionCommand::Job { passed, .. } => (passed.path.len() + passed.body.len()) as u64,
+            ConnectionCommand::Probe => 1,
         });
     }
 }
@@ -100,7 +101,7 @@
     // hyper buffers a head with its whole body before it writes, and flushes once nothing of both is left.
     fn flushed(&self) {
         if self.written.get() >= self.whole.get() && self.owed.replace(false) {
-            self.desk.report(Input::Sent(self.conn));
+            self.loop_handle.send_input(Input::RequestSent(self.conn));
         }
     }
 }
@@ -109,13 +110,13 @@
 pub async fn connection(
     id: ConnId,
     addr: SocketAddr,
-    mut orders: mpsc::UnboundedReceiver<Order>,
-    desk: Rc<Desk>,
+    mut orders: mpsc::UnboundedReceiver<ConnectionCommand>,
+    loop_handle: Rc<LoopHandle>,
 ) {
     let (written, whole, owed) = (Cell::new(0), Cell::new(u64::MAX), Cell::new(false));
     let outgoing = Rc::new(Outgoing {
         conn: id,
-        desk: Rc::clone(&desk),
+        loop_handle: Rc::clone(&loop_handle),
         written,
         whole,
         owed,
@@ -125,13 +126,13 @@
         // Nothing is ordered before the connection is up, so an end of orders is all that can come.
         _ = orders.recv() => {}
         stream = connect(addr) => match stream {
-            Ok(stream) => serve(id, stream, &mut orders, &desk, &outgoing).await,
+            Ok(stream) => serve(id, stream, &mut orders, &loop_handle, &outgoing).await,
             Err(e) => debug!(%addr, "can't connect: {e}"),
         }
     }
     // The socket is closed by now: the next attempt may follow.
     let unsent = outgoing.written.get() < outgoing.whole.get();
-    desk.report(Input::Closed { conn: id, unsent });
+    loop_handle.send_input(Input::ConnectionClosed { conn: id, unsent });
 }
 
 async fn connect(addr: SocketAddr) -> std::io::Result<TcpStream> {
@@ -150,8 +151,8 @@
 async fn serve(
     id: ConnId,
     stream: TcpStream,
-    orders: &mut mpsc::UnboundedReceiver<Order>,
-    desk: &Desk,
+    orders: &mut mpsc::UnboundedReceiver<ConnectionCommand>,
+    loop_handle: &LoopHandle,
     outgoing: &Rc<Outgoing>,
 ) {
     let io = TokioIo::new(Observed::new(stream, Rc::clone(outgoing)));
@@ -159,7 +160,7 @@
         return;
     };
     tokio::pin!(conn);
-    desk.report(Input::Up(id));
+    loop_handle.send_input(Input::ConnectionUp(id));
     loop {
         let order = tokio::select! {
             biased;
@@ -167,11 +168,11 @@
             _ = &mut conn => None,
         };
         let Some(order) = order else { return };
-        if let Order::Job { flow, .. } = &order {
+        if let ConnectionCommand::Job { flow, .. } = &order {
             // The last look before the socket.
-            if !desk.waits(*flow) {
+            if !loop_handle.is_awaited(*flow) {
                 debug!(conn = id.0, flow = flow.0, "not sent: its client has left");
-                desk.report(ended(
+                loop_handle.send_input(ended(
                     id,
                     LastWord {
                         outcome: Outcome::NotSent,
@@ -179,14 +180,14 @@
                         report: None,
                     },
                 ));
-                desk.report(Input::Free(id));
+                loop_handle.send_input(Input::ConnectionFree(id));
                 continue;
             }
         }
         outgoing.ordered(&order);
         let mut closed = false;
         let done = {
-            let exchange = exchange(id, order, &mut sender, desk);
+            let exchange = exchange(id, order, &mut sender, loop_handle);
             tokio::pin!(exchange);
             loop {
                 tokio::select! {
@@ -218,7 +219,7 @@
                 if !ready {
                     return;
                 }
-                desk.report(Input::Free(id));
+                loop_handle.send_input(Input::ConnectionFree(id));
             }
             Ok(_) => return,
             Err(e) => return debug!(conn = id.0, "exchange broke: {e}"),
@@ -230,18 +231,20 @@
 /// request, or was a probe's, which no job can take for a word that it has not run.
 async fn exchange(
     id: ConnId,
-    order: Order,
+    order: ConnectionCommand,
     sender: &mut SendRequest<Full<Bytes>>,
-    desk: &Desk,
+    loop_handle: &LoopHandle,
 ) -> Result<bool, Broken> {
     let result = match &order {
-        Order::Job { passed, wait, .. } => job(id, passed, *wait, sender, desk).await,
-        Order::Probe => probe(id, sender, desk).await.map(|()| true),
+        ConnectionCommand::Job { passed, wait, .. } => {
+            job(id, passed, *wait, sender, loop_handle).await
+        }
+        ConnectionCommand::Probe => probe(id, sender, loop_handle).await.map(|()| true),
     };
     if let Err(e) = &result {
         if e.nonsense() {
             warn!(conn = id.0, "a target answered nonsense: {e}");
-            desk.report(ended(
+            loop_handle.send_input(ended(
                 id,
                 LastWord {
                     outcome: Outcome::Error,
@@ -255,7 +258,7 @@
 }
 
 fn ended(conn: ConnId, word: LastWord) -> Input {
-    Input::Ended {
+    Input::ExchangeEnded {
         conn,
         outcome: word.outcome,
         result: word.result,
@@ -265,10 +268,10 @@
 
 async fn job(
     id: ConnId,
-    passed: &Passed,
+    passed: &ForwardedRequest,
     wait: Micros,
     sender: &mut SendRequest<Full<Bytes>>,
-    desk: &Desk,
+    loop_handle: &LoopHandle,
 ) -> Result<bool, Broken> {
     let mut request = Request::builder()
         .method(Method::POST)
@@ -292,8 +295,8 @@
             .headers()
             .get("srv-declined")
             .is_some_and(|v| v.as_bytes() == b"1");
-        let report = header_report(&response, desk.names());
-        desk.report(match response.status() {
+        let report = header_report(&response, loop_handle.report_names());
+        loop_handle.send_input(match response.status() {
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if declined => ended(
                 id,
                 LastWord {
@@ -303,7 +306,7 @@
                 },
             ),
             // The request is at fault, not the target.
-            status if status.is_client_error() => Input::Unusable { conn: id, report },
+            status if status.is_client_error() => Input::RequestUnusable { conn: id, report },
             _ => ended(
                 id,
                 LastWord {
@@ -315,18 +318,18 @@
         });
         return collect(response.into_body()).await.map(|_| false);
     }
-    let report = header_report(&response, desk.names());
+    let report = header_report(&response, loop_handle.report_names());
     let mut over = false;
     body(response.into_body(), |line| {
         // After its last line nothing that a target says counts.
         if let Some(mut word) = if over {
             None
         } else {
-            follow(id, passed, line, desk)?
+            follow(id, passed, line, loop_handle)?
         } {
             over = true;
             word.report = word.report.or(report);
-            desk.report(ended(id, word));
+            loop_handle.send_input(ended(id, word));
         }
         Ok(over)
     })
@@ -355,15 +358,17 @@
 /// Reports what a line says; the last line is returned.
 fn follow(
     id: ConnId,
-    passed: &Passed,
+    passed: &ForwardedRequest,
     line: &[u8],
-    desk: &Desk,
+    loop_handle: &LoopHandle,
 ) -> Result<Option<LastWord>, Broken> {
     let line: Line = serde_json::from_slice(line)?;
     if passed.id != line.id.as_bytes() {
         return Err(Broken::Foreign);
     }
-    let report = line.load.map(|fields| desk.names().read(&fields));
+    let report = line
+        .load
+        .map(|fields| loop_handle.report_names().read(&fields));
     let last = |outcome| {
         Some(LastWord {
             outcome,
@@ -373,11 +378,11 @@
     };
     Ok(match line.state {
         "started" => {
-            desk.report(Input::Started(id));
+            loop_handle.send_input(Input::JobStarted(id));
             None
         }
         "running" => {
-            desk.report(Input::Progress(id, line.share));
+            loop_handle.send_input(Input::JobProgress(id, line.share));
             None
         }
         "done" => {
@@ -438,7 +443,7 @@
 async fn probe(
     id: ConnId,
     sender: &mut SendRequest<Full<Bytes>>,
-    desk: &Desk,
+    loop_handle: &LoopHandle,
 ) -> Result<(), Broken> {
     let request = Request::builder()
         .method(Method::GET)
@@ -447,7 +452,7 @@
         .body(Full::new(Bytes::new()))?;
     let response = sender.send_request(request).await?;
     let status = response.status();
-    let mut report = header_report(&response, desk.names());
+    let mut report = header_report(&response, loop_handle.report_names());
     let text = collect(response.into_body()).await?;
     let outcome = match status {
         StatusCode::OK => Outcome::Done,
@@ -456,9 +461,9 @@
     };
     if status == StatusCode::OK && !text.trim_ascii().is_empty() {
         let fields: Map<String, Value> = serde_json::from_slice(&text)?;
-        report = Some(desk.names().read(&fields));
+        report = Some(loop_handle.report_names().read(&fields));
     }
-    desk.report(ended(
+    loop_handle.send_input(ended(
         id,
         LastWord {
             outcome,
--- a/crates/dispatcher/http1/tests/target.rs
+++ b/crates/dispatcher/http1/tests/target.rs
@@ -4,19 +4,19 @@
 use dispatch_api::{JobId, JobSpec};
 use dispatcher_settings::report::ReportNames;
 use dispatcher_state::{ConnId, Input};
-use event_loop::{Bounds, Clock, Desk, Order, Passed};
+use event_loop::{Clock, ConnectionCommand, FlowLimits, ForwardedRequest, LoopHandle};
 use std::rc::Rc;
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 use tokio::task::{spawn_local, LocalSet};
 
-fn passed(desk: &Rc<Desk>, id: &'static str) -> Passed {
+fn passed(loop_handle: &Rc<LoopHandle>, id: &'static str) -> ForwardedRequest {
     let (path, body, key) = (Bytes::from_static(b"/api"), Bytes::from_static(b"x"), None);
-    let claim = desk
-        .claim(Bytes::from_static(id.as_bytes()), 1)
+    let claim = loop_handle
+        .reserve(Bytes::from_static(id.as_bytes()), 1)
         .expect("there is room");
-    Passed {
+    ForwardedRequest {
         path,
         id: Bytes::from_static(id.as_bytes()),
         key,
@@ -46,30 +46,30 @@
         .run_until(async {
             let target = TcpListener::bind("127.0.0.1:0").await.unwrap();
             let addr = target.local_addr().unwrap();
-            let bounds = Bounds {
+            let bounds = FlowLimits {
                 flows: 10,
                 bytes: 1_000,
             };
-            let (desk, mut reports) =
-                Desk::new(Clock::start(), ReportNames { x0_is_slots: true }, bounds);
+            let (loop_handle, mut reports) =
+                LoopHandle::new(Clock::start(), ReportNames { x0_is_slots: true }, bounds);
             let (orders, receiver) = mpsc::unbounded_channel();
-            let order = |flow: &event_loop::Flow, id| {
-                orders.send(Order::Job {
+            let order = |flow: &event_loop::PendingFlow, id| {
+                orders.send(ConnectionCommand::Job {
                     flow: flow.id(),
-                    passed: Rc::new(passed(&desk, id)),
+                    passed: Rc::new(passed(&loop_handle, id)),
                     wait: 1_000_000,
                 })
             };
-            let gone = desk.take(spec(), passed(&desk, "gone"));
-            let stays = desk.take(spec(), passed(&desk, "stays"));
+            let gone = loop_handle.accept_flow(spec(), passed(&loop_handle, "gone"));
+            let stays = loop_handle.accept_flow(spec(), passed(&loop_handle, "stays"));
             spawn_local(http1::connection(
                 ConnId(1),
                 addr,
                 receiver,
-                Rc::clone(&desk),
+                Rc::clone(&loop_handle),
             ));
             let (mut stream, _) = target.accept().await.unwrap();
-            while !matches!(reports.next().await, Some(Input::Up(_))) {}
+            while !matches!(reports.next().await, Some(Input::ConnectionUp(_))) {}
             order(&gone, "to-nobody").unwrap();
             drop(gone);
             order(&stays, "to-somebody").unwrap();
--- a/crates/testbed/testbed/src/model.rs
+++ b/crates/testbed/testbed/src/model.rs
@@ -12,7 +12,7 @@
     DiscoveryFailure, JobId, JobSpec, ListUpdateKind, LoadReport, Micros, Outcome, WorkerStatus,
 };
 use dispatcher_settings::platform::{Config, ConfigError};
-use dispatcher_state::{reduce, Answer, ConnId, Effect, Input, Listed, Setup, State};
+use dispatcher_state::{reduce, Answer, ConnId, Effect, Endpoint, Input, State, StateConfig};
 use rand::Rng;
 use rand_pcg::rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -284,11 +284,11 @@
     samples: Vec<Sample>,
     sums: Sums,
     /// Everything that a dispatcher's state starts from.
-    setups: Vec<Setup>,
+    setups: Vec<StateConfig>,
     registry: Registry,
     /// The lines of the list as discovery has them, and as they were at the start.
-    lines: Vec<Listed>,
-    old: Vec<Listed>,
+    lines: Vec<Endpoint>,
+    old: Vec<Endpoint>,
     /// Nothing comes through to these boxes, nor from them.
     cut: Vec<bool>,
     /// Connections open at each box.
@@ -371,7 +371,7 @@
                 engine
             })
             .collect();
-        let lines: Vec<Listed> = (0..boxes.len() + ghosts)
+        let lines: Vec<Endpoint> = (0..boxes.len() + ghosts)
             .map(|at| line(&boxes, at))
             .collect();
         let mut model = Model {
@@ -459,7 +459,7 @@
 
     /// A dispatcher that starts has the list as it was at the start of the run.
     fn inherits(&mut self, dispatcher: usize) {
-        let input = Input::Listed {
+        let input = Input::EndpointsUpdated {
             kind: ListUpdateKind::Inherited,
             version: Some(1),
             entries: self.old.clone(),
@@ -486,7 +486,7 @@
             }
         };
         let version = self.registry.version();
-        Input::Listed {
+        Input::EndpointsUpdated {
             kind,
             version: Some(version),
             entries: which.iter().map(entry).collect(),
@@ -518,7 +518,7 @@
             Due::Leave { dispatcher, flow } => {
                 if let Some(left) = self.dispatchers[dispatcher].flows.remove(&flow) {
                     self.checker.left(left.id);
-                    self.report(dispatcher, Input::Left(flow));
+                    self.report(dispatcher, Input::ClientDisconnected(flow));
                 }
             }
             Due::Report { dispatcher, input } => self.report(dispatcher, input),
@@ -561,7 +561,7 @@
             }
             Due::Sample => {
                 for (dispatcher, d) in (0..).zip(&self.dispatchers) {
-                    let Some(levels) = d.state.seen().status.levels else {
+                    let Some(levels) = d.state.snapshot().status.levels else {
                         continue;
                     };
                     let (at, rank, readings) = (self.now - START, levels.rank, levels.readings);
@@ -580,7 +580,7 @@
             Due::Waited { dispatcher, watch } => self.waited(dispatcher, watch),
             Due::Line { at } => {
                 let weight = self.lines[at].weight;
-                self.lines[at] = Listed {
+                self.lines[at] = Endpoint {
                     weight,
                     ..line(&self.boxes, at)
                 };
@@ -603,7 +603,7 @@
                     at + self.scenario.travel.1,
                     Due::Report {
                         dispatcher,
-                        input: Input::ListFailed(DiscoveryFailure::Failed),
+                        input: Input::WatchFailed(DiscoveryFailure::Failed),
                     },
                 );
             }
@@ -661,7 +661,7 @@
                     at,
                     Due::Report {
                         dispatcher,
-                        input: Input::ListFailed(lost),
+                        input: Input::WatchFailed(lost),
                     },
                 );
             }
@@ -804,13 +804,13 @@
             work: None,
             key: arrival.key,
         };
-        self.report(dispatcher, Input::Taken(spec));
+        self.report(dispatcher, Input::FlowAccepted(spec));
     }
 
     /// Hands an input to a reducer and carries out what it asks for.
     fn report(&mut self, dispatcher: usize, input: Input) {
         self.inputs += 1;
-        if let Input::Closed { conn, .. } = &input {
+        if let Input::ConnectionClosed { conn, .. } = &input {
             if let Some(closed) = self.dispatchers[dispatcher].conns.remove(conn) {
                 self.open[closed.at] -= usize::from(closed.counted);
             }
@@ -861,7 +861,7 @@
 
     fn carry_out(&mut self, dispatcher: usize, effect: Effect) {
         match effect {
-            Effect::Open { conn, addr } => {
+            Effect::OpenConnection { conn, addr } => {
                 let at = usize::from(addr.port()) - FIRST_PORT as usize;
                 let there_and_back = self.travel() + self.travel();
                 self.sums.opened += 1;
@@ -885,13 +885,13 @@
                     true => {
                         let words = self.boxes[at].connected(self.now);
                         self.say(at, words);
-                        Input::Up(conn)
+                        Input::ConnectionUp(conn)
                     }
-                    false => Input::Closed { conn, unsent: true },
+                    false => Input::ConnectionClosed { conn, unsent: true },
                 };
                 self.later(self.now + there_and_back, Due::Report { dispatcher, input });
             }
-            Effect::Send { conn, flow, .. } => {
+            Effect::SendRequest { conn, flow, .. } => {
                 let travel = self.travel();
                 self.later(
                     self.now + travel,
@@ -902,7 +902,7 @@
                     },
                 );
             }
-            Effect::Probe(conn) => {
+            Effect::SendProbe(conn) => {
                 let Some(at) = self.dispatchers[dispatcher].conns.get(&conn).map(|c| c.at) else {
                     return;
                 };
@@ -916,7 +916,7 @@
                     },
                 );
             }
-            Effect::Close(conn) => {
+            Effect::CloseConnection(conn) => {
                 let Some(closed) = self.dispatchers[dispatcher].conns.remove(&conn) else {
                     return;
                 };
@@ -925,27 +925,27 @@
                     self.now,
                     Due::Report {
                         dispatcher,
-                        input: Input::Closed {
+                        input: Input::ConnectionClosed {
                             conn,
                             unsent: false,
                         },
                     },
                 );
             }
-            Effect::Answer { flow, answer } => self.answer(dispatcher, flow, answer),
-            Effect::Watch { after } => {
+            Effect::AnswerFlow { flow, answer } => self.answer(dispatcher, flow, answer),
+            Effect::WatchEndpoints { after } => {
                 if self.scenario.vast.is_some() {
                     self.dispatchers[dispatcher].watch = None;
                     let travel = self.travel();
                     self.later(self.now + travel, Due::Call { dispatcher, after });
                 }
             }
-            Effect::TellOne { to, message } => {
+            Effect::SendToPeer { to, message } => {
                 self.sums.bytes += message.len() as u64;
                 let (least, most, lost) = self.scenario.datagram;
                 let late = self.between((least, most));
                 if self.rng.random::<f64>() >= lost && (to as usize) < self.dispatchers.len() {
-                    let input = Input::Told {
+                    let input = Input::PeerDatagram {
                         from: dispatcher as u32,
                         message,
                     };
@@ -958,14 +958,14 @@
                     );
                 }
             }
-            Effect::Tell(message) => {
+            Effect::BroadcastToPeers(message) => {
                 self.sums.datagrams += 1;
                 self.sums.bytes += message.len() as u64 * (self.dispatchers.len() as u64 - 1);
                 for other in (0..self.dispatchers.len()).filter(|n| *n != dispatcher) {
                     let (least, most, lost) = self.scenario.datagram;
                     let late = self.between((least, most));
                     if self.rng.random::<f64>() >= lost {
-                        let input = Input::Told {
+                        let input = Input::PeerDatagram {
                             from: dispatcher as u32,
                             message: message.clone(),
                         };
@@ -989,12 +989,12 @@
         let arrival = self.arrivals[flow.job].clone();
         let reply = match answer {
             Answer::Served(_) => Reply::Served,
-            Answer::Refused { .. } => Reply::Refused,
-            Answer::Failed | Answer::Unusable => Reply::Failed,
+            Answer::Rejected { .. } => Reply::Refused,
+            Answer::Failed | Answer::Unprocessable => Reply::Failed,
         };
         self.checker
             .answered(self.now, flow.id, reply, START + arrival.at, arrival.work);
-        if let Answer::Refused { retry_after } = answer {
+        if let Answer::Rejected { retry_after } = answer {
             if flow.tries < self.scenario.habits.retries {
                 let wait = retry_after.unwrap_or(100_000);
                 self.later(
@@ -1070,7 +1070,7 @@
         self.sums.probes += 1;
         let travel = self.travel();
         if !self.boxes[at].reachable() {
-            let input = Input::Closed {
+            let input = Input::ConnectionClosed {
                 conn,
                 unsent: false,
             };
@@ -1085,7 +1085,7 @@
             queued: None,
             outstanding: Some(held as f64),
         };
-        let input = Input::Ended {
+        let input = Input::ExchangeEnded {
             conn,
             outcome: Outcome::Done,
             result: None,
@@ -1096,7 +1096,7 @@
             self.now + travel,
             Due::Report {
                 dispatcher,
-                input: Input::Free(conn),
+                input: Input::ConnectionFree(conn),
             },
         );
     }
@@ -1122,7 +1122,7 @@
             else {
                 continue;
             };
-            let ended = |outcome, result| Input::Ended {
+            let ended = |outcome, result| Input::ExchangeEnded {
                 conn,
                 outcome,
                 result,
@@ -1131,17 +1131,19 @@
             let inputs = match word {
                 Word::Started(_) => {
                     self.checker.ran(self.now, id, job);
-                    vec![Input::Started(conn)]
+                    vec![Input::JobStarted(conn)]
                 }
-                Word::Running(_, share) => vec![Input::Progress(conn, share)],
+                Word::Running(_, share) => vec![Input::JobProgress(conn, share)],
                 Word::Done(_) => {
                     vec![
                         ended(Outcome::Done, Some(Bytes::from_static(b"r"))),
-                        Input::Free(conn),
+                        Input::ConnectionFree(conn),
                     ]
                 }
-                Word::Declined(_) => vec![ended(Outcome::Rejected, None), Input::Free(conn)],
-                Word::Lost(_) => vec![Input::Closed {
+                Word::Declined(_) => {
+                    vec![ended(Outcome::Rejected, None), Input::ConnectionFree(conn)]
+                }
+                Word::Lost(_) => vec![Input::ConnectionClosed {
                     conn,
                     unsent: false,
                 }],
@@ -1216,7 +1218,7 @@
                     .collect()
             };
             for conn in conns {
-                let input = Input::Closed {
+                let input = Input::ConnectionClosed {
                     conn,
                     unsent: false,
                 };
@@ -1242,11 +1244,11 @@
 }
 
 /// How a box stands in the list; beyond the last one there are those that are long gone.
-fn line(boxes: &[Engine], at: usize) -> Listed {
+fn line(boxes: &[Engine], at: usize) -> Endpoint {
     let Some(engine) = boxes.get(at) else {
         let (zone, kind, cell, status) = (0, 0, 0, WorkerStatus::Removed);
         let (name, addr) = (name(at), addr(at));
-        return Listed {
+        return Endpoint {
             name,
             addr,
             zone,
@@ -1264,7 +1266,7 @@
     };
     let shape = engine.shape();
     let (zone, kind, cell) = (shape.zone, shape.kind, at as u32 / 2);
-    Listed {
+    Endpoint {
         name: name(at),
         addr: addr(at),
         zone,
--- a/crates/testbed/testbed/tests/levels.rs
+++ b/crates/testbed/testbed/tests/levels.rs
@@ -197,10 +197,10 @@
         level.terms.min_backlog = 0;
     }
     let operators = [
-        (25 * SECOND, Input::Levels(Some(Arc::new(worse)))),
-        (30 * SECOND, Input::Force(Some((0, 10 * SECOND)))),
-        (45 * SECOND, Input::Levels(Some(shipped()))),
-        (50 * SECOND, Input::Levels(None)),
+        (25 * SECOND, Input::LevelsReplaced(Some(Arc::new(worse)))),
+        (30 * SECOND, Input::LevelForced(Some((0, 10 * SECOND)))),
+        (45 * SECOND, Input::LevelsReplaced(Some(shipped()))),
+        (50 * SECOND, Input::LevelsReplaced(None)),
     ];
     let scenario = at(1.2, 60);
     let outcomes = run(&scenario, Some(&shipped()), 1, 0, &operators).expect("a usable scenario");
