--- a/crates/dispatcher/admin/src/figures.rs
+++ b/crates/dispatcher/admin/src/figures.rs
@@ -2,7 +2,7 @@
 
 use crate::view::Levels;
 use dispatcher_state::{Anomaly, StateSnapshot};
-use membership::State;
+use membership::MemberState;
 use metrics::{counter, describe_counter, describe_gauge, gauge};
 use metrics_exporter_prometheus::{BuildError, PrometheusBuilder, PrometheusHandle};
 
@@ -94,13 +94,18 @@
             .absolute(seen.counts.anomalies(odd));
     }
     if let Some(members) = &seen.members {
-        for state in [State::Alive, State::Suspect, State::Dead, State::Left] {
+        for state in [
+            MemberState::Alive,
+            MemberState::Suspect,
+            MemberState::Dead,
+            MemberState::Left,
+        ] {
             let count = members
                 .members
                 .iter()
                 .filter(|m| m.0.state == state)
                 .count();
-            gauge!("fordrelay_members", "state" => state.word()).set(count as f64);
+            gauge!("fordrelay_members", "state" => state.as_str()).set(count as f64);
         }
         gauge!("fordrelay_members_deaf_to_this")
             .set(members.members.iter().filter(|m| !m.2).count() as f64);
--- a/crates/dispatcher/admin/src/server.rs
+++ b/crates/dispatcher/admin/src/server.rs
@@ -185,7 +185,7 @@
         .iter()
         .map(|(m, heard, heard_by)| view::Member {
             member: m.member,
-            state: m.state.word().to_owned(),
+            state: m.state.as_str().to_owned(),
             incarnation: m.incarnation,
             heard: *heard,
             heard_by: *heard_by,
--- a/crates/dispatcher/admin/src/view.rs
+++ b/crates/dispatcher/admin/src/view.rs
@@ -63,7 +63,7 @@
     /// Its name; empty if no list here has named it.
     pub target: String,
     /// `in`, `out`, `empty` or `back`, here.
-    pub standing: maintenance::Standing,
+    pub standing: maintenance::TargetState,
     /// Since when it has been out here, Unix time in milliseconds.
     pub since_ms: Option<u64>,
     /// Dispatchers alive that have not said that it is empty.
@@ -113,7 +113,7 @@
             paused,
             targets,
         } = upkeep.progress.clone();
-        let target = |(name, t): (&String, maintenance::TargetShown)| MaintenanceTarget {
+        let target = |(name, t): (&String, maintenance::TargetProgress)| MaintenanceTarget {
             target: name.clone(),
             standing: t.standing,
             since_ms: t.since.map(ms),
--- a/crates/dispatcher/coordination/src/lib.rs
+++ b/crates/dispatcher/coordination/src/lib.rs
@@ -3,8 +3,8 @@
 //! on targets and what is to be said in the log come out. Free of I/O, clock and randomness.
 
 use dispatch_api::Micros;
-use maintenance::{Kept, Look, Maintenance, Plan, PlanError, Progress, Standing};
-use membership::{Change, Message, Swim, MOST_MEMBERS};
+use maintenance::{Maintenance, Observations, Plan, PlanError, Progress, SavedState, TargetState};
+use membership::{MemberUpdate, Message, Swim, MAX_MEMBERS};
 
 /// What it asks for.
 #[derive(Debug, Clone, PartialEq)]
@@ -17,7 +17,7 @@
         message: Vec<u8>,
     },
     /// Leave a target out, or take it back.
-    Rule {
+    SetOutOfService {
         /// The mark of its name.
         name_hash: u32,
         /// It is left out.
@@ -33,33 +33,33 @@
         incarnation: u32,
     },
     /// What is believed of another dispatcher has changed.
-    Changed(Change),
+    MemberChanged(MemberUpdate),
     /// Whether another dispatcher hears this one has changed.
-    HeardBy {
+    ReachabilityChanged {
         /// Its number.
         member: u16,
         /// It does.
         heard: bool,
     },
     /// How far a target of the plan is has changed.
-    Stands {
+    TargetStateChanged {
         /// The mark of its name.
         name_hash: u32,
         /// How far it is.
-        standing: Standing,
+        standing: TargetState,
         /// Since its time was up.
         forced: bool,
     },
     /// A plan can't be followed.
-    NotFollowed(PlanError),
+    PlanRejected(PlanError),
     /// A plan is called off, if there was one under way.
-    CalledOff(bool),
+    PlanCancelled(bool),
     /// A datagram that can't be read, or in another's name.
-    Odd,
+    MalformedDatagram,
 }
 
 /// What the rest of the program knows of targets, by the marks of their names.
-pub trait Targets {
+pub trait TargetView {
     /// Whether an attempt is out there.
     fn in_flight(&self, name_hash: u32) -> bool;
     /// Whether it was started anew after this time.
@@ -68,31 +68,31 @@
 
 /// One dispatcher's part in it.
 #[derive(Debug)]
-pub struct Council {
+pub struct Coordinator {
     me: u32,
     dispatchers: u32,
     seed: u64,
     members: Option<Swim>,
-    upkeep: Option<Maintenance>,
+    maintenance: Option<Maintenance>,
     /// What is to be kept for a successor has changed.
     unsaved_change: bool,
 }
 
-impl Council {
+impl Coordinator {
     /// Of a dispatcher that takes part in nothing yet.
     pub fn new(me: u32, dispatchers: u32, seed: u64) -> Self {
-        Council {
+        Coordinator {
             me,
             dispatchers,
             seed,
             members: None,
-            upkeep: None,
+            maintenance: None,
             unsaved_change: false,
         }
     }
 
     /// Whether the dispatchers watch each other: only then datagrams are for it.
-    pub fn watches(&self) -> bool {
+    pub fn has_membership(&self) -> bool {
         self.members.is_some()
     }
 
@@ -102,18 +102,18 @@
     }
 
     /// Maintenance, where dispatchers settle it.
-    pub fn upkeep(&self) -> Option<&Maintenance> {
-        self.upkeep.as_ref()
+    pub fn maintenance(&self) -> Option<&Maintenance> {
+        self.maintenance.as_ref()
     }
 
     /// How far the plan is, where one is known.
     pub fn progress(&self, now: Micros) -> Option<Progress> {
-        self.upkeep.as_ref()?.progress(now)
+        self.maintenance.as_ref()?.progress(now)
     }
 
     /// What maintenance leaves to a successor; none without a plan.
-    pub fn kept(&self) -> Option<Kept> {
-        self.upkeep.as_ref().and_then(Maintenance::kept)
+    pub fn saved_state(&self) -> Option<SavedState> {
+        self.maintenance.as_ref().and_then(Maintenance::saved_state)
     }
 
     /// Whether that has changed since the last call: it is to be kept before anybody else is told.
@@ -121,23 +121,23 @@
         std::mem::take(&mut self.unsaved_change)
     }
 
-    /// When [`Council::tick`] is wanted next.
+    /// When [`Coordinator::tick`] is wanted next.
     pub fn wake_at(&self) -> Option<Micros> {
         let members = self.members.as_ref().map(Swim::wake_at);
-        let upkeep = self.upkeep.as_ref().and_then(Maintenance::wake_at);
-        members.into_iter().chain(upkeep).min()
+        let maintenance = self.maintenance.as_ref().and_then(Maintenance::wake_at);
+        members.into_iter().chain(maintenance).min()
     }
 
-    /// A time of [`Council::wake_at`] has come, or another.
-    pub fn tick(&mut self, now: Micros, targets: &dyn Targets) -> Vec<Effect> {
+    /// A time of [`Coordinator::wake_at`] has come, or another.
+    pub fn tick(&mut self, now: Micros, targets: &dyn TargetView) -> Vec<Effect> {
         let due = self.members.as_mut().filter(|m| m.wake_at() <= now);
         let found = due.map_or(vec![], |members| members.tick(now));
         self.tick_upkeep(now, targets, found.into_iter().filter_map(among).collect())
     }
 
-    fn look(&mut self, now: Micros, targets: &dyn Targets, effects: &mut Vec<Effect>) {
-        let Council {
-            upkeep: Some(upkeep),
+    fn look(&mut self, now: Micros, targets: &dyn TargetView, effects: &mut Vec<Effect>) {
+        let Coordinator {
+            maintenance: Some(maintenance),
             members,
             me,
             ..
@@ -146,14 +146,14 @@
             return;
         };
         let alive = |m: u16| match members.as_ref() {
-            Some(members) => !members.away(m, now),
+            Some(members) => !members.is_gone(m, now),
             None => u32::from(m) == *me,
         };
         let in_flight = |name_hash| targets.in_flight(name_hash);
         let restarted = |name_hash, since| targets.restarted(name_hash, since);
-        let found = upkeep.tick(
+        let found = maintenance.tick(
             now,
-            &Look {
+            &Observations {
                 alive: &alive,
                 in_flight: &in_flight,
                 restarted: &restarted,
@@ -163,20 +163,20 @@
     }
 
     /// A datagram of that dispatcher has come. Whoever sends in another's name is none of them.
-    pub fn take(&mut self, now: Micros, from: u32, message: &[u8]) -> Vec<Effect> {
+    pub fn handle_datagram(&mut self, now: Micros, from: u32, message: &[u8]) -> Vec<Effect> {
         let mut effects = vec![];
         if message.first() == Some(&maintenance::FIRST_BYTE) {
             let said = maintenance::Message::decode(message)
                 .ok()
                 .filter(|m| u32::from(m.from()) == from);
-            match (said, &mut self.upkeep) {
-                (Some(said), Some(upkeep)) => {
-                    let before = upkeep.kept();
-                    let found = upkeep.take(now, &said);
-                    self.unsaved_change |= before != upkeep.kept();
+            match (said, &mut self.maintenance) {
+                (Some(said), Some(maintenance)) => {
+                    let before = maintenance.saved_state();
+                    let found = maintenance.handle_message(now, &said);
+                    self.unsaved_change |= before != maintenance.saved_state();
                     self.maintain(found, &mut effects);
                 }
-                (None, _) => effects.push(Effect::Odd),
+                (None, _) => effects.push(Effect::MalformedDatagram),
                 (_, None) => {}
             }
             return effects;
@@ -185,10 +185,13 @@
             .ok()
             .filter(|m| u32::from(m.from) == from);
         match (said, &mut self.members) {
-            (Some(said), Some(members)) => {
-                effects.extend(members.take(now, &said).into_iter().filter_map(among))
-            }
-            _ => effects.push(Effect::Odd),
+            (Some(said), Some(members)) => effects.extend(
+                members
+                    .handle_message(now, &said)
+                    .into_iter()
+                    .filter_map(among),
+            ),
+            _ => effects.push(Effect::MalformedDatagram),
         }
         effects
     }
@@ -198,12 +201,12 @@
     pub fn join(&mut self, now: Micros, joining: Option<(Micros, u32)>) -> Vec<Effect> {
         self.members = None;
         let (me, members) = (u16::try_from(self.me), u16::try_from(self.dispatchers));
-        let (Some((period, incarnation)), Ok(me), Ok(members @ 2..=MOST_MEMBERS)) =
+        let (Some((period, incarnation)), Ok(me), Ok(members @ 2..=MAX_MEMBERS)) =
             (joining, me, members)
         else {
             return vec![];
         };
-        let terms = membership::Terms {
+        let terms = membership::Config {
             me,
             members,
             period,
@@ -229,47 +232,62 @@
     }
 
     /// This dispatcher takes part in maintenance from now on, with what another process of it kept, if there was any.
-    pub fn maintains(&mut self, now: Micros, kept: Option<Kept>) -> Vec<Effect> {
+    pub fn enable_maintenance(&mut self, now: Micros, kept: Option<SavedState>) -> Vec<Effect> {
         let mut effects = vec![];
-        if self.upkeep.is_none() {
+        if self.maintenance.is_none() {
             let (Ok(me), Ok(members)) = (u16::try_from(self.me), u16::try_from(self.dispatchers))
             else {
                 return effects;
             };
-            self.upkeep = Some(Maintenance::new(me, members));
+            self.maintenance = Some(Maintenance::new(me, members));
         }
-        if let (Some(kept), Some(upkeep)) = (kept, &mut self.upkeep) {
-            let found = upkeep.restore(now, kept);
+        if let (Some(kept), Some(maintenance)) = (kept, &mut self.maintenance) {
+            let found = maintenance.restore(now, kept);
             self.maintain(found, &mut effects);
         }
         effects
     }
 
     /// The operators want a plan followed; with none, the one under way called off.
-    pub fn plan(&mut self, now: Micros, plan: Option<Plan>, targets: &dyn Targets) -> Vec<Effect> {
+    pub fn submit_plan(
+        &mut self,
+        now: Micros,
+        plan: Option<Plan>,
+        targets: &dyn TargetView,
+    ) -> Vec<Effect> {
         let mut effects = vec![];
-        let Some(upkeep) = &mut self.upkeep else {
+        let Some(maintenance) = &mut self.maintenance else {
             return effects;
         };
         match plan {
             Some(plan) => {
                 let id = plan.id;
-                effects.extend(upkeep.submit(now, plan, id).err().map(Effect::NotFollowed));
+                effects.extend(
+                    maintenance
+                        .submit(now, plan, id)
+                        .err()
+                        .map(Effect::PlanRejected),
+                );
             }
-            None => effects.push(Effect::CalledOff(upkeep.cancel(now))),
+            None => effects.push(Effect::PlanCancelled(maintenance.cancel(now))),
         }
         self.unsaved_change = true;
         self.tick_upkeep(now, targets, effects)
     }
 
     /// The operators' work on a target that is out by the plan is done.
-    pub fn done(&mut self, now: Micros, name_hash: u32, targets: &dyn Targets) -> Vec<Effect> {
+    pub fn target_work_done(
+        &mut self,
+        now: Micros,
+        name_hash: u32,
+        targets: &dyn TargetView,
+    ) -> Vec<Effect> {
         let mut effects = vec![];
-        let Some(upkeep) = &mut self.upkeep else {
+        let Some(maintenance) = &mut self.maintenance else {
             return effects;
         };
-        upkeep.done(now, name_hash);
-        let found = upkeep.effects();
+        maintenance.target_work_done(now, name_hash);
+        let found = maintenance.take_effects();
         self.maintain(found, &mut effects);
         self.tick_upkeep(now, targets, effects)
     }
@@ -277,11 +295,11 @@
     fn tick_upkeep(
         &mut self,
         now: Micros,
-        targets: &dyn Targets,
+        targets: &dyn TargetView,
         mut effects: Vec<Effect>,
     ) -> Vec<Effect> {
         if self
-            .upkeep
+            .maintenance
             .as_ref()
             .and_then(Maintenance::wake_at)
             .is_some_and(|at| at <= now)
@@ -297,14 +315,16 @@
                 to: u32::from(to),
                 message: message.encode(),
             },
-            maintenance::Effect::Ban { name_hash, out } => Effect::Rule { name_hash, out },
-            maintenance::Effect::Stands {
+            maintenance::Effect::SetOutOfService { name_hash, out } => {
+                Effect::SetOutOfService { name_hash, out }
+            }
+            maintenance::Effect::TargetStateChanged {
                 name_hash,
                 standing,
                 forced,
             } => {
                 self.unsaved_change = true;
-                Effect::Stands {
+                Effect::TargetStateChanged {
                     name_hash,
                     standing,
                     forced,
@@ -320,7 +340,9 @@
             to: u32::from(to),
             message: message.encode().ok()?,
         },
-        membership::Effect::Changed(change) => Effect::Changed(change),
-        membership::Effect::HeardBy { member, heard } => Effect::HeardBy { member, heard },
+        membership::Effect::MemberChanged(change) => Effect::MemberChanged(change),
+        membership::Effect::ReachabilityChanged { member, heard } => {
+            Effect::ReachabilityChanged { member, heard }
+        }
     })
 }
--- a/crates/dispatcher/dispatcher-state/src/lib.rs
+++ b/crates/dispatcher/dispatcher-state/src/lib.rs
@@ -163,7 +163,7 @@
     /// This process has been told to stop, and says so to the other dispatchers.
     ShuttingDown,
     /// This dispatcher takes part in maintenance from now on, with what another process of it kept, if there was any.
-    MaintenanceEnabled(Option<Box<maintenance::Kept>>),
+    MaintenanceEnabled(Option<Box<maintenance::SavedState>>),
     /// The operators want a plan followed; with none, the one under way called off.
     PlanRequested(Option<Box<maintenance::Plan>>),
     /// The operators' work on a target that is out by the plan is done.
--- a/crates/dispatcher/dispatcher-state/src/plans.rs
+++ b/crates/dispatcher/dispatcher-state/src/plans.rs
@@ -2,7 +2,7 @@
 
 use super::reducer::State;
 use dispatch_api::load_exchange;
-use maintenance::{Limits, Plan, Progress, Standing, Target, MOST_KINDS};
+use maintenance::{Limits, Plan, Progress, Target, TargetState, MAX_KINDS};
 use std::collections::BTreeMap;
 
 /// A plan as operators want it.
@@ -65,7 +65,10 @@
 
 impl State {
     pub(super) fn maintenance_status(&self) -> Option<MaintenanceStatus> {
-        let progress = self.council.upkeep()?.progress(self.last_input_at())?;
+        let progress = self
+            .coordinator
+            .maintenance()?
+            .progress(self.last_input_at())?;
         let name = |t: &Target| {
             self.targets()
                 .named_by(t.name_hash)
@@ -83,8 +86,11 @@
     /// # Errors
     /// Why it is refused.
     pub fn build_plan(&self, wanted: &PlanRequest) -> Result<Plan, PlanRequestError> {
-        let upkeep = self.council.upkeep().ok_or(PlanRequestError::Off)?;
-        if let Some(kept) = upkeep.kept().filter(|_| upkeep.active()) {
+        let upkeep = self
+            .coordinator
+            .maintenance()
+            .ok_or(PlanRequestError::Off)?;
+        if let Some(kept) = upkeep.saved_state().filter(|_| upkeep.active()) {
             return Err(PlanRequestError::UnderWay {
                 id: kept.plan.id,
                 by: kept.plan.by,
@@ -120,7 +126,7 @@
             });
         }
         let mut limits = vec![];
-        for (at, kind) in kinds.iter().enumerate().take(MOST_KINDS + 1) {
+        for (at, kind) in kinds.iter().enumerate().take(MAX_KINDS + 1) {
             let all = listed.values().filter(|(k, _)| k == kind).count();
             if targets.iter().filter(|t| usize::from(t.kind) == at).count() >= all {
                 return Err(PlanRequestError::Kind(all));
@@ -149,14 +155,14 @@
             cancelled,
             targets,
         };
-        plan.check()?;
+        plan.validate()?;
         Ok(plan)
     }
 
     /// Whether a plan is under way.
     pub fn has_active_plan(&self) -> bool {
-        self.council
-            .upkeep()
+        self.coordinator
+            .maintenance()
             .is_some_and(maintenance::Maintenance::active)
     }
 
@@ -170,12 +176,12 @@
                 .map(|t| t.standing)
         };
         let upkeep = self
-            .council
-            .upkeep()
+            .coordinator
+            .maintenance()
             .and_then(|u| u.progress(self.last_input_at()));
         matches!(
             upkeep.and_then(standing),
-            Some(Standing::Out | Standing::Empty)
+            Some(TargetState::Out | TargetState::Empty)
         )
     }
 }
--- a/crates/dispatcher/dispatcher-state/src/reducer.rs
+++ b/crates/dispatcher/dispatcher-state/src/reducer.rs
@@ -9,14 +9,14 @@
     Anomaly, Answer, ConnId, Effect, Input, MembershipConfig, StateConfig, TargetOverride,
 };
 use bytes::Bytes;
-use coordination::{Council, Targets};
+use coordination::{Coordinator, TargetView};
 use degradation::{Governed, Status};
 use dispatch_api::load_exchange;
 use dispatch_api::{
     Action, Event, Idempotency, JobId, ListUpdateKind, LoadReport, LoadReporting, Micros, Outcome,
     PolicySnapshot, SettingsError, WorkerId,
 };
-use membership::{Change, Swim};
+use membership::{MemberUpdate, Swim};
 use std::collections::{BTreeSet, VecDeque};
 use tracing::{debug, info};
 
@@ -35,7 +35,7 @@
     /// When the program ends, and every flow that is open by then is answered.
     ends: Option<Micros>,
     /// What the dispatchers settle among themselves.
-    pub(super) council: Council,
+    pub(super) coordinator: Coordinator,
     /// The time of the last input.
     now: Micros,
     /// Every time that the decisions have asked for: they ask for none twice, so none may be dropped.
@@ -57,7 +57,7 @@
             Pool::new(setup.idle),
         );
         let counts = JobCounters::new(setup.settings.classes.len());
-        let council = Council::new(setup.me, setup.settings.dispatchers, setup.seed);
+        let coordinator = Coordinator::new(setup.me, setup.settings.dispatchers, setup.seed);
         let (wakes, actions, ends, now) = Default::default();
         Ok(State {
             setup,
@@ -67,7 +67,7 @@
             pool,
             counts,
             ends,
-            council,
+            coordinator,
             now,
             wakes,
             actions,
@@ -79,7 +79,7 @@
         let status = self.decisions.status();
         let ejected = self.targets.out() + status.figures.ejected;
         let members = self
-            .council
+            .coordinator
             .members()
             .map(|m| MembershipSnapshot::of(m, self.now));
         let (counts, listed, maintenance) = (
@@ -129,11 +129,11 @@
 
     /// When an [`Input::Tick`] is wanted next.
     pub fn wake_at(&self) -> Option<Micros> {
-        let council = self.council.wake_at();
+        let coordinator = self.coordinator.wake_at();
         [
             self.wakes.first().copied(),
             self.pool.next_deadline(),
-            council,
+            coordinator,
         ]
         .into_iter()
         .flatten()
@@ -150,13 +150,13 @@
     }
 
     /// What maintenance leaves to a successor; none without a plan.
-    pub fn saved_maintenance(&self) -> Option<maintenance::Kept> {
-        self.council.kept()
+    pub fn saved_maintenance(&self) -> Option<maintenance::SavedState> {
+        self.coordinator.saved_state()
     }
 
     /// Whether that has changed since the last call: it is to be kept before anybody else is told.
     pub fn take_unsaved_change(&mut self) -> bool {
-        self.council.take_unsaved_change()
+        self.coordinator.take_unsaved_change()
     }
 }
 
@@ -167,7 +167,7 @@
     pub status: Status,
     /// What has become of the jobs.
     pub counts: JobCounters,
-    /// Targets in the list, those that drain included.
+    /// TargetView in the list, those that drain included.
     pub listed: usize,
     /// ... and of these, those that are out by hand or get nothing for now.
     pub ejected: usize,
@@ -181,20 +181,20 @@
 #[derive(Debug, Clone)]
 pub struct MembershipSnapshot {
     /// Of each, by number: what it is believed to be, whether it was heard lately, and whether it hears this one.
-    pub members: Vec<(membership::Change, bool, bool)>,
+    pub members: Vec<(membership::MemberUpdate, bool, bool)>,
     /// The number of the view, the same at all that hold the same others for there.
     pub view: u32,
 }
 
 impl MembershipSnapshot {
     fn of(swim: &Swim, now: Micros) -> Self {
-        let shown = |change: Change| {
+        let shown = |change: MemberUpdate| {
             let (heard, by) = swim.heard(change.member, now);
             (change, heard, by)
         };
         MembershipSnapshot {
-            members: swim.view().into_iter().map(shown).collect(),
-            view: swim.view_number(),
+            members: swim.members().into_iter().map(shown).collect(),
+            view: swim.view_hash(),
         }
     }
 }
@@ -220,7 +220,7 @@
     pool: &'a Pool,
 }
 
-impl Targets for Here<'_> {
+impl TargetView for Here<'_> {
     fn in_flight(&self, name_hash: u32) -> bool {
         self.targets
             .by_name_hash(name_hash)
@@ -316,9 +316,12 @@
                     return;
                 }
                 if !message.len().is_multiple_of(load_exchange::ENTRY_BYTES)
-                    && self.state.council.watches()
+                    && self.state.coordinator.has_membership()
                 {
-                    let effects = self.state.council.take(self.now, from, &message);
+                    let effects = self
+                        .state
+                        .coordinator
+                        .handle_datagram(self.now, from, &message);
                     self.settled(effects);
                 } else {
                     let known = |(name_hash, slots)| {
@@ -337,24 +340,24 @@
                          incarnation,
                      }| (period, incarnation),
                 );
-                let effects = self.state.council.join(self.now, joining);
+                let effects = self.state.coordinator.join(self.now, joining);
                 self.settled(effects);
             }
             Input::ShuttingDown => {
-                let effects = self.state.council.leave(self.now);
+                let effects = self.state.coordinator.leave(self.now);
                 self.settled(effects);
             }
             Input::MaintenanceEnabled(kept) => {
                 let effects = self
                     .state
-                    .council
-                    .maintains(self.now, kept.map(|kept| *kept));
+                    .coordinator
+                    .enable_maintenance(self.now, kept.map(|kept| *kept));
                 self.settled(effects);
             }
             Input::PlanRequested(plan) => {
                 if let Some(plan) = plan
                     .as_ref()
-                    .filter(|_| self.state.council.upkeep().is_some())
+                    .filter(|_| self.state.coordinator.maintenance().is_some())
                 {
                     info!(
                         id = plan.id,
@@ -362,11 +365,13 @@
                         "a plan of maintenance is followed"
                     );
                 }
-                self.asks(|council, now, known| council.plan(now, plan.map(|plan| *plan), known));
+                self.asks(|coordinator, now, known| {
+                    coordinator.submit_plan(now, plan.map(|plan| *plan), known)
+                });
             }
             Input::TargetWorkDone(target) => {
-                self.asks(|council, now, known| {
-                    council.done(now, load_exchange::name_hash(&target), known)
+                self.asks(|coordinator, now, known| {
+                    coordinator.target_work_done(now, load_exchange::name_hash(&target), known)
                 });
             }
             Input::AnomalySeen(what, times) => self.state.counts.count_anomaly(what, times),
@@ -446,26 +451,26 @@
         }
         if self
             .state
-            .council
+            .coordinator
             .wake_at()
             .is_some_and(|at| at <= self.now)
         {
-            self.asks(|council, now, known| council.tick(now, known));
+            self.asks(|coordinator, now, known| coordinator.tick(now, known));
         }
     }
 
     /// Asks the council, which may look at what is known of targets, and does what comes of it.
     fn asks(
         &mut self,
-        ask: impl FnOnce(&mut Council, Micros, &dyn Targets) -> Vec<coordination::Effect>,
+        ask: impl FnOnce(&mut Coordinator, Micros, &dyn TargetView) -> Vec<coordination::Effect>,
     ) {
         let State {
-            council,
+            coordinator,
             targets,
             pool,
             ..
         } = &mut *self.state;
-        let effects = ask(council, self.now, &Here { targets, pool });
+        let effects = ask(coordinator, self.now, &Here { targets, pool });
         self.settled(effects);
     }
 
@@ -476,7 +481,9 @@
                 coordination::Effect::Send { to, message } => {
                     self.effects.push(Effect::SendToPeer { to, message })
                 }
-                coordination::Effect::Rule { name_hash, out } => self.ban(name_hash, out),
+                coordination::Effect::SetOutOfService { name_hash, out } => {
+                    self.ban(name_hash, out)
+                }
                 coordination::Effect::Joined {
                     me,
                     members,
@@ -484,17 +491,17 @@
                 } => {
                     info!(me, members, incarnation, "joined the dispatchers");
                 }
-                coordination::Effect::Changed(Change {
+                coordination::Effect::MemberChanged(MemberUpdate {
                     member,
                     incarnation,
                     state,
                 }) => {
-                    info!(member, state = state.word(), incarnation, "a dispatcher");
+                    info!(member, state = state.as_str(), incarnation, "a dispatcher");
                 }
-                coordination::Effect::HeardBy { member, heard } => {
+                coordination::Effect::ReachabilityChanged { member, heard } => {
                     info!(member, heard, "whether a dispatcher hears this one");
                 }
-                coordination::Effect::Stands {
+                coordination::Effect::TargetStateChanged {
                     name_hash,
                     standing,
                     forced,
@@ -502,13 +509,13 @@
                     let target = self.state.targets.named_by(name_hash).unwrap_or("unknown");
                     info!(target, ?standing, forced, "maintenance");
                 }
-                coordination::Effect::NotFollowed(e) => {
+                coordination::Effect::PlanRejected(e) => {
                     info!("a plan of maintenance can't be followed: {e}")
                 }
-                coordination::Effect::CalledOff(called_off) => {
+                coordination::Effect::PlanCancelled(called_off) => {
                     info!(called_off, "a plan of maintenance is called off");
                 }
-                coordination::Effect::Odd => {
+                coordination::Effect::MalformedDatagram => {
                     self.state.counts.count_anomaly(Anomaly::CutDatagram, 1)
                 }
             }
--- a/crates/dispatcher/dispatcher-state/src/targets.rs
+++ b/crates/dispatcher/dispatcher-state/src/targets.rs
@@ -53,7 +53,7 @@
         self.numbers.contains_key(name)
     }
 
-    /// Targets in the list.
+    /// TargetView in the list.
     pub fn listed(&self) -> usize {
         self.targets
             .iter()
--- a/crates/dispatcher/dispatcher-state/tests/upkeep.rs
+++ b/crates/dispatcher/dispatcher-state/tests/upkeep.rs
@@ -66,7 +66,7 @@
         pair
     }
 
-    fn begin(&mut self, me: usize, kept: Option<Box<maintenance::Kept>>) {
+    fn begin(&mut self, me: usize, kept: Option<Box<maintenance::SavedState>>) {
         let entries = (0..4).map(|n| listed(n, None)).collect();
         self.take(
             me,
@@ -77,7 +77,7 @@
             },
         );
         self.take(me, Input::MaintenanceEnabled(kept));
-        let incarnation = membership::serial::at(self.now / 1_000_000);
+        let incarnation = membership::incarnation::from_unix_seconds(self.now / 1_000_000);
         self.take(
             me,
             Input::MembershipChanged(Some(MembershipConfig {
@@ -155,7 +155,7 @@
             .collect()
     }
 
-    fn standing(&self, me: usize, at: usize) -> maintenance::Standing {
+    fn standing(&self, me: usize, at: usize) -> maintenance::TargetState {
         self.states[me]
             .snapshot()
             .maintenance
@@ -180,7 +180,7 @@
         assert_eq!(pair.states[me].snapshot().ejected, 1, "operators see it");
     }
     pair.pass(400 * MS);
-    assert_eq!(pair.standing(0, 0), maintenance::Standing::Empty);
+    assert_eq!(pair.standing(0, 0), maintenance::TargetState::Empty);
     // Restarted: only one of them has heard of it.
     let restarted = vec![listed(0, Some(pair.now))];
     pair.take(
@@ -194,10 +194,13 @@
     pair.pass(1_000 * MS);
     assert_eq!(
         (pair.standing(0, 0), pair.standing(1, 0)),
-        (maintenance::Standing::Back, maintenance::Standing::Back)
+        (
+            maintenance::TargetState::Back,
+            maintenance::TargetState::Back
+        )
     );
     assert!(
-        pair.standing(0, 1) > maintenance::Standing::In,
+        pair.standing(0, 1) > maintenance::TargetState::In,
         "the next one is out"
     );
     pair.take(0, Input::TargetWorkDone("s-1".into()));
--- a/crates/dispatcher/fordrelay/src/lifecycle.rs
+++ b/crates/dispatcher/fordrelay/src/lifecycle.rs
@@ -224,7 +224,7 @@
 /// Watches the other dispatchers from now on, if the operators' file says so.
 fn joins(loop_handle: &LoopHandle, operator: &Operator, clock: Clock) {
     if let Some(membership) = &operator.membership {
-        let incarnation = membership::serial::at(clock.now() / 1_000_000);
+        let incarnation = membership::incarnation::from_unix_seconds(clock.now() / 1_000_000);
         loop_handle.send_input(Input::MembershipChanged(Some(MembershipConfig {
             period: membership.period_ms * 1_000,
             incarnation,
--- a/crates/dispatcher/fordrelay/src/succession.rs
+++ b/crates/dispatcher/fordrelay/src/succession.rs
@@ -37,7 +37,7 @@
     known: PolicySnapshot,
     /// The plan of maintenance, and what this dispatcher has out by it.
     #[serde(default)]
-    maintenance: Option<maintenance::Kept>,
+    maintenance: Option<maintenance::SavedState>,
 }
 
 type Told = Note<List, Knowledge>;
@@ -180,7 +180,7 @@
     }
 
     /// What another process left of maintenance. To be asked before [`Succession::recalled`].
-    pub fn maintenance(&self) -> Option<Box<maintenance::Kept>> {
+    pub fn maintenance(&self) -> Option<Box<maintenance::SavedState>> {
         let found = self.found.borrow();
         found
             .0
--- a/crates/dispatcher/fordrelay/tests/outer_forms.rs
+++ b/crates/dispatcher/fordrelay/tests/outer_forms.rs
@@ -22,7 +22,7 @@
     classes: Vec<String>,
     kinds: Vec<String>,
     known: dispatch_api::PolicySnapshot,
-    maintenance: Option<maintenance::Kept>,
+    maintenance: Option<maintenance::SavedState>,
 }
 
 type Left = Note<List, Knowledge>;
--- a/crates/dispatcher/maintenance/src/lib.rs
+++ b/crates/dispatcher/maintenance/src/lib.rs
@@ -7,6 +7,8 @@
 mod plan;
 mod wire;
 
-pub use member::{Effect, Kept, Look, Maintenance, Progress, Standing, TargetShown};
-pub use plan::{Limits, Plan, PlanError, Target, MOST_KINDS, MOST_TARGETS};
-pub use wire::{Message, WireError, FIRST_BYTE, LARGEST};
+pub use member::{
+    Effect, Maintenance, Observations, Progress, SavedState, TargetProgress, TargetState,
+};
+pub use plan::{Limits, Plan, PlanError, Target, MAX_KINDS, MAX_TARGETS};
+pub use wire::{Message, WireError, FIRST_BYTE, MAX_DATAGRAM_BYTES};
--- a/crates/dispatcher/maintenance/src/member.rs
+++ b/crates/dispatcher/maintenance/src/member.rs
@@ -1,7 +1,7 @@
 //! One member: the plan that it follows, how far it is, and what every member says of each target.
 
-use crate::plan::{Plan, PlanError, MOST_TARGETS};
-use crate::wire::{Message, Words, MOST_WORDS};
+use crate::plan::{Plan, PlanError, MAX_TARGETS};
+use crate::wire::{Message, Words, MAX_REPORTS};
 use dispatch_api::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -18,7 +18,7 @@
 /// How a target stands with one member. It only ever goes on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Standing {
+pub enum TargetState {
     /// It has not gone out.
     In,
     /// Nothing new goes there.
@@ -29,7 +29,12 @@
     Back,
 }
 
-const STANDINGS: [Standing; 4] = [Standing::In, Standing::Out, Standing::Empty, Standing::Back];
+const STANDINGS: [TargetState; 4] = [
+    TargetState::In,
+    TargetState::Out,
+    TargetState::Empty,
+    TargetState::Back,
+];
 
 /// What it asks for.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -42,25 +47,25 @@
         message: Message,
     },
     /// Send nothing new to a target, or use it again.
-    Ban {
+    SetOutOfService {
         /// The target.
         name_hash: u32,
         /// Out, as against back.
         out: bool,
     },
     /// A target stands otherwise here; for the log.
-    Stands {
+    TargetStateChanged {
         /// The target.
         name_hash: u32,
         /// How.
-        standing: Standing,
+        standing: TargetState,
         /// Its time was up, to drain or to be out.
         forced: bool,
     },
 }
 
 /// What is to be seen from this member.
-pub struct Look<'a> {
+pub struct Observations<'a> {
     /// Whether a member is not taken for dead.
     pub alive: &'a dyn Fn(u16) -> bool,
     /// Whether anything of this dispatcher is in flight to a target.
@@ -71,12 +76,12 @@
 
 /// A target of the plan, as operators see it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TargetShown {
+pub struct TargetProgress {
     /// What dispatchers call it.
     #[serde(rename = "mark")]
     pub name_hash: u32,
     /// How it stands here.
-    pub standing: Standing,
+    pub standing: TargetState,
     /// Since when it has been out here, Unix time in microseconds; none if it is not.
     pub since: Option<Micros>,
     /// Members alive that have not said that it is empty.
@@ -97,12 +102,12 @@
     /// No majority of the members is alive for this one: none goes out.
     pub paused: bool,
     /// The targets, in order.
-    pub targets: Vec<TargetShown>,
+    pub targets: Vec<TargetProgress>,
 }
 
 /// What one process leaves to the next.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Kept {
+pub struct SavedState {
     /// The plan.
     pub plan: Plan,
     /// Targets that had gone out.
@@ -123,7 +128,7 @@
     words: BTreeMap<u16, Words>,
     /// When each target went out here.
     since: Vec<Option<Micros>>,
-    banned: BTreeSet<u32>,
+    out_of_service: BTreeSet<u32>,
     /// Members that are taken for dead, since when.
     dead: BTreeMap<u16, Micros>,
     tell_at: Micros,
@@ -133,24 +138,25 @@
     effects: Vec<Effect>,
 }
 
-fn said(words: Words, at: usize) -> Standing {
+fn said(words: Words, at: usize) -> TargetState {
     STANDINGS[(words >> (2 * at) & 3) as usize]
 }
 
-fn say(words: Words, at: usize, standing: Standing) -> Words {
+fn say(words: Words, at: usize, standing: TargetState) -> Words {
     let lane = 2 * at;
     words & !(3 << lane) | (standing as u64) << lane
 }
 
 /// The later standing of each target.
 fn merge(a: Words, b: Words) -> Words {
-    (0..MOST_TARGETS).fold(0, |all, at| say(all, at, said(a, at).max(said(b, at))))
+    (0..MAX_TARGETS).fold(0, |all, at| say(all, at, said(a, at).max(said(b, at))))
 }
 
 impl Maintenance {
     /// A member of so many, which knows of no plan.
     pub fn new(me: u16, members: u16) -> Self {
-        let (plan, gone, words, since, banned, dead, tell_at, tells, effects) = Default::default();
+        let (plan, gone, words, since, out_of_service, dead, tell_at, tells, effects) =
+            Default::default();
         Maintenance {
             me,
             members,
@@ -158,7 +164,7 @@
             gone,
             words,
             since,
-            banned,
+            out_of_service,
             dead,
             tell_at,
             tells,
@@ -182,7 +188,7 @@
     /// # Errors
     /// What is wrong with it.
     pub fn submit(&mut self, now: Micros, plan: Plan, id: u32) -> Result<(), PlanError> {
-        plan.check()?;
+        plan.validate()?;
         let version = self
             .plan
             .as_ref()
@@ -207,11 +213,11 @@
     }
 
     /// The work on a target is done. Tells whether it is out by the plan.
-    pub fn done(&mut self, now: Micros, name_hash: u32) -> bool {
+    pub fn target_work_done(&mut self, now: Micros, name_hash: u32) -> bool {
         let Some(at) = self.out_at(name_hash) else {
             return false;
         };
-        self.stands(at, Standing::Back, false);
+        self.stands(at, TargetState::Back, false);
         self.tell_at = now;
         true
     }
@@ -224,23 +230,23 @@
             .iter()
             .position(|t| t.name_hash == name_hash)?;
         let own = self.own(at);
-        (own > Standing::In && own < Standing::Back).then_some(at)
+        (own > TargetState::In && own < TargetState::Back).then_some(at)
     }
 
-    /// What it asks for since the last call, besides what [`Maintenance::tick`] and [`Maintenance::take`] return.
-    pub fn effects(&mut self) -> Vec<Effect> {
+    /// What it asks for since the last call, besides what [`Maintenance::tick`] and [`Maintenance::handle_message`] return.
+    pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
 
     /// A datagram has come.
-    pub fn take(&mut self, now: Micros, message: &Message) -> Vec<Effect> {
+    pub fn handle_message(&mut self, now: Micros, message: &Message) -> Vec<Effect> {
         if message.from() == self.me || message.from() >= self.members {
             return vec![];
         }
         match message {
             Message::Plan(_, plan) => match &mut self.plan {
-                Some(own) if own.same(plan) => own.cancelled |= plan.cancelled,
-                Some(own) if !plan.beats(own) => {}
+                Some(own) if own.is_same_plan(plan) => own.cancelled |= plan.cancelled,
+                Some(own) if !plan.supersedes(own) => {}
                 _ => self.adopt(plan.clone()),
             },
             Message::Progress {
@@ -261,11 +267,11 @@
             }
         }
         self.heed(now);
-        self.effects()
+        self.take_effects()
     }
 
     /// The time of [`Maintenance::wake_at`] has come, or another.
-    pub fn tick(&mut self, now: Micros, look: &Look<'_>) -> Vec<Effect> {
+    pub fn tick(&mut self, now: Micros, look: &Observations<'_>) -> Vec<Effect> {
         for member in 0..self.members {
             if (look.alive)(member) {
                 self.dead.remove(&member);
@@ -283,12 +289,12 @@
             self.tell();
             self.tell_at = now + if self.over() { TELL_OVER } else { TELL };
         }
-        self.effects()
+        self.take_effects()
     }
 
     fn adopt(&mut self, plan: Plan) {
-        for name_hash in std::mem::take(&mut self.banned) {
-            self.effects.push(Effect::Ban {
+        for name_hash in std::mem::take(&mut self.out_of_service) {
+            self.effects.push(Effect::SetOutOfService {
                 name_hash,
                 out: false,
             });
@@ -298,17 +304,17 @@
         self.words.clear();
     }
 
-    fn own(&self, at: usize) -> Standing {
+    fn own(&self, at: usize) -> TargetState {
         self.word(self.me, at)
     }
 
-    fn word(&self, member: u16, at: usize) -> Standing {
+    fn word(&self, member: u16, at: usize) -> TargetState {
         self.words
             .get(&member)
-            .map_or(Standing::In, |words| said(*words, at))
+            .map_or(TargetState::In, |words| said(*words, at))
     }
 
-    fn stands(&mut self, at: usize, standing: Standing, forced: bool) {
+    fn stands(&mut self, at: usize, standing: TargetState, forced: bool) {
         let Some(name_hash) = self
             .plan
             .as_ref()
@@ -319,19 +325,20 @@
         };
         let words = self.words.entry(self.me).or_default();
         *words = say(*words, at, standing);
-        self.effects.push(Effect::Stands {
+        self.effects.push(Effect::TargetStateChanged {
             name_hash,
             standing,
             forced,
         });
-        let out = standing < Standing::Back;
+        let out = standing < TargetState::Back;
         let changes = if out {
-            self.banned.insert(name_hash)
+            self.out_of_service.insert(name_hash)
         } else {
-            self.banned.remove(&name_hash)
+            self.out_of_service.remove(&name_hash)
         };
         if changes {
-            self.effects.push(Effect::Ban { name_hash, out });
+            self.effects
+                .push(Effect::SetOutOfService { name_hash, out });
         }
     }
 
@@ -341,22 +348,25 @@
             return;
         };
         for at in 0..self.gone {
-            let back = cancelled || (0..self.members).any(|m| self.word(m, at) == Standing::Back);
+            let back =
+                cancelled || (0..self.members).any(|m| self.word(m, at) == TargetState::Back);
             match self.own(at) {
-                Standing::Back if self.banned_at(at) => self.stands(at, Standing::Back, false),
-                Standing::Back => {}
-                _ if back => self.stands(at, Standing::Back, false),
+                TargetState::Back if self.is_out_of_service(at) => {
+                    self.stands(at, TargetState::Back, false)
+                }
+                TargetState::Back => {}
+                _ if back => self.stands(at, TargetState::Back, false),
                 // Also what others say that a process before this one had out.
-                own if !self.banned_at(at) => {
+                own if !self.is_out_of_service(at) => {
                     let since = *self.since[at].get_or_insert(now);
                     // A ban of a process before this one that has run out meanwhile: others count on that.
                     let up = now >= since + out;
                     self.stands(
                         at,
                         if up {
-                            Standing::Back
+                            TargetState::Back
                         } else {
-                            own.max(Standing::Out)
+                            own.max(TargetState::Out)
                         },
                         up,
                     );
@@ -366,17 +376,17 @@
         }
     }
 
-    fn banned_at(&self, at: usize) -> bool {
+    fn is_out_of_service(&self, at: usize) -> bool {
         let name_hash = self
             .plan
             .as_ref()
             .and_then(|p| p.targets.get(at))
             .map(|t| t.name_hash);
-        name_hash.is_some_and(|name_hash| self.banned.contains(&name_hash))
+        name_hash.is_some_and(|name_hash| self.out_of_service.contains(&name_hash))
     }
 
     /// Goes on with its own word on each target that is out.
-    fn go_on(&mut self, now: Micros, look: &Look<'_>) {
+    fn go_on(&mut self, now: Micros, look: &Observations<'_>) {
         let Some((drain, out)) = self.plan.as_ref().map(|p| (ms(p.drain_ms), ms(p.out_ms))) else {
             return;
         };
@@ -391,16 +401,16 @@
             ) else {
                 continue;
             };
-            if own == Standing::Back {
+            if own == TargetState::Back {
                 continue;
             }
             let up = now >= since + out;
             if up || (look.restarted)(name_hash, since) {
-                self.stands(at, Standing::Back, up);
-            } else if own == Standing::Out && now >= since + QUIET {
+                self.stands(at, TargetState::Back, up);
+            } else if own == TargetState::Out && now >= since + QUIET {
                 let empty = !(look.in_flight)(name_hash);
                 if empty || now >= since + drain {
-                    self.stands(at, Standing::Empty, !empty);
+                    self.stands(at, TargetState::Empty, !empty);
                 }
             }
         }
@@ -417,7 +427,7 @@
             .dead
             .get(&member)
             .is_some_and(|since| now >= since + out);
-        forgotten || self.word(member, at) == Standing::Back
+        forgotten || self.word(member, at) == TargetState::Back
     }
 
     /// A majority of all members, not of those that are left: of two halves one at most goes on.
@@ -431,12 +441,12 @@
             return false;
         };
         let out: Vec<usize> = (0..self.gone).filter(|at| !self.back(now, *at)).collect();
-        self.majority() && plan.fits(self.gone, &out)
+        self.majority() && plan.may_take_out(self.gone, &out)
     }
 
     fn over(&self) -> bool {
         let Some(plan) = &self.plan else { return true };
-        let all = (0..plan.targets.len()).all(|at| self.own(at) == Standing::Back);
+        let all = (0..plan.targets.len()).all(|at| self.own(at) == TargetState::Back);
         plan.cancelled || self.gone == plan.targets.len() && all
     }
 
@@ -459,7 +469,7 @@
             .filter(|m| *m != self.me)
             .collect();
         members.sort_by_key(after);
-        members.truncate(MOST_WORDS - 1);
+        members.truncate(MAX_REPORTS - 1);
         self.first = members.last().map_or(self.me, |m| (m + 1) % self.members);
         members.push(self.me);
         let words = members
@@ -490,12 +500,12 @@
         let target = |(at, target): (usize, &crate::Target)| {
             let alive = (0..self.members).filter(|m| !self.dead.contains_key(m));
             let went = at < self.gone;
-            TargetShown {
+            TargetProgress {
                 name_hash: target.name_hash,
                 standing: self.own(at),
-                since: self.since[at].filter(|_| self.own(at) < Standing::Back),
+                since: self.since[at].filter(|_| self.own(at) < TargetState::Back),
                 not_empty: alive
-                    .filter(|m| went && self.word(*m, at) < Standing::Empty)
+                    .filter(|m| went && self.word(*m, at) < TargetState::Empty)
                     .collect(),
                 not_back: (0..self.members)
                     .filter(|m| went && !self.holds_no_more(now, *m, at))
@@ -513,15 +523,15 @@
     }
 
     /// Targets that are out here by the plan.
-    pub fn banned(&self) -> impl Iterator<Item = u32> + '_ {
-        self.banned.iter().copied()
+    pub fn out_of_service(&self) -> impl Iterator<Item = u32> + '_ {
+        self.out_of_service.iter().copied()
     }
 
     /// What a successor takes up; none where no plan is known.
-    pub fn kept(&self) -> Option<Kept> {
+    pub fn saved_state(&self) -> Option<SavedState> {
         let words = self.words.get(&self.me).copied().unwrap_or(0);
         let (gone, since) = (self.gone, self.since.clone());
-        self.plan.clone().map(|plan| Kept {
+        self.plan.clone().map(|plan| SavedState {
             plan,
             gone,
             words,
@@ -530,14 +540,18 @@
     }
 
     /// Takes up what a process before this one kept; what it had out is out again before anything is sent.
-    pub fn restore(&mut self, now: Micros, kept: Kept) -> Vec<Effect> {
-        let Kept {
+    pub fn restore(&mut self, now: Micros, kept: SavedState) -> Vec<Effect> {
+        let SavedState {
             plan,
             gone,
             words,
             mut since,
         } = kept;
-        if self.plan.as_ref().is_some_and(|known| known.same(&plan)) {
+        if self
+            .plan
+            .as_ref()
+            .is_some_and(|known| known.is_same_plan(&plan))
+        {
             // Of another process of this dispatcher, which lives: it speaks, and this one does alike.
             self.plan
                 .iter_mut()
@@ -546,7 +560,12 @@
             let own = self.words.entry(self.me).or_default();
             *own = merge(*own, words);
             self.heed(now);
-        } else if plan.check().is_ok() && self.plan.as_ref().is_none_or(|known| plan.beats(known)) {
+        } else if plan.validate().is_ok()
+            && self
+                .plan
+                .as_ref()
+                .is_none_or(|known| plan.supersedes(known))
+        {
             let most = plan.targets.len();
             self.adopt(plan);
             since.resize(most, None);
@@ -559,7 +578,7 @@
             self.words.insert(self.me, words);
             self.heed(now);
         }
-        self.effects()
+        self.take_effects()
     }
 }
 
--- a/crates/dispatcher/maintenance/src/plan.rs
+++ b/crates/dispatcher/maintenance/src/plan.rs
@@ -5,9 +5,9 @@
 use std::collections::BTreeSet;
 
 /// Targets of one plan at most: it travels in one datagram.
-pub const MOST_TARGETS: usize = 24;
+pub const MAX_TARGETS: usize = 24;
 /// Kinds that a plan tells apart at most.
-pub const MOST_KINDS: usize = 8;
+pub const MAX_KINDS: usize = 8;
 
 /// One target of a plan.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -57,7 +57,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum PlanError {
     /// None or too many.
-    #[error("targets: {0} of them; 1 to {MOST_TARGETS} go into one plan")]
+    #[error("targets: {0} of them; 1 to {MAX_TARGETS} go into one plan")]
     Targets(usize),
     /// A target twice.
     #[error("targets: one is named twice")]
@@ -66,7 +66,7 @@
     #[error("limits.{0}: must be 1 or more, or nothing could ever go out")]
     Limit(&'static str),
     /// A kind that no limit is there for, or too many of them.
-    #[error("limits.kinds: there are {0}; one for each kind is wanted, {MOST_KINDS} at most")]
+    #[error("limits.kinds: there are {0}; one for each kind is wanted, {MAX_KINDS} at most")]
     Kinds(usize),
     /// Times that make no sense.
     #[error("out_ms: must be above drain_ms, and that 250 or more")]
@@ -78,9 +78,9 @@
     ///
     /// # Errors
     /// The first thing that is wrong.
-    pub fn check(&self) -> Result<(), PlanError> {
+    pub fn validate(&self) -> Result<(), PlanError> {
         let Limits { out, zone, kinds } = &self.limits;
-        if !(1..=MOST_TARGETS).contains(&self.targets.len()) {
+        if !(1..=MAX_TARGETS).contains(&self.targets.len()) {
             return Err(PlanError::Targets(self.targets.len()));
         }
         if self
@@ -103,7 +103,7 @@
             .targets
             .iter()
             .any(|t| usize::from(t.kind) >= kinds.len());
-        if kinds.len() > MOST_KINDS || unknown {
+        if kinds.len() > MAX_KINDS || unknown {
             return Err(PlanError::Kinds(kinds.len()));
         }
         if self.drain_ms < 250 || self.out_ms <= self.drain_ms {
@@ -113,18 +113,18 @@
     }
 
     /// Whether it takes the place of another: the later version, of two alike that of the member with the lower number.
-    pub fn beats(&self, other: &Plan) -> bool {
+    pub fn supersedes(&self, other: &Plan) -> bool {
         let rank = |p: &Plan| (p.version, u16::MAX - p.by, p.id);
         rank(self) > rank(other)
     }
 
     /// Whether both are the same plan, cancelled or not.
-    pub fn same(&self, other: &Plan) -> bool {
+    pub fn is_same_plan(&self, other: &Plan) -> bool {
         (self.version, self.by, self.id) == (other.version, other.by, other.id)
     }
 
     /// Whether this target may go out while those are.
-    pub fn fits(&self, next: usize, out: &[usize]) -> bool {
+    pub fn may_take_out(&self, next: usize, out: &[usize]) -> bool {
         let Some(target) = self.targets.get(next) else {
             return false;
         };
--- a/crates/dispatcher/maintenance/src/wire.rs
+++ b/crates/dispatcher/maintenance/src/wire.rs
@@ -10,20 +10,20 @@
 //! | 1 | flags: bit 0 cancelled | targets that have gone out |
 //! | | out (1), zone (1), drain_ms (4), out_ms (4), kinds (1) and each limit (1), targets (1) and each: mark (4), kind (1), zone (1) | members (1) and each: member (2), words (6): two bits a target |
 
-use crate::plan::{Limits, Plan, PlanError, Target, MOST_TARGETS};
+use crate::plan::{Limits, Plan, PlanError, Target, MAX_TARGETS};
 
 /// The first byte of each.
 pub const FIRST_BYTE: u8 = 2;
 /// A datagram's bytes at most.
-pub const LARGEST: usize = 256;
+pub const MAX_DATAGRAM_BYTES: usize = 256;
 /// Datagrams of another kind are a multiple of so many bytes long.
 const OTHERS: usize = 5;
 /// Bytes of the words of one member: two bits a target.
-const WORDS: usize = MOST_TARGETS / 4;
+const WORDS: usize = MAX_TARGETS / 4;
 /// Members whose words fit into one datagram.
-pub(crate) const MOST_WORDS: usize = 29;
+pub(crate) const MAX_REPORTS: usize = 29;
 
-/// What one member says of each target: a [`crate::Standing`] in two bits, the first target in the lowest.
+/// What one member says of each target: a [`crate::TargetState`] in two bits, the first target in the lowest.
 pub(crate) type Words = u64;
 
 /// One datagram.
@@ -104,10 +104,10 @@
                 bytes.extend([u8::from(plan.cancelled), plan.limits.out, plan.limits.zone]);
                 bytes.extend(plan.drain_ms.to_be_bytes());
                 bytes.extend(plan.out_ms.to_be_bytes());
-                let kinds = &plan.limits.kinds[..plan.limits.kinds.len().min(crate::MOST_KINDS)];
+                let kinds = &plan.limits.kinds[..plan.limits.kinds.len().min(crate::MAX_KINDS)];
                 bytes.push(kinds.len() as u8);
                 bytes.extend(kinds);
-                let targets = &plan.targets[..plan.targets.len().min(MOST_TARGETS)];
+                let targets = &plan.targets[..plan.targets.len().min(MAX_TARGETS)];
                 bytes.push(targets.len() as u8);
                 for target in targets {
                     bytes.extend(target.name_hash.to_be_bytes());
@@ -126,7 +126,7 @@
                 bytes.extend(by.to_be_bytes());
                 bytes.extend(id.to_be_bytes());
                 bytes.push(*gone);
-                let words = &words[..words.len().min(MOST_WORDS)];
+                let words = &words[..words.len().min(MAX_REPORTS)];
                 bytes.push(words.len() as u8);
                 for (member, said) in words {
                     bytes.extend(member.to_be_bytes());
@@ -146,7 +146,7 @@
     /// Why it can't be read, the field named.
     pub fn decode(bytes: &[u8]) -> Result<Self, WireError> {
         let wrong = WireError::Length(bytes.len());
-        if bytes.len() > LARGEST || bytes.len().is_multiple_of(OTHERS) {
+        if bytes.len() > MAX_DATAGRAM_BYTES || bytes.len().is_multiple_of(OTHERS) {
             return Err(wrong);
         }
         let mut reader = Reader(bytes, bytes.len());
@@ -183,7 +183,7 @@
                     cancelled,
                     targets,
                 };
-                plan.check()?;
+                plan.validate()?;
                 Message::Plan(from, plan)
             }
             2 => {
--- a/crates/dispatcher/maintenance/tests/bytes.rs
+++ b/crates/dispatcher/maintenance/tests/bytes.rs
@@ -2,7 +2,7 @@
 
 #![expect(clippy::unwrap_used, reason = "a test ends at the first surprise")]
 
-use maintenance::{Effect, Kept, Limits, Look, Maintenance, Message, Plan, Target};
+use maintenance::{Effect, Limits, Maintenance, Message, Observations, Plan, SavedState, Target};
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
@@ -101,12 +101,12 @@
 fn what_a_process_leaves_to_its_successor_keeps_its_json() {
     let mut member = Maintenance::new(0, 1);
     member.submit(5_000_000, plan(), 7).unwrap();
-    let look = Look {
+    let look = Observations {
         alive: &|_| true,
         in_flight: &|_| true,
         restarted: &|_, _| false,
     };
-    let out = |effect: &Effect| matches!(effect, Effect::Ban { out: true, .. });
+    let out = |effect: &Effect| matches!(effect, Effect::SetOutOfService { out: true, .. });
     assert_eq!(
         member
             .tick(5_000_000, &look)
@@ -115,9 +115,9 @@
             .count(),
         2
     );
-    let left = member.kept().unwrap();
+    let left = member.saved_state().unwrap();
     assert_eq!(serde_json::to_string(&left).unwrap(), LEFT);
-    let read: Kept = serde_json::from_str(LEFT).unwrap();
+    let read: SavedState = serde_json::from_str(LEFT).unwrap();
     assert_eq!(read, left);
 }
 
@@ -125,7 +125,7 @@
 fn what_is_shown_of_a_plan_keeps_its_json() {
     let mut member = Maintenance::new(0, 1);
     member.submit(5_000_000, plan(), 7).unwrap();
-    let look = Look {
+    let look = Observations {
         alive: &|_| true,
         in_flight: &|_| true,
         restarted: &|_, _| false,
--- a/crates/dispatcher/maintenance/tests/settle.rs
+++ b/crates/dispatcher/maintenance/tests/settle.rs
@@ -4,7 +4,8 @@
 #![expect(clippy::unwrap_used, reason = "a test ends at the first surprise")]
 
 use maintenance::{
-    Effect, Kept, Limits, Look, Maintenance, Message, Plan, Standing, Target, WireError, LARGEST,
+    Effect, Limits, Maintenance, Message, Observations, Plan, SavedState, Target, TargetState,
+    WireError, MAX_DATAGRAM_BYTES,
 };
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -48,7 +49,7 @@
     bans: Vec<BTreeSet<u32>>,
     /// Since when each cannot be reached by the others, or can.
     changed: Vec<u64>,
-    kept: Vec<Option<Kept>>,
+    kept: Vec<Option<SavedState>>,
     apart: Vec<bool>,
     apart_since: u64,
     on_the_way: BTreeMap<(u64, u64), (u16, u16, Vec<u8>)>,
@@ -100,7 +101,7 @@
             match effect {
                 Effect::Send { to, message } => {
                     let bytes = message.encode();
-                    assert!(bytes.len() <= LARGEST && bytes.len() % 5 != 0);
+                    assert!(bytes.len() <= MAX_DATAGRAM_BYTES && bytes.len() % 5 != 0);
                     if self.drawn(100) >= self.loss {
                         self.count += 1;
                         let at = self.now + 1_000 + self.drawn(40_000);
@@ -108,15 +109,15 @@
                             .insert((at, self.count), (me as u16, to, bytes));
                     }
                 }
-                Effect::Ban {
+                Effect::SetOutOfService {
                     name_hash,
                     out: true,
                 } => drop(self.bans[me].insert(name_hash)),
-                Effect::Ban {
+                Effect::SetOutOfService {
                     name_hash,
                     out: false,
                 } => drop(self.bans[me].remove(&name_hash)),
-                Effect::Stands { .. } => {}
+                Effect::TargetStateChanged { .. } => {}
             }
         }
         let counted =
@@ -146,7 +147,7 @@
             let Some(member) = &mut self.members[to] else {
                 continue;
             };
-            let effects = member.take(self.now, &message);
+            let effects = member.handle_message(self.now, &message);
             self.carry_out(to, effects);
         }
         for me in 0..self.members.len() {
@@ -162,7 +163,7 @@
             // What is in flight to a target ends by itself.
             let works = self.works.clone();
             let now = self.now;
-            let look = Look {
+            let look = Observations {
                 alive: &|m| alive[usize::from(m)],
                 in_flight: &|name_hash| {
                     works
@@ -176,7 +177,7 @@
             };
             let effects = member.tick(self.now, &look);
             for effect in &effects {
-                if let Effect::Ban {
+                if let Effect::SetOutOfService {
                     name_hash,
                     out: true,
                 } = effect
@@ -185,7 +186,7 @@
                 }
             }
             // A process that is killed leaves what it kept a moment before.
-            self.kept[me] = self.members[me].as_ref().and_then(Maintenance::kept);
+            self.kept[me] = self.members[me].as_ref().and_then(Maintenance::saved_state);
             self.carry_out(me, effects);
         }
     }
@@ -250,7 +251,7 @@
         progress
             .targets
             .iter()
-            .all(|t| t.standing == Standing::Back),
+            .all(|t| t.standing == TargetState::Back),
         "{progress:?}"
     );
 }
@@ -359,7 +360,7 @@
 fn a_note_that_does_not_fit_the_plan_under_way_does_no_harm() {
     let mut member = Maintenance::new(0, 3);
     member.submit(5, plan(2, 1), 1).unwrap();
-    let mut kept = member.kept().unwrap();
+    let mut kept = member.saved_state().unwrap();
     kept.plan.targets = plan(9, 1).targets;
     (kept.gone, kept.since) = (9, vec![Some(u64::MAX); 9]);
     member.restore(10, kept.clone());
@@ -472,7 +473,7 @@
     let refused = |change: &dyn Fn(&mut Plan)| {
         let mut plan = plan(3, 1);
         change(&mut plan);
-        plan.check().unwrap_err().to_string()
+        plan.validate().unwrap_err().to_string()
     };
     assert!(refused(&|p| p.targets.clear()).starts_with("targets: 0"));
     assert!(refused(&|p| p.targets[1] = p.targets[0]).starts_with("targets: one is named twice"));
--- a/crates/dispatcher/membership/src/serial.rs
+++ b/crates/dispatcher/membership/src/incarnation.rs
@@ -7,13 +7,13 @@
 const STEP: u64 = 8;
 
 /// Whether `a` is later than `b`.
-pub fn newer(a: u32, b: u32) -> bool {
+pub fn is_newer(a: u32, b: u32) -> bool {
     let ahead = a.wrapping_sub(b) % INCARNATIONS;
     a != b && a != 0 && (b == 0 || ahead < INCARNATIONS / 2)
 }
 
 /// The one after it.
-pub fn next(incarnation: u32) -> u32 {
+pub fn successor(incarnation: u32) -> u32 {
     match (incarnation + 1) % INCARNATIONS {
         0 => 1,
         next => next,
@@ -22,7 +22,7 @@
 
 /// That of a process which starts at this Unix time, in seconds, and has no note of one before it: later than that of any
 /// that started before, for half of the 4.2 years in which they go round.
-pub fn at(unix_seconds: u64) -> u32 {
+pub fn from_unix_seconds(unix_seconds: u64) -> u32 {
     let steps = (unix_seconds / STEP) % u64::from(INCARNATIONS);
     (steps as u32).max(1)
 }
@@ -34,10 +34,13 @@
     #[test]
     fn incarnations_go_round_and_none_is_older_than_one_nobody_has_heard_of() {
         let last = INCARNATIONS - 1;
-        assert!(newer(2, 1) && !newer(1, 2) && !newer(1, 1));
-        assert!(newer(1, last) && !newer(last, 1), "round");
-        assert!(newer(1, 0) && newer(last, 0) && !newer(0, last) && !newer(0, 0));
-        assert_eq!((next(last), next(1)), (1, 2));
-        assert!(newer(at(1_800_000_008), at(1_800_000_000)));
+        assert!(is_newer(2, 1) && !is_newer(1, 2) && !is_newer(1, 1));
+        assert!(is_newer(1, last) && !is_newer(last, 1), "round");
+        assert!(is_newer(1, 0) && is_newer(last, 0) && !is_newer(0, last) && !is_newer(0, 0));
+        assert_eq!((successor(last), successor(1)), (1, 2));
+        assert!(is_newer(
+            from_unix_seconds(1_800_000_008),
+            from_unix_seconds(1_800_000_000)
+        ));
     }
 }
--- a/crates/dispatcher/membership/src/hearing.rs
+++ b/crates/dispatcher/membership/src/reachability.rs
@@ -35,7 +35,7 @@
 
 /// What one member has heard.
 #[derive(Debug)]
-pub(crate) struct Hearing {
+pub(crate) struct Reachability {
     /// The last datagram of each, by number.
     from: Vec<Option<Micros>>,
     /// When each was last told that it is taken for gone.
@@ -45,10 +45,10 @@
     silent: u32,
 }
 
-impl Hearing {
+impl Reachability {
     pub fn new(members: u16) -> Self {
         let none = vec![None; usize::from(members)];
-        Hearing {
+        Reachability {
             from: none.clone(),
             told: none,
             accused: BTreeMap::new(),
--- a/crates/dispatcher/membership/src/swim.rs
+++ b/crates/dispatcher/membership/src/swim.rs
@@ -11,14 +11,14 @@
 
 mod evidence;
 
-use crate::hearing::Hearing;
-use crate::serial::{newer, next};
-use crate::wire::{Change, Kind, Message, State, MOST_CHANGES};
+use crate::incarnation::{is_newer, successor};
+use crate::reachability::Reachability;
+use crate::wire::{MemberState, MemberUpdate, Message, MessageKind, MAX_UPDATES};
 use dispatch_api::Micros;
 use std::collections::BTreeMap;
 
 /// Members that are told apart at most.
-pub const MOST_MEMBERS: u16 = 1_024;
+pub const MAX_MEMBERS: u16 = 1_024;
 /// Others who are asked to ping a member that does not answer.
 const INDIRECT: usize = 3;
 /// A suspect is taken for dead after this many periods, times the decimal logarithm of the members: the word must reach it,
@@ -39,10 +39,10 @@
 
 /// What a member is told at its start.
 #[derive(Debug, Clone, Copy)]
-pub struct Terms {
+pub struct Config {
     /// Its number, below `members`.
     pub me: u16,
-    /// How many there are, itself included; 2 to [`MOST_MEMBERS`].
+    /// How many there are, itself included; 2 to [`MAX_MEMBERS`].
     pub members: u16,
     /// One ping in each, microseconds.
     pub period: Micros,
@@ -63,9 +63,9 @@
         message: Message,
     },
     /// What is believed of another member has changed.
-    Changed(Change),
+    MemberChanged(MemberUpdate),
     /// Whether that member hears this one has changed: it says that this one is gone, and no answer reaches it.
-    HeardBy {
+    ReachabilityChanged {
         /// The member's number.
         member: u16,
         /// It does again.
@@ -76,7 +76,7 @@
 /// What is believed of another member.
 #[derive(Debug, Clone, Copy)]
 struct Member {
-    state: State,
+    state: MemberState,
     incarnation: u32,
     /// When a suspect is taken for dead.
     until: Micros,
@@ -105,7 +105,7 @@
 /// One member, and what it believes of all.
 #[derive(Debug)]
 pub struct Swim {
-    terms: Terms,
+    terms: Config,
     incarnation: u32,
     members: Vec<Member>,
     /// How often each change was told; those told often enough are left out.
@@ -125,7 +125,7 @@
     /// Whose death is told again next, besides news.
     reminder: u16,
     /// Who was heard, and who says that this member is not.
-    hearing: Hearing,
+    reachability: Reachability,
     /// It has said that it goes.
     left: bool,
     /// Since when the same members have been there.
@@ -142,15 +142,15 @@
 
 impl Swim {
     /// A member that starts now. All others count as alive until they do not answer.
-    pub fn new(terms: Terms, now: Micros) -> Self {
-        let members = terms.members.clamp(1, MOST_MEMBERS);
-        let terms = Terms {
+    pub fn new(terms: Config, now: Micros) -> Self {
+        let members = terms.members.clamp(1, MAX_MEMBERS);
+        let terms = Config {
             members,
             period: terms.period.max(3),
             ..terms
         };
         let unknown = Member {
-            state: State::Alive,
+            state: MemberState::Alive,
             incarnation: 0,
             until: 0,
         };
@@ -169,7 +169,7 @@
             health: 0,
             heard: false,
             reminder: 0,
-            hearing: Hearing::new(members),
+            reachability: Reachability::new(members),
             left: false,
             stable_since: now,
             effects,
@@ -185,20 +185,20 @@
     }
 
     /// What is believed of a member; none of a number that nobody has.
-    pub fn state(&self, member: u16) -> Option<State> {
+    pub fn state(&self, member: u16) -> Option<MemberState> {
         if member == self.terms.me {
-            return Some(State::Alive);
+            return Some(MemberState::Alive);
         }
         self.members.get(usize::from(member)).map(|m| m.state)
     }
 
     /// Those that are there as far as is known, itself included.
     pub fn alive(&self) -> impl Iterator<Item = u16> + '_ {
-        (0..self.terms.members).filter(|m| self.state(*m).is_some_and(State::there))
+        (0..self.terms.members).filter(|m| self.state(*m).is_some_and(MemberState::is_present))
     }
 
     /// What is believed of each, by number.
-    pub fn view(&self) -> Vec<Change> {
+    pub fn members(&self) -> Vec<MemberUpdate> {
         (0..self.terms.members).map(|m| self.known(m)).collect()
     }
 
@@ -214,7 +214,10 @@
         if self.left {
             return Micros::MAX;
         }
-        let suspects = self.members.iter().filter(|m| m.state == State::Suspect);
+        let suspects = self
+            .members
+            .iter()
+            .filter(|m| m.state == MemberState::Suspect);
         suspects.map(|m| m.until).fold(probe, Micros::min)
     }
 
@@ -232,18 +235,19 @@
         if self.left {
             return vec![];
         }
-        for (member, heard) in self.hearing.changes(self.suspicion() / 2) {
-            self.effects.push(Effect::HeardBy { member, heard });
+        for (member, heard) in self.reachability.changes(self.suspicion() / 2) {
+            self.effects
+                .push(Effect::ReachabilityChanged { member, heard });
         }
         for member in 0..self.terms.members {
             let m = self.members[usize::from(member)];
-            if m.state == State::Suspect && m.until <= now {
+            if m.state == MemberState::Suspect && m.until <= now {
                 self.believe(
                     now,
-                    Change {
+                    MemberUpdate {
                         member,
                         incarnation: m.incarnation,
-                        state: State::Dead,
+                        state: MemberState::Dead,
                     },
                 );
                 // Heard meanwhile: it has its time anew.
@@ -263,7 +267,7 @@
     }
 
     /// A datagram has come.
-    pub fn take(&mut self, now: Micros, message: &Message) -> Vec<Effect> {
+    pub fn handle_message(&mut self, now: Micros, message: &Message) -> Vec<Effect> {
         let Message {
             from,
             sequence,
@@ -274,7 +278,7 @@
             return vec![];
         }
         self.heard = true;
-        if self.hearing.deaf() {
+        if self.reachability.deaf() {
             // It hears again: those that it could not hear have their time anew.
             let until = now + self.suspicion();
             self.members
@@ -284,28 +288,28 @@
         // A process tells of itself with all that it sends.
         self.believe(
             now,
-            Change {
+            MemberUpdate {
                 member: from,
                 incarnation: message.incarnation,
-                state: State::Alive,
+                state: MemberState::Alive,
             },
         );
         let known = self.members[usize::from(from)];
         if known.incarnation == message.incarnation {
             self.is_heard(now, from);
         }
-        let accused = |c: &Change| {
-            c.member == self.terms.me && matches!(c.state, State::Suspect | State::Dead)
+        let accused = |c: &MemberUpdate| {
+            c.member == self.terms.me && matches!(c.state, MemberState::Suspect | MemberState::Dead)
         };
-        self.hearing
+        self.reachability
             .accused(from, message.changes.iter().any(accused), now);
         for change in &message.changes {
             self.believe(now, *change);
         }
         match message.kind {
-            Kind::Ping => self.send(from, Kind::Ack, sequence, 0),
-            Kind::Ack => self.answered(now, from, sequence),
-            Kind::PingReq if about < self.terms.members && about != self.terms.me => {
+            MessageKind::Ping => self.send(from, MessageKind::Ack, sequence, 0),
+            MessageKind::Ack => self.answered(now, from, sequence),
+            MessageKind::PingReq if about < self.terms.members && about != self.terms.me => {
                 let own = self.next_sequence();
                 if self.relays.len() >= RELAYS {
                     self.relays.pop_first();
@@ -318,11 +322,13 @@
                         target: about,
                     },
                 );
-                self.send(about, Kind::Ping, own, 0);
+                self.send(about, MessageKind::Ping, own, 0);
             }
             // Who is asked for this member itself can answer at once.
-            Kind::PingReq if about == self.terms.me => self.send(from, Kind::Ack, sequence, about),
-            Kind::PingReq => {}
+            MessageKind::PingReq if about == self.terms.me => {
+                self.send(from, MessageKind::Ack, sequence, about)
+            }
+            MessageKind::PingReq => {}
         }
         std::mem::take(&mut self.effects)
     }
@@ -332,11 +338,11 @@
             let target = probe.target;
             let through = !std::mem::replace(&mut probe.answered, true) && target != from;
             // News of it may pass this member by where the way from it is closed: an answer through others is as good.
-            if through && self.members[usize::from(target)].state == State::Suspect {
+            if through && self.members[usize::from(target)].state == MemberState::Suspect {
                 self.is_heard(now, target);
             }
         } else if let Some(relay) = self.relays.remove(&sequence) {
-            self.send(relay.asker, Kind::Ack, relay.sequence, relay.target);
+            self.send(relay.asker, MessageKind::Ack, relay.sequence, relay.target);
         }
     }
 
@@ -348,17 +354,17 @@
         } else {
             (self.health + 1).min(SICKEST)
         };
-        if !probe.answered && m.state.there() {
+        if !probe.answered && m.state.is_present() {
             self.believe(
                 now,
-                Change {
+                MemberUpdate {
                     member: probe.target,
                     incarnation: m.incarnation,
-                    state: State::Suspect,
+                    state: MemberState::Suspect,
                 },
             );
         }
-        self.hearing.period(self.heard);
+        self.reachability.period(self.heard);
         (self.probe, self.heard) = (None, false);
         self.ping_next(now);
     }
@@ -371,10 +377,10 @@
         let mut others: Vec<u16> = others.collect();
         others.sort_by_key(|m| mix(self.terms.seed, salt | u64::from(*m)));
         for other in others.into_iter().take(INDIRECT) {
-            self.send(other, Kind::PingReq, probe.sequence, probe.target);
+            self.send(other, MessageKind::PingReq, probe.sequence, probe.target);
         }
         // The ping or its answer may have been lost: that is far more common than a way that is closed.
-        self.send(probe.target, Kind::Ping, probe.sequence, 0);
+        self.send(probe.target, MessageKind::Ping, probe.sequence, 0);
         self.probe.iter_mut().for_each(|p| p.asked = true);
     }
 
@@ -393,14 +399,14 @@
             asked: false,
             answered: false,
         });
-        self.send(target, Kind::Ping, sequence, 0);
+        self.send(target, MessageKind::Ping, sequence, 0);
     }
 
     fn next_target(&mut self) -> Option<u16> {
         self.probes += 1;
         if self.probes % TO_SUSPECTS == 1 {
             let suspects =
-                (0..self.terms.members).filter(|m| self.state(*m) == Some(State::Suspect));
+                (0..self.terms.members).filter(|m| self.state(*m) == Some(MemberState::Suspect));
             if let Some(one) =
                 suspects.min_by_key(|m| mix(self.terms.seed, self.probes << 16 | u64::from(*m)))
             {
@@ -408,7 +414,8 @@
             }
         }
         if self.probes.is_multiple_of(TO_THE_DEAD) {
-            let dead = (0..self.terms.members).filter(|m| self.state(*m) == Some(State::Dead));
+            let dead =
+                (0..self.terms.members).filter(|m| self.state(*m) == Some(MemberState::Dead));
             if let Some(one) =
                 dead.min_by_key(|m| mix(self.terms.seed, self.probes << 16 | u64::from(*m)))
             {
@@ -417,7 +424,7 @@
         }
         for _ in 0..2 {
             while let Some(one) = self.round.pop() {
-                if self.state(one).is_some_and(State::there) {
+                if self.state(one).is_some_and(MemberState::is_present) {
                     return Some(one);
                 }
             }
@@ -436,17 +443,17 @@
     }
 
     /// Takes a change in, if it is news: the later incarnation counts, and the worse word within one.
-    fn believe(&mut self, now: Micros, change: Change) {
-        let Change {
+    fn believe(&mut self, now: Micros, change: MemberUpdate) {
+        let MemberUpdate {
             member,
             incarnation,
             state,
         } = change;
         if member == self.terms.me {
-            let accused = state != State::Alive && !newer(self.incarnation, incarnation);
-            if !self.left && (accused || newer(incarnation, self.incarnation)) {
+            let accused = state != MemberState::Alive && !is_newer(self.incarnation, incarnation);
+            if !self.left && (accused || is_newer(incarnation, self.incarnation)) {
                 // It is there, whatever they say, and it is later than a process before it.
-                self.incarnation = next(incarnation);
+                self.incarnation = successor(incarnation);
                 self.health = (self.health + u64::from(accused)).min(SICKEST);
                 self.news.insert(member, 0);
             }
@@ -456,7 +463,7 @@
             return;
         }
         // What this member hears itself is there, whatever others hear: a way that is closed one way is not a death.
-        let doubted = matches!(state, State::Suspect | State::Dead);
+        let doubted = matches!(state, MemberState::Suspect | MemberState::Dead);
         if doubted && self.known(member).incarnation == incarnation && self.hears(member, now) {
             return self.accuse(now, change);
         }
@@ -465,9 +472,10 @@
         let Some(m) = self.members.get_mut(usize::from(member)) else {
             return;
         };
-        if newer(incarnation, m.incarnation) || (incarnation == m.incarnation && state > m.state) {
+        if is_newer(incarnation, m.incarnation) || (incarnation == m.incarnation && state > m.state)
+        {
             let changed = m.state != state || m.incarnation != 0;
-            if m.state.there() != state.there() {
+            if m.state.is_present() != state.is_present() {
                 self.stable_since = now;
             }
             *m = Member {
@@ -477,45 +485,49 @@
             };
             self.news.insert(member, 0);
             if changed {
-                self.effects.push(Effect::Changed(change));
+                self.effects.push(Effect::MemberChanged(change));
             }
         }
     }
 
-    fn known(&self, member: u16) -> Change {
+    fn known(&self, member: u16) -> MemberUpdate {
         if member == self.terms.me {
-            let state = if self.left { State::Left } else { State::Alive };
-            return Change {
+            let state = if self.left {
+                MemberState::Left
+            } else {
+                MemberState::Alive
+            };
+            return MemberUpdate {
                 member,
                 incarnation: self.incarnation,
                 state,
             };
         }
         let m = self.members[usize::from(member)];
-        Change {
+        MemberUpdate {
             member,
             incarnation: m.incarnation,
             state: m.state,
         }
     }
 
-    fn send(&mut self, to: u16, kind: Kind, sequence: u16, about: u16) {
+    fn send(&mut self, to: u16, kind: MessageKind, sequence: u16, about: u16) {
         let mut changes = vec![];
         // Who is accused hears of it first, and a process that takes itself for an older one hears of that.
         let its = self.known(to);
-        if its.state != State::Alive || self.news.contains_key(&to) {
+        if its.state != MemberState::Alive || self.news.contains_key(&to) {
             changes.push(its);
         }
         let most = (RETELL * self.log()).ceil() as u32;
         let mut least: Vec<(u32, u16)> = self.news.iter().map(|(m, told)| (*told, *m)).collect();
         least.sort_unstable();
         // Whoever hears nobody at all tells of itself only: the others are hardly all gone.
-        let deaf = self.hearing.deaf();
+        let deaf = self.reachability.deaf();
         let told = |m: &u16| *m != to && (!deaf || *m == self.terms.me);
         for (_, member) in least
             .into_iter()
             .filter(|(_, m)| told(m))
-            .take(MOST_CHANGES - 1)
+            .take(MAX_UPDATES - 1)
         {
             changes.push(self.known(member));
             let told = self.news.entry(member).or_default();
@@ -526,7 +538,7 @@
         }
         // News may have passed somebody by: who is dead or has left is told again, one by one.
         let after = |m: &u16| (m + self.terms.members - self.reminder) % self.terms.members;
-        let gone = |m: &u16| !deaf && *m != to && !self.members[usize::from(*m)].state.there();
+        let gone = |m: &u16| !deaf && *m != to && !self.members[usize::from(*m)].state.is_present();
         let dead = (0..self.terms.members).filter(|m| *m != self.terms.me && gone(m));
         if let Some(one) = dead
             .min_by_key(after)
@@ -535,7 +547,7 @@
             changes.push(self.known(one));
             self.reminder = (one + 1) % self.terms.members;
         }
-        changes.truncate(MOST_CHANGES);
+        changes.truncate(MAX_UPDATES);
         let (from, incarnation) = (self.terms.me, self.incarnation);
         self.effects.push(Effect::Send {
             to,
--- a/crates/dispatcher/membership/src/swim/evidence.rs
+++ b/crates/dispatcher/membership/src/swim/evidence.rs
@@ -1,22 +1,24 @@
 //! What a member knows from what it hears itself, and what it says when it goes.
 
-use super::{mix, Change, Effect, Kind, Message, Micros, State, Swim, FAREWELLS};
+use super::{
+    mix, Effect, MemberState, MemberUpdate, Message, MessageKind, Micros, Swim, FAREWELLS,
+};
 
 impl Swim {
     /// Whether a member is dead, or has left so long ago that its process has ended: one that was told to stop answers what it
     /// has taken first, and is waited for meanwhile.
-    pub fn away(&self, member: u16, now: Micros) -> bool {
+    pub fn is_gone(&self, member: u16, now: Micros) -> bool {
         match self.state(member) {
-            Some(State::Left) => self
+            Some(MemberState::Left) => self
                 .members
                 .get(usize::from(member))
                 .is_none_or(|m| m.until <= now),
-            state => !state.is_some_and(State::there),
+            state => !state.is_some_and(MemberState::is_present),
         }
     }
 
     /// The number of the view: the same at all members that hold the same others for there.
-    pub fn view_number(&self) -> u32 {
+    pub fn view_hash(&self) -> u32 {
         let mixed = self.alive().fold(0, |sum: u64, m| {
             sum.wrapping_add(mix(0x51e7, u64::from(m) + 1))
         });
@@ -34,8 +36,8 @@
         let lately = self.terms.period * u64::from(self.terms.members).max(4) * 2;
         let me = member == self.terms.me;
         (
-            me || self.hearing.heard(member, now, lately),
-            me || self.hearing.by(member, self.suspicion() / 2),
+            me || self.reachability.heard(member, now, lately),
+            me || self.reachability.by(member, self.suspicion() / 2),
         )
     }
 
@@ -51,41 +53,44 @@
         self.news.insert(self.terms.me, 0);
         for other in others.into_iter().take(most) {
             self.news.insert(self.terms.me, 0);
-            self.send(other, Kind::Ack, 0, 0);
+            self.send(other, MessageKind::Ack, 0, 0);
         }
         std::mem::take(&mut self.effects)
     }
 
     /// A member's living process was heard, here or by another that was asked to ping it.
     pub(super) fn is_heard(&mut self, now: Micros, member: u16) {
-        self.hearing.from(member, now);
+        self.reachability.from(member, now);
         // Suspected by somebody, and heard: it is told, and says otherwise to all.
         match self.members[usize::from(member)].state {
-            State::Suspect => {
-                self.members[usize::from(member)].state = State::Alive;
-                self.effects.push(Effect::Changed(self.known(member)));
+            MemberState::Suspect => {
+                self.members[usize::from(member)].state = MemberState::Alive;
+                self.effects.push(Effect::MemberChanged(self.known(member)));
                 self.accuse(
                     now,
-                    Change {
-                        state: State::Suspect,
+                    MemberUpdate {
+                        state: MemberState::Suspect,
                         ..self.known(member)
                     },
                 );
             }
-            State::Dead => self.accuse(now, self.known(member)),
-            State::Alive | State::Left => {}
+            MemberState::Dead => self.accuse(now, self.known(member)),
+            MemberState::Alive | MemberState::Left => {}
         }
     }
 
     /// It was heard so lately that it can't have been silent for as long as a suspect has.
     pub(super) fn hears(&self, member: u16, now: Micros) -> bool {
-        self.hearing.heard(member, now, self.suspicion() / 2)
+        self.reachability.heard(member, now, self.suspicion() / 2)
     }
 
     /// Tells a member that others take it for gone, at most once in a period: only its own word settles that for all.
-    pub(super) fn accuse(&mut self, now: Micros, change: Change) {
-        if self.hearing.may_tell(change.member, now, self.terms.period) {
-            let (kind, from, incarnation) = (Kind::Ack, self.terms.me, self.incarnation);
+    pub(super) fn accuse(&mut self, now: Micros, change: MemberUpdate) {
+        if self
+            .reachability
+            .may_tell(change.member, now, self.terms.period)
+        {
+            let (kind, from, incarnation) = (MessageKind::Ack, self.terms.me, self.incarnation);
             let message = Message {
                 kind,
                 from,
--- a/crates/dispatcher/membership/src/wire.rs
+++ b/crates/dispatcher/membership/src/wire.rs
@@ -12,7 +12,7 @@
 //! | 2 | `about`: for a ping-req the member to be pinged, else 0 |
 //! | 6 each | a change: member (2), incarnation (3, below 2^24), state (1: 0 alive, 1 suspect, 2 dead, 3 left) |
 
-use crate::serial::INCARNATIONS;
+use crate::incarnation::INCARNATIONS;
 
 /// The version of this layout.
 const VERSION: u8 = 1;
@@ -23,13 +23,13 @@
 /// Datagrams of another kind are so many bytes long, or a multiple of it.
 const OTHERS: usize = 5;
 /// A datagram's bytes at most.
-pub const LARGEST: usize = 256;
+pub const MAX_DATAGRAM_BYTES: usize = 256;
 /// Changes that fit in one datagram.
-pub const MOST_CHANGES: usize = (LARGEST - HEADER) / CHANGE;
+pub const MAX_UPDATES: usize = (MAX_DATAGRAM_BYTES - HEADER) / CHANGE;
 
 /// What a datagram asks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
+pub enum MessageKind {
     /// Are you there?
     Ping,
     /// Yes, to the ping of this sequence.
@@ -40,7 +40,7 @@
 
 /// What a member is believed to be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum State {
+pub enum MemberState {
     /// It answers.
     Alive,
     /// It did not answer, and others are asked to confirm.
@@ -51,39 +51,39 @@
     Left,
 }
 
-impl State {
+impl MemberState {
     /// Its name in figures and logs.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
-            State::Alive => "alive",
-            State::Suspect => "suspect",
-            State::Dead => "dead",
-            State::Left => "left",
+            MemberState::Alive => "alive",
+            MemberState::Suspect => "suspect",
+            MemberState::Dead => "dead",
+            MemberState::Left => "left",
         }
     }
 
     /// Whether it counts among those that are there: a suspect does, until its time is up.
-    pub fn there(self) -> bool {
-        self <= State::Suspect
+    pub fn is_present(self) -> bool {
+        self <= MemberState::Suspect
     }
 }
 
 /// One change of the view.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Change {
+pub struct MemberUpdate {
     /// The member's number in `peers`.
     pub member: u16,
     /// Its incarnation, below 2^24.
     pub incarnation: u32,
     /// What it is believed to be.
-    pub state: State,
+    pub state: MemberState,
 }
 
 /// One datagram.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Message {
     /// What it asks.
-    pub kind: Kind,
+    pub kind: MessageKind,
     /// Who sends it.
     pub from: u16,
     /// The sender's incarnation.
@@ -92,8 +92,8 @@
     pub sequence: u16,
     /// For a ping-req, the member to be pinged; else 0.
     pub about: u16,
-    /// Changes of the view, newest first; at most [`MOST_CHANGES`].
-    pub changes: Vec<Change>,
+    /// Changes of the view, newest first; at most [`MAX_UPDATES`].
+    pub changes: Vec<MemberUpdate>,
 }
 
 /// Why a datagram can't be read or written; the field is named.
@@ -110,10 +110,10 @@
     Version(u8),
     /// No such kind.
     #[error("field kind: {0} is none of 1, 2, 3")]
-    Kind(u8),
+    MessageKind(u8),
     /// No such state, in the change of this position.
     #[error("field state of change {0}: {1} is none of 0, 1, 2, 3")]
-    State(usize, u8),
+    MemberState(usize, u8),
     /// An incarnation of the sender that no member has.
     #[error("field incarnation: {0} is not below 2^24")]
     Sender(u32),
@@ -131,7 +131,7 @@
     /// # Errors
     /// More changes than fit, or an incarnation of a change that three bytes can't hold.
     pub fn encode(&self) -> Result<Vec<u8>, WireError> {
-        if self.changes.len() > MOST_CHANGES {
+        if self.changes.len() > MAX_UPDATES {
             return Err(WireError::Changes(self.changes.len()));
         }
         if self.incarnation >= INCARNATIONS {
@@ -139,9 +139,9 @@
         }
         let mut bytes = Vec::with_capacity(HEADER + CHANGE * self.changes.len());
         let kind = match self.kind {
-            Kind::Ping => 1,
-            Kind::Ack => 2,
-            Kind::PingReq => 3,
+            MessageKind::Ping => 1,
+            MessageKind::Ack => 2,
+            MessageKind::PingReq => 3,
         };
         bytes.extend([VERSION, kind]);
         bytes.extend(self.from.to_be_bytes());
@@ -167,7 +167,7 @@
     /// # Errors
     /// Its length, version, kind or a change's state is not as the layout says.
     pub fn decode(bytes: &[u8]) -> Result<Self, WireError> {
-        if bytes.len() > LARGEST {
+        if bytes.len() > MAX_DATAGRAM_BYTES {
             return Err(WireError::Long(bytes.len()));
         }
         let (header, rest) = bytes
@@ -188,10 +188,10 @@
             return Err(WireError::Version(header[0]));
         }
         let kind = match header[1] {
-            1 => Kind::Ping,
-            2 => Kind::Ack,
-            3 => Kind::PingReq,
-            other => return Err(WireError::Kind(other)),
+            1 => MessageKind::Ping,
+            2 => MessageKind::Ack,
+            3 => MessageKind::PingReq,
+            other => return Err(WireError::MessageKind(other)),
         };
         let two = |at: usize| u16::from_be_bytes([header[at], header[at + 1]]);
         let incarnation = u32::from_be_bytes([header[4], header[5], header[6], header[7]]);
@@ -200,14 +200,14 @@
         }
         let change = |(at, c): (usize, &[u8])| {
             let state = match c[5] {
-                0 => State::Alive,
-                1 => State::Suspect,
-                2 => State::Dead,
-                3 => State::Left,
-                other => return Err(WireError::State(at, other)),
+                0 => MemberState::Alive,
+                1 => MemberState::Suspect,
+                2 => MemberState::Dead,
+                3 => MemberState::Left,
+                other => return Err(WireError::MemberState(at, other)),
             };
             let member = u16::from_be_bytes([c[0], c[1]]);
-            Ok(Change {
+            Ok(MemberUpdate {
                 member,
                 incarnation: u32::from_be_bytes([0, c[2], c[3], c[4]]),
                 state,
--- a/crates/dispatcher/membership/tests/bytes.rs
+++ b/crates/dispatcher/membership/tests/bytes.rs
@@ -2,7 +2,7 @@
 
 #![expect(clippy::unwrap_used, reason = "a test ends at the first surprise")]
 
-use membership::{Change, Kind, Message, State};
+use membership::{MemberState, MemberUpdate, Message, MessageKind};
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
@@ -22,7 +22,7 @@
 #[test]
 fn a_ping_without_changes_is_a_header_of_twelve_bytes() {
     let ping = Message {
-        kind: Kind::Ping,
+        kind: MessageKind::Ping,
         from: 1,
         incarnation: 2,
         sequence: 0x0304,
@@ -35,24 +35,24 @@
 #[test]
 fn an_ack_of_a_length_that_is_a_multiple_of_five_ends_in_a_zero_byte() {
     let changes = vec![
-        Change {
+        MemberUpdate {
             member: 5,
             incarnation: 0,
-            state: State::Suspect,
+            state: MemberState::Suspect,
         },
-        Change {
+        MemberUpdate {
             member: 0x03ff,
             incarnation: 0x00ff_ffff,
-            state: State::Left,
+            state: MemberState::Left,
         },
-        Change {
+        MemberUpdate {
             member: 0,
             incarnation: 1,
-            state: State::Dead,
+            state: MemberState::Dead,
         },
     ];
     let ack = Message {
-        kind: Kind::Ack,
+        kind: MessageKind::Ack,
         from: 0x0102,
         incarnation: 0x00ab_cdef,
         sequence: 0xfffe,
@@ -67,13 +67,13 @@
 
 #[test]
 fn a_ping_request_names_the_member_to_be_pinged() {
-    let alive = Change {
+    let alive = MemberUpdate {
         member: 7,
         incarnation: 0x0001_0203,
-        state: State::Alive,
+        state: MemberState::Alive,
     };
     let request = Message {
-        kind: Kind::PingReq,
+        kind: MessageKind::PingReq,
         from: 9,
         incarnation: 1,
         sequence: 10,
--- a/crates/dispatcher/membership/tests/swim.rs
+++ b/crates/dispatcher/membership/tests/swim.rs
@@ -1,13 +1,15 @@
 //! The state machine under every order of what can come.
 
-use membership::{Change, Effect, Kind, Message, State, Swim, Terms, LARGEST};
+use membership::{
+    Config, Effect, MemberState, MemberUpdate, Message, MessageKind, Swim, MAX_DATAGRAM_BYTES,
+};
 use proptest::prelude::*;
 
 const PERIOD: u64 = 500_000;
 
 fn swim(incarnation: u32) -> Swim {
     Swim::new(
-        Terms {
+        Config {
             me: 0,
             members: 5,
             period: PERIOD,
@@ -18,9 +20,9 @@
     )
 }
 
-fn said(from: u16, incarnation: u32, changes: Vec<Change>) -> Message {
+fn said(from: u16, incarnation: u32, changes: Vec<MemberUpdate>) -> Message {
     Message {
-        kind: Kind::Ack,
+        kind: MessageKind::Ack,
         from,
         incarnation,
         sequence: 999,
@@ -29,8 +31,8 @@
     }
 }
 
-fn change(member: u16, incarnation: u32, state: State) -> Change {
-    Change {
+fn change(member: u16, incarnation: u32, state: MemberState) -> MemberUpdate {
+    MemberUpdate {
         member,
         incarnation,
         state,
@@ -40,49 +42,49 @@
 #[test]
 fn whoever_is_accused_says_otherwise_and_whoever_restarts_counts_as_later() {
     let mut me = swim(4);
-    me.take(1, &said(1, 1, vec![change(0, 4, State::Suspect)]));
+    me.handle_message(1, &said(1, 1, vec![change(0, 4, MemberState::Suspect)]));
     assert_eq!(me.incarnation(), 5, "one above the accused one");
-    me.take(2, &said(1, 1, vec![change(0, 4, State::Dead)]));
+    me.handle_message(2, &said(1, 1, vec![change(0, 4, MemberState::Dead)]));
     assert_eq!(me.incarnation(), 5, "an older word is none");
-    me.take(3, &said(1, 1, vec![change(0, 9, State::Alive)]));
+    me.handle_message(3, &said(1, 1, vec![change(0, 9, MemberState::Alive)]));
     assert_eq!(me.incarnation(), 10, "a process before this one was there");
     let ping = Message {
-        kind: Kind::Ping,
-        ..said(2, 1, vec![change(3, 2, State::Dead)])
+        kind: MessageKind::Ping,
+        ..said(2, 1, vec![change(3, 2, MemberState::Dead)])
     };
-    let effects = me.take(4, &ping);
-    assert_eq!(me.state(3), Some(State::Dead));
-    let [Effect::Changed(_), Effect::Send { to: 2, message }] = effects.as_slice() else {
+    let effects = me.handle_message(4, &ping);
+    assert_eq!(me.state(3), Some(MemberState::Dead));
+    let [Effect::MemberChanged(_), Effect::Send { to: 2, message }] = effects.as_slice() else {
         panic!("{effects:?}")
     };
     assert!(
-        message.changes.contains(&change(0, 10, State::Alive)),
+        message.changes.contains(&change(0, 10, MemberState::Alive)),
         "it tells: {message:?}"
     );
-    me.take(5, &said(3, 2, vec![]));
+    me.handle_message(5, &said(3, 2, vec![]));
     assert_eq!(
         me.state(3),
-        Some(State::Dead),
+        Some(MemberState::Dead),
         "a late datagram of the dead process"
     );
-    me.take(6, &said(3, 3, vec![]));
-    assert_eq!(me.state(3), Some(State::Alive), "a later one");
+    me.handle_message(6, &said(3, 3, vec![]));
+    assert_eq!(me.state(3), Some(MemberState::Alive), "a later one");
 }
 
 /// A member whose datagrams come is there, whatever a third says; it is told, and once it has said otherwise all know.
 #[test]
 fn who_is_heard_is_not_taken_for_dead_on_the_word_of_another() {
     let mut me = swim(4);
-    me.take(1, &said(1, 3, vec![]));
-    let effects = me.take(2, &said(2, 1, vec![change(1, 3, State::Suspect)]));
-    assert_eq!(me.state(1), Some(State::Alive));
-    let accused = |e: &Effect| matches!(e, Effect::Send { to: 1, message } if message.changes == [change(1, 3, State::Suspect)]);
+    me.handle_message(1, &said(1, 3, vec![]));
+    let effects = me.handle_message(2, &said(2, 1, vec![change(1, 3, MemberState::Suspect)]));
+    assert_eq!(me.state(1), Some(MemberState::Alive));
+    let accused = |e: &Effect| matches!(e, Effect::Send { to: 1, message } if message.changes == [change(1, 3, MemberState::Suspect)]);
     assert!(effects.iter().any(accused), "it is told: {effects:?}");
     let late = 60 * PERIOD;
-    me.take(late, &said(2, 1, vec![change(1, 3, State::Dead)]));
+    me.handle_message(late, &said(2, 1, vec![change(1, 3, MemberState::Dead)]));
     assert_eq!(
         me.state(1),
-        Some(State::Dead),
+        Some(MemberState::Dead),
         "it has not been heard for long"
     );
 }
@@ -91,13 +93,16 @@
 #[test]
 fn who_leaves_is_gone_at_once_and_away_once_its_process_has_had_its_time() {
     let mut me = swim(4);
-    me.take(1, &said(1, 3, vec![change(1, 3, State::Left)]));
-    assert_eq!((me.state(1), me.away(1, 2)), (Some(State::Left), false));
-    assert!(me.away(1, 3 + me.suspicion()) && !me.away(2, 3 + me.suspicion()));
-    me.take(3, &said(2, 1, vec![change(1, 3, State::Suspect)]));
-    assert_eq!(me.state(1), Some(State::Left), "no suspicion follows");
-    me.take(4, &said(1, 4, vec![]));
-    assert_eq!(me.state(1), Some(State::Alive), "its next process");
+    me.handle_message(1, &said(1, 3, vec![change(1, 3, MemberState::Left)]));
+    assert_eq!(
+        (me.state(1), me.is_gone(1, 2)),
+        (Some(MemberState::Left), false)
+    );
+    assert!(me.is_gone(1, 3 + me.suspicion()) && !me.is_gone(2, 3 + me.suspicion()));
+    me.handle_message(3, &said(2, 1, vec![change(1, 3, MemberState::Suspect)]));
+    assert_eq!(me.state(1), Some(MemberState::Left), "no suspicion follows");
+    me.handle_message(4, &said(1, 4, vec![]));
+    assert_eq!(me.state(1), Some(MemberState::Alive), "its next process");
     let told = me.leave(5);
     assert_eq!(told.len(), 4, "all of four others");
     assert!(
@@ -113,9 +118,17 @@
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let state = prop_oneof![Just(State::Alive), Just(State::Suspect), Just(State::Dead)];
+    let state = prop_oneof![
+        Just(MemberState::Alive),
+        Just(MemberState::Suspect),
+        Just(MemberState::Dead)
+    ];
     let change = (0u16..7, 0u32..1 << 24, state).prop_map(|(m, i, s)| change(m, i, s));
-    let kind = prop_oneof![Just(Kind::Ping), Just(Kind::Ack), Just(Kind::PingReq)];
+    let kind = prop_oneof![
+        Just(MessageKind::Ping),
+        Just(MessageKind::Ack),
+        Just(MessageKind::PingReq)
+    ];
     let changes = prop::collection::vec(change, 0..6);
     let message = (kind, 0u16..7, 0u32..1 << 24, 0u16..9, 0u16..7, changes).prop_map(
         |(kind, from, incarnation, sequence, about, changes)| {
@@ -144,12 +157,12 @@
                     now += passes;
                     me.tick(now)
                 }
-                Step::Message(message) => me.take(now, &message),
+                Step::Message(message) => me.handle_message(now, &message),
             };
             for effect in effects {
                 if let Effect::Send { to, message } = effect {
                     prop_assert!(to != 0 && to < 5, "{}", to);
-                    prop_assert!(message.encode().unwrap().len() <= LARGEST);
+                    prop_assert!(message.encode().unwrap().len() <= MAX_DATAGRAM_BYTES);
                 }
             }
             prop_assert!(me.alive().any(|m| m == 0));
--- a/crates/dispatcher/membership/tests/wire.rs
+++ b/crates/dispatcher/membership/tests/wire.rs
@@ -1,11 +1,17 @@
 //! The datagram: what is written is read back, anything that comes is read or refused by name, never a panic.
 
-use membership::{Change, Kind, Message, State, WireError, LARGEST, MOST_CHANGES};
+use membership::{
+    MemberState, MemberUpdate, Message, MessageKind, WireError, MAX_DATAGRAM_BYTES, MAX_UPDATES,
+};
 use proptest::prelude::*;
 
-fn change() -> impl Strategy<Value = Change> {
-    let state = prop_oneof![Just(State::Alive), Just(State::Suspect), Just(State::Dead)];
-    (any::<u16>(), 0..1u32 << 24, state).prop_map(|(member, incarnation, state)| Change {
+fn change() -> impl Strategy<Value = MemberUpdate> {
+    let state = prop_oneof![
+        Just(MemberState::Alive),
+        Just(MemberState::Suspect),
+        Just(MemberState::Dead)
+    ];
+    (any::<u16>(), 0..1u32 << 24, state).prop_map(|(member, incarnation, state)| MemberUpdate {
         member,
         incarnation,
         state,
@@ -13,8 +19,12 @@
 }
 
 fn message() -> impl Strategy<Value = Message> {
-    let kind = prop_oneof![Just(Kind::Ping), Just(Kind::Ack), Just(Kind::PingReq)];
-    let changes = proptest::collection::vec(change(), 0..=MOST_CHANGES);
+    let kind = prop_oneof![
+        Just(MessageKind::Ping),
+        Just(MessageKind::Ack),
+        Just(MessageKind::PingReq)
+    ];
+    let changes = proptest::collection::vec(change(), 0..=MAX_UPDATES);
     (
         kind,
         any::<u16>(),
@@ -39,7 +49,7 @@
     #[test]
     fn what_is_written_is_read_back_within_a_datagram(message in message()) {
         let bytes = message.encode().unwrap();
-        prop_assert!(bytes.len() <= LARGEST);
+        prop_assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
         prop_assert_eq!(Message::decode(&bytes).unwrap(), message);
     }
 
@@ -54,7 +64,7 @@
 #[test]
 fn faults_are_named() {
     let ping = Message {
-        kind: Kind::Ping,
+        kind: MessageKind::Ping,
         from: 1,
         incarnation: 2,
         sequence: 3,
@@ -64,17 +74,17 @@
     let mut bytes = ping.encode().unwrap();
     assert_eq!(Message::decode(&bytes[..11]), Err(WireError::Short(11)));
     bytes[1] = 9;
-    assert_eq!(Message::decode(&bytes), Err(WireError::Kind(9)));
+    assert_eq!(Message::decode(&bytes), Err(WireError::MessageKind(9)));
     bytes[1] = 1;
     bytes[4] = 1;
     assert_eq!(
         Message::decode(&bytes),
         Err(WireError::Sender((1 << 24) + 2))
     );
-    let dead = Change {
+    let dead = MemberUpdate {
         member: 4,
         incarnation: 1 << 24,
-        state: State::Dead,
+        state: MemberState::Dead,
     };
     let too_old = Message {
         changes: vec![dead],
@@ -83,14 +93,14 @@
     assert_eq!(too_old.encode(), Err(WireError::Incarnation(0, 1 << 24)));
     let many = Message {
         changes: vec![
-            Change {
+            MemberUpdate {
                 incarnation: 0,
                 ..dead
             };
-            MOST_CHANGES + 1
+            MAX_UPDATES + 1
         ],
         ..ping
     };
-    assert_eq!(many.encode(), Err(WireError::Changes(MOST_CHANGES + 1)));
+    assert_eq!(many.encode(), Err(WireError::Changes(MAX_UPDATES + 1)));
     assert_eq!(Message::decode(&[1; 257]), Err(WireError::Long(257)));
 }
--- a/crates/testbed/testbed/src/members.rs
+++ b/crates/testbed/testbed/src/members.rs
@@ -2,7 +2,7 @@
 //! duplicates, reorders and splits, with members that die, pause and come back. One seed, one outcome.
 
 use dispatch_api::Micros;
-use membership::{Change, Effect, Message, State, Swim};
+use membership::{Effect, MemberState, MemberUpdate, Message, Swim};
 use rand::Rng;
 use rand_pcg::rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -248,7 +248,7 @@
         let seed = self.rng.random();
         let (members, period) = (self.terms.members, self.terms.period);
         let swim = Swim::new(
-            membership::Terms {
+            membership::Config {
                 me,
                 members,
                 period,
@@ -257,7 +257,7 @@
             },
             self.now,
         );
-        let view = swim.view_number();
+        let view = swim.view_hash();
         Process {
             swim,
             runs: true,
@@ -318,7 +318,7 @@
             return;
         }
         if let Ok(message) = Message::decode(&bytes) {
-            let effects = process.swim.take(self.now, &message);
+            let effects = process.swim.handle_message(self.now, &message);
             self.carry_out(to, effects);
         }
     }
@@ -341,11 +341,11 @@
         for effect in effects {
             match effect {
                 Effect::Send { to, message } => self.send(me, to, &message),
-                Effect::Changed(Change { member, state, .. }) => {
+                Effect::MemberChanged(MemberUpdate { member, state, .. }) => {
                     changed = true;
                     self.changed(me, member, state);
                 }
-                Effect::HeardBy { heard, .. } => {
+                Effect::ReachabilityChanged { heard, .. } => {
                     if !heard {
                         self.unheard.insert(me);
                     }
@@ -358,12 +358,12 @@
         self.arm(me);
     }
 
-    fn changed(&mut self, me: u16, member: u16, state: State) {
+    fn changed(&mut self, me: u16, member: u16, state: MemberState) {
         let there = self.processes[usize::from(member)].runs
             && self.way(member, me)
             && self.way(me, member);
-        self.false_deaths += u64::from(state == State::Dead && there);
-        let number = self.processes[usize::from(me)].swim.view_number();
+        self.false_deaths += u64::from(state == MemberState::Dead && there);
+        let number = self.processes[usize::from(me)].swim.view_hash();
         let process = &mut self.processes[usize::from(me)];
         process.view_changes += u64::from(std::mem::replace(&mut process.view, number) != number);
         let running: Vec<u16> = (0..self.terms.members)
@@ -371,9 +371,11 @@
             .collect();
         if let Some((since, heard)) = &mut self.processes[usize::from(member)].left {
             match state {
-                State::Left => drop(heard.insert(me)),
-                State::Suspect | State::Dead => drop(self.left_suspected.insert(member)),
-                State::Alive => {}
+                MemberState::Left => drop(heard.insert(me)),
+                MemberState::Suspect | MemberState::Dead => {
+                    drop(self.left_suspected.insert(member))
+                }
+                MemberState::Alive => {}
             }
             if running.iter().all(|m| heard.contains(m)) {
                 self.left_known = self.left_known.max(self.now - *since);
@@ -407,7 +409,7 @@
     /// Whether all who run believe the truth of all, that is, of who can be reached by them.
     fn look(&mut self) {
         let numbers = (0..self.terms.members).filter(|m| self.processes[usize::from(*m)].runs);
-        let mut numbers = numbers.map(|m| self.processes[usize::from(m)].swim.view_number());
+        let mut numbers = numbers.map(|m| self.processes[usize::from(m)].swim.view_hash());
         let first = numbers.next();
         self.equal = match numbers.all(|n| Some(n) == first) {
             true => self.equal.or(Some(self.now)),
@@ -423,7 +425,7 @@
                 self.processes[usize::from(me)]
                     .swim
                     .state(other)
-                    .is_some_and(State::there)
+                    .is_some_and(MemberState::is_present)
                     == there
                     || me == other
             })
@@ -450,7 +452,7 @@
             Fault::Restart(m, noted) => {
                 let last = self.processes[usize::from(m)].swim.incarnation();
                 let incarnation = if noted {
-                    membership::serial::next(last)
+                    membership::incarnation::successor(last)
                 } else {
                     1
                 };
--- a/crates/testbed/testbed/src/rig/mod.rs
+++ b/crates/testbed/testbed/src/rig/mod.rs
@@ -15,7 +15,7 @@
 use dispatch_api::Micros;
 pub use faults::{Case, Fault};
 use hyper::Method;
-use maintenance::Standing;
+use maintenance::TargetState;
 use rand::Rng;
 use rand_pcg::rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -608,7 +608,7 @@
             };
             for target in &plan.targets {
                 let number = target.target.trim_start_matches("s-").parse::<usize>();
-                let empty = target.standing == Standing::Empty && target.not_empty.is_empty();
+                let empty = target.standing == TargetState::Empty && target.not_empty.is_empty();
                 let Some(number) = number.ok().filter(|n| empty && !done.contains(n)) else {
                     continue;
                 };
