--- a/crates/dispatcher/discovery-pacing/src/draw.rs
+++ b/crates/dispatcher/discovery-pacing/src/bounded_load.rs
@@ -22,17 +22,17 @@
 
 /// The share of the jobs of its keys that a worker draws, 0.02 to 1: 1 to begin with.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Draw(f64);
+pub struct BoundedLoadShare(f64);
 
-impl Default for Draw {
+impl Default for BoundedLoadShare {
     fn default() -> Self {
-        Draw(1.0)
+        BoundedLoadShare(1.0)
     }
 }
 
-impl Draw {
+impl BoundedLoadShare {
     /// A list says how full the worker is, and how full all are; both in what is held for each slot.
-    pub fn listed(&mut self, fill: f64, mean: f64) {
+    pub fn update(&mut self, fill: f64, mean: f64) {
         let bound = NO_QUEUE.max(ABOVE_MEAN * mean);
         let step = bound / fill.max(1.0e-3);
         if step.is_finite() {
@@ -41,7 +41,7 @@
     }
 
     /// Whether it draws a job; `coin` is uniform over all numbers, and the same at each look at the same job.
-    pub fn takes(self, coin: u64) -> bool {
+    pub fn accepts(self, coin: u64) -> bool {
         coin as f64 <= self.0 * u64::MAX as f64
     }
 }
--- a/crates/dispatcher/discovery-pacing/src/load.rs
+++ b/crates/dispatcher/discovery-pacing/src/fleet_load.rs
@@ -19,7 +19,7 @@
 /// Requests that a worker held for each of its cores when this weight was made, where weights are live: its size
 /// divided by 1 + that number. `size` is the largest weight seen of its kind, since sizes are told nowhere; both are
 /// without unit. None if either is no weight.
-pub fn held_per_core(size: f64, weight: f64) -> Option<f64> {
+pub fn outstanding_per_core(size: f64, weight: f64) -> Option<f64> {
     (sound(size) && sound(weight)).then(|| (size / weight - 1.0).max(0.0))
 }
 
@@ -30,7 +30,7 @@
 
 /// The loads of all workers that a list calls ready.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Loads {
+pub struct FleetLoad {
     /// Slots that were held.
     pub held: f64,
     /// Slots that there are, a cold worker's counted by its warmth.
@@ -41,11 +41,11 @@
     pub at: Micros,
 }
 
-impl Loads {
+impl FleetLoad {
     /// The share of the jobs with a choice, 0 to 1, that is better kept from workers that others are bound to: all
     /// until what is held anywhere would fill the loose slots one and a half times, none once it would fill them twice.
     /// What queues there is called off when it is late; what is bound has no other place.
-    pub fn spare(&self) -> f64 {
+    pub fn keep_off_share(&self) -> f64 {
         let filled = self.held / self.loose;
         if filled.is_finite() {
             (4.0 - 2.0 * filled).clamp(0.0, 1.0)
@@ -55,14 +55,14 @@
     }
 
     /// More is held than there are slots: what is queued anywhere waits for all of it.
-    pub fn full(&self) -> bool {
+    pub fn is_saturated(&self) -> bool {
         self.held > self.slots
     }
 
     /// Up to how many times its slots a worker may be filled, so that all of them take what comes until loads are
     /// known again: with slots held for `run` microseconds each, that is as often what is held as `run` goes into
     /// the loads' age. At least 1: while little is held, any free slot is as good as another.
-    pub fn level(&self, now: Micros, run: f64) -> f64 {
+    pub fn fill_level(&self, now: Micros, run: f64) -> f64 {
         let age = now.saturating_sub(self.at).saturating_add(LATE) as f64;
         let filled = self.held * (1.0 + age / run.max(1.0)) / self.slots.max(1.0);
         if filled.is_finite() {
--- a/crates/dispatcher/discovery-pacing/src/lib.rs
+++ b/crates/dispatcher/discovery-pacing/src/lib.rs
@@ -11,15 +11,15 @@
 //! see M. Brooker, "Exponential Backoff And Jitter" (AWS Architecture Blog, 2015). Nothing here reads a clock or
 //! draws a random number.
 
-mod draw;
-mod kind;
-mod load;
-mod reach;
+mod bounded_load;
+mod capacity;
+mod fleet_load;
+mod reachability;
 
-pub use draw::Draw;
-pub use kind::Kind;
-pub use load::{held_per_core, Loads, LARGEST_WEIGHT};
-pub use reach::Reach;
+pub use bounded_load::BoundedLoadShare;
+pub use capacity::KindCapacity;
+pub use fleet_load::{outstanding_per_core, FleetLoad, LARGEST_WEIGHT};
+pub use reachability::ZoneReachability;
 
 use dispatch_api::{Discovery, DiscoveryFailure, Micros};
 
@@ -29,34 +29,34 @@
 const TURN: Micros = 60_000;
 /// What a failed call or a silent watch missed counts as told so long after discovery had it and could be reached, whatever
 /// the settings say of asking.
-pub const TOLD_AFTER: Micros = 6_000_000;
+pub const STALENESS_LIMIT: Micros = 6_000_000;
 /// How long a watch asks discovery to wait: a watch that falls silent is noticed only after that. Going on costs discovery no
-/// turn, so the shorter it is, the more of [`TOLD_AFTER`] is left.
-pub const WATCH_WAIT: Micros = 1_000_000;
+/// turn, so the shorter it is, the more of [`STALENESS_LIMIT`] is left.
+pub const WATCH_TIMEOUT: Micros = 1_000_000;
 /// How long the answer on a watch may take beyond that: no turn is waited for, so it is the network's time and that of a
 /// processor which is shared.
-pub const ANSWER_WAIT: Micros = 750_000;
+pub const ANSWER_TIMEOUT: Micros = 750_000;
 /// What a call may wait for its turn at discovery before it fails there.
-pub const CALL_WAITS: Micros = 2_000_000;
+pub const QUEUE_TIMEOUT: Micros = 2_000_000;
 /// What a call takes beyond its turn: the connection, the answer and a processor that is shared.
-pub const CALL_TAKES: Micros = 500_000;
+pub const CALL_OVERHEAD: Micros = 500_000;
 /// The longest that a call takes to fail: one second for the connection, its turn, and the answer.
-const LONGEST_CALL: Micros = 1_000_000 + CALL_WAITS + ANSWER_WAIT + 250_000;
+const LONGEST_CALL: Micros = 1_000_000 + QUEUE_TIMEOUT + ANSWER_TIMEOUT + 250_000;
 /// A call that failed may have been made just before discovery could be reached: the next one goes out so long after it at
-/// the latest, so that it has its turn and its answer within [`TOLD_AFTER`].
-pub const CALL_AGAIN: Micros = TOLD_AFTER - CALL_WAITS - CALL_TAKES;
+/// the latest, so that it has its turn and its answer within [`STALENESS_LIMIT`].
+pub const RETRY_DEADLINE: Micros = STALENESS_LIMIT - QUEUE_TIMEOUT - CALL_OVERHEAD;
 /// Turns that each failed call is spread over: those that failed once already were too many.
 const TURNS_AGAIN: u64 = 2;
 /// The shortest pause after a failure, as a share of the longest time that may pass unasked.
 const SHORTEST: u64 = 128;
-/// The longest such pause, likewise, where [`CALL_AGAIN`] is no shorter.
+/// The longest such pause, likewise, where [`RETRY_DEADLINE`] is no shorter.
 const LONGEST: u64 = 4;
 /// Jitter of a pause, as a share of it.
 const JITTER: f64 = 0.3;
 
 /// Paces the calls of one dispatcher that start a watch.
 #[derive(Debug, Clone)]
-pub struct Pace {
+pub struct WatchPacer {
     /// Dispatchers that must not meet at discovery; two do no harm there.
     many: u64,
     /// The longest time that may pass unasked.
@@ -65,14 +65,14 @@
     failures: Option<u32>,
 }
 
-impl Pace {
+impl WatchPacer {
     /// For one of so many dispatchers; none where the list arrives unasked.
     pub fn new(dispatchers: u32, discovery: Discovery) -> Option<Self> {
         let Discovery::OnRequest { watch_within } = discovery else {
             return None;
         };
         let many = u64::from(dispatchers.saturating_sub(2));
-        Some(Pace {
+        Some(WatchPacer {
             many,
             watch_within,
             failures: None,
@@ -80,7 +80,7 @@
     }
 
     /// Whether no call has been asked for yet.
-    pub fn unasked(&self) -> bool {
+    pub fn is_first_call(&self) -> bool {
         self.failures.is_none()
     }
 
@@ -89,13 +89,13 @@
     ///
     /// The first call is spread over 60 ms for each dispatcher beyond two, at most half of the time that may pass
     /// unasked. The pause after a failure doubles from one to the next, between 1/128 and 1/4 of that time; on top
-    /// comes twice the spread, which is the larger part where dispatchers are many. Both together end [`CALL_AGAIN`] after
+    /// comes twice the spread, which is the larger part where dispatchers are many. Both together end [`RETRY_DEADLINE`] after
     /// the failed call was made, `took` being what it took to fail: however it failed, what it missed counts as told by then.
     /// Where that cuts the pause, it is drawn from what is left: from all of it at first, since many may have failed at one
     /// moment, and then from its later half.
     ///
     /// A call that falls silent after others were answered is broken on its own, and is made again without a back-off.
-    pub fn pause(
+    pub fn next_delay(
         &mut self,
         lost: DiscoveryFailure,
         took: Micros,
@@ -105,7 +105,7 @@
         let before = self.failures;
         self.failures = Some(before.map_or(0, |f| f.saturating_add(1)));
         // No call takes longer: what did is a watch that needs none to go on, and it broke just now.
-        let most = CALL_AGAIN.saturating_sub(if took > LONGEST_CALL { 0 } else { took });
+        let most = RETRY_DEADLINE.saturating_sub(if took > LONGEST_CALL { 0 } else { took });
         match (before, lost) {
             (None, _) => share(self.spread(1).min(self.watch_within / 2), drawn),
             (Some(0), DiscoveryFailure::TimedOut) => share(self.spread(1).min(most), drawn),
@@ -130,7 +130,7 @@
     }
 
     /// Discovery has answered.
-    pub fn heard(&mut self) {
+    pub fn answered(&mut self) {
         self.failures = Some(0);
     }
 
--- a/crates/dispatcher/discovery-pacing/src/reach.rs
+++ b/crates/dispatcher/discovery-pacing/src/reachability.rs
@@ -18,21 +18,19 @@
 
 /// How far each zone is trusted to be reached: 1 to begin with.
 #[derive(Debug, Clone, Default)]
-pub struct Reach {
+pub struct ZoneReachability {
     zones: BTreeMap<u32, f64>,
 }
 
-impl Reach {
+impl ZoneReachability {
     /// A worker of the zone was reached.
-    pub fn reached(&mut self, zone: u32) {
-        self.set(zone, self.of(zone) + REACHED * (1.0 - self.of(zone)));
+    pub fn record_success(&mut self, zone: u32) {
+        self.set(zone, self.trust(zone) + REACHED * (1.0 - self.trust(zone)));
     }
 
     /// Whether an attempt at a worker of the zone has failed since no connection came up.
-    pub fn failed(&mut self, zone: u32, failed: bool) {
-        if failed {
-            self.set(zone, (self.of(zone) * FAILED).max(LEAST));
-        }
+    pub fn record_failure(&mut self, zone: u32) {
+        self.set(zone, (self.trust(zone) * FAILED).max(LEAST));
     }
 
     fn set(&mut self, zone: u32, trust: f64) {
@@ -42,12 +40,12 @@
     }
 
     /// The trust in a zone, 0.01 to 1.
-    pub fn of(&self, zone: u32) -> f64 {
+    pub fn trust(&self, zone: u32) -> f64 {
         self.zones.get(&zone).copied().unwrap_or(1.0)
     }
 
     /// Whether the zone can be counted on: one failure, or one success after many, does not decide it.
-    pub fn trusted(&self, zone: u32) -> bool {
-        self.of(zone) > TRUSTED
+    pub fn is_trusted(&self, zone: u32) -> bool {
+        self.trust(zone) > TRUSTED
     }
 }
--- a/crates/dispatcher/discovery-pacing/tests/draw.rs
+++ b/crates/dispatcher/discovery-pacing/tests/draw.rs
@@ -1,6 +1,6 @@
 //! A few keys that everybody wants, and a list that all dispatchers have late.
 
-use discovery_pacing::Draw;
+use discovery_pacing::BoundedLoadShare;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -20,7 +20,7 @@
 /// fill over the last hundred steps, at its worst and on average, and the mean fill of all.
 fn play(bounded: bool, seed: u64) -> (f64, f64, f64) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let mut draws = vec![Draw::default(); WORKERS];
+    let mut draws = vec![BoundedLoadShare::default(); WORKERS];
     let (mut held, mut ends) = (vec![0.0; WORKERS], vec![vec![0.0; WORKERS]; RUN]);
     let mut lists: Vec<(usize, Vec<f64>)> = vec![];
     let (mut worst, mut sum, mut mean_sum): (f64, f64, f64) = Default::default();
@@ -42,10 +42,10 @@
             draws
                 .iter_mut()
                 .zip(&list)
-                .for_each(|(draw, held)| draw.listed(held / SLOTS, mean));
+                .for_each(|(draw, held)| draw.update(held / SLOTS, mean));
         }
         for _ in 0..100 {
-            let home = (0..WORKERS).find(|at| draws[*at].takes(rng.next_u64()));
+            let home = (0..WORKERS).find(|at| draws[*at].accepts(rng.next_u64()));
             let any = (unit(&mut rng) * WORKERS as f64) as usize;
             let to = home.filter(|_| rng.next_u64() % 100 < 10).unwrap_or(any);
             held[to] += 1.0;
@@ -85,18 +85,18 @@
 
 #[test]
 fn no_figure_of_a_list_takes_a_home_its_keys_for_good() {
-    let mut draw = Draw::default();
+    let mut draw = BoundedLoadShare::default();
     for odd in [f64::NAN, f64::INFINITY, -1.0, 1.0e300] {
-        draw.listed(odd, 1.0);
-        draw.listed(1.0, odd);
-        draw.listed(odd, odd);
+        draw.update(odd, 1.0);
+        draw.update(1.0, odd);
+        draw.update(odd, odd);
     }
-    (0..100).for_each(|_| draw.listed(1.0e9, 0.1));
-    assert!(draw.takes(0) && !draw.takes(u64::MAX / 2));
-    (0..100).for_each(|_| draw.listed(0.1, 0.5));
+    (0..100).for_each(|_| draw.update(1.0e9, 0.1));
+    assert!(draw.accepts(0) && !draw.accepts(u64::MAX / 2));
+    (0..100).for_each(|_| draw.update(0.1, 0.5));
     assert_eq!(
         draw,
-        Draw::default(),
+        BoundedLoadShare::default(),
         "its share is back once it is no longer full"
     );
 }
--- a/crates/dispatcher/discovery-pacing/tests/herd.rs
+++ b/crates/dispatcher/discovery-pacing/tests/herd.rs
@@ -2,7 +2,9 @@
 
 #![expect(clippy::unwrap_used, reason = "a test ends at the first surprise")]
 
-use discovery_pacing::{Pace, ANSWER_WAIT, CALL_TAKES, CALL_WAITS, TOLD_AFTER, WATCH_WAIT};
+use discovery_pacing::{
+    WatchPacer, ANSWER_TIMEOUT, CALL_OVERHEAD, QUEUE_TIMEOUT, STALENESS_LIMIT, WATCH_TIMEOUT,
+};
 use dispatch_api::{Discovery, DiscoveryFailure, Micros};
 use proptest::prelude::*;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
@@ -13,8 +15,8 @@
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000 * MS;
 
-fn pace(dispatchers: u32) -> Pace {
-    Pace::new(
+fn pace(dispatchers: u32) -> WatchPacer {
+    WatchPacer::new(
         dispatchers,
         Discovery::OnRequest {
             watch_within: 10 * SECOND,
@@ -46,7 +48,7 @@
 struct World {
     expired: Expired,
     rng: Pcg64Mcg,
-    paces: Vec<Pace>,
+    paces: Vec<WatchPacer>,
     due: BinaryHeap<Reverse<(Micros, Due)>>,
     queue: VecDeque<(Micros, usize)>,
     told: Vec<Option<Micros>>,
@@ -63,10 +65,11 @@
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut paces = vec![pace(dispatchers); restarted];
         // They are restarted within a second.
-        let call = |(n, pace): (usize, &mut Pace)| {
+        let call = |(n, pace): (usize, &mut WatchPacer)| {
             let start = (unit(&mut rng) * SECOND as f64) as Micros;
             Reverse((
-                start + pace.pause(DiscoveryFailure::Failed, 0, unit(&mut rng), unit(&mut rng)),
+                start
+                    + pace.next_delay(DiscoveryFailure::Failed, 0, unit(&mut rng), unit(&mut rng)),
                 Due::Call(n),
             ))
         };
@@ -90,24 +93,25 @@
         let mut world = World::new(dispatchers, silent, seed);
         world.due.clear();
         for n in 0..silent {
-            world.paces[n].heard();
-            let took = WATCH_WAIT + ANSWER_WAIT;
-            let pause = world.paces[n].pause(
+            world.paces[n].answered();
+            let took = WATCH_TIMEOUT + ANSWER_TIMEOUT;
+            let pause = world.paces[n].next_delay(
                 DiscoveryFailure::TimedOut,
                 took,
                 unit(&mut world.rng),
                 unit(&mut world.rng),
             );
-            world
-                .due
-                .push(Reverse((WATCH_WAIT + ANSWER_WAIT + pause, Due::Call(n))));
+            world.due.push(Reverse((
+                WATCH_TIMEOUT + ANSWER_TIMEOUT + pause,
+                Due::Call(n),
+            )));
         }
         world
     }
 
     fn fails(&mut self, at: Micros, took: Micros, n: usize) {
         self.failed += 1;
-        let pause = self.paces[n].pause(
+        let pause = self.paces[n].next_delay(
             DiscoveryFailure::Failed,
             took,
             unit(&mut self.rng),
@@ -121,7 +125,7 @@
         let mut world = World::new(dispatchers, dispatchers as usize, seed);
         world.due.clear();
         for n in 0..dispatchers as usize {
-            world.paces[n].heard();
+            world.paces[n].answered();
             world.fails(0, 0, n);
         }
         world
@@ -162,7 +166,7 @@
                         // Its caller had its failure when the time was up.
                         self.fails((called + TIMEOUT).max(now - turn), TIMEOUT, n);
                     } else {
-                        self.paces[n].heard();
+                        self.paces[n].answered();
                         self.told[n] = Some(now);
                     }
                 }
@@ -228,7 +232,7 @@
         world.play(27 * MS, 0, 60 * SECOND);
         let last = world.last_told().expect("all are told");
         assert!(
-            last < TOLD_AFTER,
+            last < STALENESS_LIMIT,
             "seed {seed}: the last one was told after {last} us"
         );
     }
@@ -253,7 +257,7 @@
             .told
             .iter()
             .flatten()
-            .filter(|at| **at < TOLD_AFTER)
+            .filter(|at| **at < STALENESS_LIMIT)
             .count();
         assert!(
             up > 0 || told >= 140,
@@ -266,21 +270,27 @@
 fn two_dispatchers_ask_at_once_and_again_soon() {
     let mut two = pace(2);
     assert_eq!(
-        two.pause(DiscoveryFailure::Failed, 0, 0.5, 0.9),
+        two.next_delay(DiscoveryFailure::Failed, 0, 0.5, 0.9),
         0,
         "there is no herd of two"
     );
-    assert_eq!(two.pause(DiscoveryFailure::Failed, 0, 0.5, 0.9), 78_125);
-    assert_eq!(two.pause(DiscoveryFailure::Failed, 0, 0.5, 0.9), 156_250);
+    assert_eq!(
+        two.next_delay(DiscoveryFailure::Failed, 0, 0.5, 0.9),
+        78_125
+    );
+    assert_eq!(
+        two.next_delay(DiscoveryFailure::Failed, 0, 0.5, 0.9),
+        156_250
+    );
     for _ in 0..100 {
         assert!(
-            two.pause(DiscoveryFailure::Failed, 0, 1.0, 1.0) <= 3_250 * MS,
+            two.next_delay(DiscoveryFailure::Failed, 0, 1.0, 1.0) <= 3_250 * MS,
             "well within what the rules allow"
         );
     }
-    two.heard();
+    two.answered();
     assert_eq!(
-        two.pause(DiscoveryFailure::Failed, 0, 0.5, 0.9),
+        two.next_delay(DiscoveryFailure::Failed, 0, 0.5, 0.9),
         78_125,
         "an answer starts it over"
     );
@@ -291,16 +301,16 @@
     for dispatchers in [1, 2, 3, 100, 10_000, u32::MAX] {
         let mut pace = pace(dispatchers);
         assert!(
-            pace.pause(DiscoveryFailure::Failed, 0, 1.0, 1.0) <= 5 * SECOND,
+            pace.next_delay(DiscoveryFailure::Failed, 0, 1.0, 1.0) <= 5 * SECOND,
             "{dispatchers}"
         );
         assert!(
-            (0..100).all(|_| pace.pause(DiscoveryFailure::Failed, 0, 1.0, 1.0) < 40 * SECOND),
+            (0..100).all(|_| pace.next_delay(DiscoveryFailure::Failed, 0, 1.0, 1.0) < 40 * SECOND),
             "{dispatchers}"
         );
     }
     assert!(
-        Pace::new(100, Discovery::Pushed).is_none(),
+        WatchPacer::new(100, Discovery::Pushed).is_none(),
         "nobody needs to be asked"
     );
 }
@@ -318,9 +328,9 @@
 
 fn failure() -> impl Strategy<Value = Failure> {
     prop_oneof![
-        4 => (0..CALL_WAITS / 2).prop_map(Failure::Refused),
+        4 => (0..QUEUE_TIMEOUT / 2).prop_map(Failure::Refused),
         1 => Just(Failure::TurnedAway),
-        2 => (0..CALL_WAITS + ANSWER_WAIT).prop_map(Failure::Silent),
+        2 => (0..QUEUE_TIMEOUT + ANSWER_TIMEOUT).prop_map(Failure::Silent),
         1 => Just(Failure::Heard),
     ]
 }
@@ -332,19 +342,19 @@
         failures in prop::collection::vec((failure(), 0.0..1.0f64, 0.0..1.0f64), 1..60),
     ) {
         let mut pace = pace(dispatchers);
-        pace.pause(DiscoveryFailure::Failed, 0, 0.5, 0.5);
+        pace.next_delay(DiscoveryFailure::Failed, 0, 0.5, 0.5);
         for (failure, jitter, drawn) in failures {
             let (lost, took) = match failure {
                 Failure::Heard => {
-                    pace.heard();
+                    pace.answered();
                     continue;
                 }
                 Failure::Refused(took) => (DiscoveryFailure::Failed, took),
-                Failure::TurnedAway => (DiscoveryFailure::Failed, CALL_WAITS),
+                Failure::TurnedAway => (DiscoveryFailure::Failed, QUEUE_TIMEOUT),
                 Failure::Silent(took) => (DiscoveryFailure::TimedOut, took),
             };
-            let pause = pace.pause(lost, took, jitter, drawn);
-            prop_assert!(took + pause + CALL_WAITS + CALL_TAKES <= TOLD_AFTER, "{took} {pause}");
+            let pause = pace.next_delay(lost, took, jitter, drawn);
+            prop_assert!(took + pause + QUEUE_TIMEOUT + CALL_OVERHEAD <= STALENESS_LIMIT, "{took} {pause}");
         }
     }
 }
@@ -361,7 +371,7 @@
         world.play(13 * MS, down, 60 * SECOND);
         let last = world.last_told().expect("all are told");
         assert!(
-            last < down + TOLD_AFTER,
+            last < down + STALENESS_LIMIT,
             "seed {seed}, down for {down}: the last one was told after {last} us"
         );
     }
--- a/crates/dispatcher/discovery-pacing/tests/load.rs
+++ b/crates/dispatcher/discovery-pacing/tests/load.rs
@@ -1,78 +1,78 @@
-//! Loads as lists tell them.
+//! FleetLoad as lists tell them.
 
-use discovery_pacing::{held_per_core, Kind, Loads};
+use discovery_pacing::{outstanding_per_core, FleetLoad, KindCapacity};
 
 #[test]
 fn a_weight_tells_what_was_held() {
-    assert_eq!(held_per_core(7.5, 7.5), Some(0.0));
-    assert_eq!(held_per_core(7.5, 2.5), Some(2.0));
+    assert_eq!(outstanding_per_core(7.5, 7.5), Some(0.0));
+    assert_eq!(outstanding_per_core(7.5, 2.5), Some(2.0));
     assert_eq!(
-        held_per_core(7.5, 8.0),
+        outstanding_per_core(7.5, 8.0),
         Some(0.0),
         "never less than nothing"
     );
     for bad in [0.0, -1.0, f64::NAN, f64::INFINITY, 1.0e300] {
-        assert_eq!(held_per_core(7.5, bad), None);
-        assert_eq!(held_per_core(bad, 7.5), None);
-        assert_eq!(Kind::default().listed(bad), None);
+        assert_eq!(outstanding_per_core(7.5, bad), None);
+        assert_eq!(outstanding_per_core(bad, 7.5), None);
+        assert_eq!(KindCapacity::default().record_weight(bad), None);
     }
 }
 
 #[test]
 fn the_older_loads_are_the_higher_is_the_level_that_all_come_to() {
-    let loads = Loads {
+    let loads = FleetLoad {
         held: 180.0,
         slots: 360.0,
         loose: 200.0,
         at: 0,
     };
     assert_eq!(
-        loads.level(0, 500_000.0),
+        loads.fill_level(0, 500_000.0),
         1.5,
         "half is held, and a second is two runs"
     );
-    assert_eq!(loads.level(1_000_000, 500_000.0), 2.5);
+    assert_eq!(loads.fill_level(1_000_000, 500_000.0), 2.5);
     assert_eq!(
-        Loads { held: 1.0, ..loads }.level(0, 500_000.0),
+        FleetLoad { held: 1.0, ..loads }.fill_level(0, 500_000.0),
         1.0,
         "a free slot is as good as another"
     );
     assert!(
-        loads.level(u64::MAX, 1.0) <= 16.0,
+        loads.fill_level(u64::MAX, 1.0) <= 16.0,
         "bounded, whatever is told"
     );
     assert_eq!(
-        Loads {
+        FleetLoad {
             held: f64::NAN,
             ..loads
         }
-        .level(0, 1.0),
+        .fill_level(0, 1.0),
         1.0
     );
 }
 
 #[test]
 fn a_listed_size_stands_for_the_slots_until_reports_say_more() {
-    let mut kind = Kind::default();
+    let mut kind = KindCapacity::default();
     assert_eq!(kind.slots(), 4.0);
-    assert_eq!(kind.listed(7.5), Some(0.0));
-    assert_eq!((kind.slots(), kind.shown()), (8.0, 7.5));
-    kind.listed(2.5);
+    assert_eq!(kind.record_weight(7.5), Some(0.0));
+    assert_eq!((kind.slots(), kind.certain_slots()), (8.0, 7.5));
+    kind.record_weight(2.5);
     assert_eq!(kind.slots(), 8.0, "a busy worker is no smaller");
-    kind.seen(9.0);
+    kind.record_running(9.0);
     assert_eq!(kind.slots(), 9.0);
 }
 
 #[test]
 fn what_has_a_choice_leaves_a_bound_kind_alone_as_far_as_the_rest_has_room() {
     let spare = |held, loose| {
-        Loads {
+        FleetLoad {
             held,
             slots: 360.0,
             loose,
             at: 0,
         }
-        .spare()
+        .keep_off_share()
     };
     assert_eq!(
         [spare(50.0, 200.0), spare(300.0, 200.0)],
--- a/crates/dispatcher/discovery/src/lib.rs
+++ b/crates/dispatcher/discovery/src/lib.rs
@@ -29,13 +29,13 @@
 use tracing::{debug, warn};
 
 /// How long a watch asks discovery to wait, see [`discovery_pacing`].
-const WATCH_WAIT: Duration = Duration::from_micros(discovery_pacing::WATCH_WAIT);
+const WATCH_TIMEOUT: Duration = Duration::from_micros(discovery_pacing::WATCH_TIMEOUT);
 /// ... and its first call, which is to say what was missed: hardly at all.
 const NO_WAIT: Duration = Duration::from_millis(1);
 /// How long an answer may take beyond that ...
-const ANSWER_WAIT: Duration = Duration::from_micros(discovery_pacing::ANSWER_WAIT);
+const ANSWER_TIMEOUT: Duration = Duration::from_micros(discovery_pacing::ANSWER_TIMEOUT);
 /// ... and a call that has to wait for its turn first.
-const TURN_WAIT: Duration = Duration::from_micros(discovery_pacing::CALL_WAITS);
+const TURN_WAIT: Duration = Duration::from_micros(discovery_pacing::QUEUE_TIMEOUT);
 /// Where lists are pushed, the agent on this machine has nobody else to answer, and what it has counts at once, also what it
 /// hears right after an outage. It is silent meanwhile, and a call that was made then is never answered: so a watch there is
 /// short, and one that is not answered in time has others made beside it. From the agent's return to its answer it takes
@@ -246,7 +246,7 @@
 fn news_wait(going: bool, pushed: bool) -> Duration {
     match (going, pushed) {
         (false, _) => NO_WAIT,
-        (true, false) => WATCH_WAIT,
+        (true, false) => WATCH_TIMEOUT,
         (true, true) => AGENT_WATCH,
     }
 }
@@ -261,7 +261,7 @@
 ) -> Result<(List, Link), CallError> {
     let news = news_wait(going, pushed);
     let turn = if going { Duration::ZERO } else { TURN_WAIT };
-    let mut first = std::pin::pin!(call(addr, after, news, news + turn + ANSWER_WAIT, link));
+    let mut first = std::pin::pin!(call(addr, after, news, news + turn + ANSWER_TIMEOUT, link));
     if !pushed {
         return first.await;
     }
--- a/crates/dispatcher/dispatch-policy/src/cold.rs
+++ b/crates/dispatcher/dispatch-policy/src/cold.rs
@@ -7,7 +7,11 @@
     pub(crate) fn cold_ok(&self, job: &Job, w: &Worker) -> bool {
         let (rules, share) = (&self.settings.rules, self.warmth(w));
         let (kind, told) = (self.kind(w), self.settings.reports != LoadReporting::None);
-        let shown = if told { kind.shown() } else { kind.slots() };
+        let shown = if told {
+            kind.certain_slots()
+        } else {
+            kind.slots()
+        };
         let (work, capacity) = (job.spec.slots * job.work, shown * share);
         let tips = rules.overload_multiple * capacity;
         // By what was sent last, not by this job: small ones would keep a wide one from ever going there.
--- a/crates/dispatcher/dispatch-policy/src/figures.rs
+++ b/crates/dispatcher/dispatch-policy/src/figures.rs
@@ -1,7 +1,7 @@
 //! What is believed and counted, for those who watch over the service. Nothing is decided here.
 
 use super::{Dispatcher, Lane, Worker, AGEING, RUN_CAP, SAMPLE};
-use discovery_pacing::{Kind, Loads};
+use discovery_pacing::{FleetLoad, KindCapacity};
 use dispatch_api::{
     JobId, KindMetrics, ListUpdateKind, Micros, Outcome, PolicyMetrics, WorkerEntry, WorkerId,
 };
@@ -70,7 +70,7 @@
     }
 
     /// What is known of its kind.
-    pub(super) fn kind(&self, w: &Worker) -> Kind {
+    pub(super) fn kind(&self, w: &Worker) -> KindCapacity {
         self.kinds.get(&w.listing.kind).copied().unwrap_or_default()
     }
 
@@ -108,11 +108,15 @@
     /// Takes in what a list's live weights say of the workers' loads.
     pub(super) fn heed_weights(&mut self, list: ListUpdateKind, entries: &[WorkerEntry]) {
         if !self.told_loads() {
-            self.fleet.loads = Loads::default();
+            self.fleet.loads = FleetLoad::default();
             return;
         }
         for (entry, weight) in entries.iter().filter_map(|e| Some((e, e.weight?))) {
-            let held = self.kinds.entry(entry.kind).or_default().listed(weight);
+            let held = self
+                .kinds
+                .entry(entry.kind)
+                .or_default()
+                .record_weight(weight);
             let told = held.filter(|_| list != ListUpdateKind::Inherited);
             if let (Some(w), Some(held)) = (self.workers.get_mut(&entry.worker), told) {
                 (w.others, w.reported) = ((held - w.own()).max(0.0), Some(self.now));
@@ -121,7 +125,7 @@
         let load = |id: &WorkerId| {
             let w = self.workers.get(id)?;
             let (reach, bound) = (
-                self.fleet.reach.of(w.listing.zone),
+                self.fleet.reach.trust(w.listing.zone),
                 self.settings.has_dedicated_class(w.listing.kind),
             );
             let stands = self.kind(w).slots() * self.warmth(w);
@@ -135,7 +139,7 @@
         };
         let (bound, loose) = (sum(true), sum(false));
         let (held, slots) = (bound.0 + loose.0, bound.1 + loose.1);
-        self.fleet.loads = Loads {
+        self.fleet.loads = FleetLoad {
             held,
             slots,
             loose: loose.1,
@@ -151,7 +155,7 @@
                 .entry(id)
                 .or_default()
                 .draw
-                .listed(held / stands, alike.0 / alike.1);
+                .update(held / stands, alike.0 / alike.1);
         }
     }
 
--- a/crates/dispatcher/dispatch-policy/src/holding.rs
+++ b/crates/dispatcher/dispatch-policy/src/holding.rs
@@ -74,7 +74,7 @@
     pub(crate) fn yields(&self, class: usize) -> f64 {
         self.settings.classes[class]
             .kind
-            .map_or(self.fleet.loads.spare(), |_| 0.0)
+            .map_or(self.fleet.loads.keep_off_share(), |_| 0.0)
     }
 
     /// The open workers that are meant for the job's key.
@@ -85,14 +85,15 @@
         let kind = self.settings.classes[job.spec.class].kind;
         // A cold one that may not be sent to yet is no home where a job does not wait for its homes.
         let warm = |w: &Worker| {
-            !self.told_loads() || self.cold_ok(job, w) && self.fleet.reach.trusted(w.listing.zone)
+            !self.told_loads()
+                || self.cold_ok(job, w) && self.fleet.reach.is_trusted(w.listing.zone)
         };
         let yields =
             (rendezvous_weight(key, 0) as f64 / u64::MAX as f64) < self.yields(job.spec.class);
         let fits = |w: &Worker| {
             kind.is_none_or(|k| k == w.listing.kind)
                 && w.draw
-                    .takes(rendezvous_weight(job.spec.id.0, w.listing.name_hash))
+                    .accepts(rendezvous_weight(job.spec.id.0, w.listing.name_hash))
                 && warm(w)
                 && !(yields && self.settings.has_dedicated_class(w.listing.kind))
         };
@@ -215,7 +216,7 @@
     pub(crate) fn in_the_way(&self, job: &Job) -> bool {
         let free =
             self.settings.limits.cancel && self.settings.classes[job.spec.class].kind.is_none();
-        let full = self.settings.start_notices && self.fleet.loads.full();
+        let full = self.settings.start_notices && self.fleet.loads.is_saturated();
         let waits = |o: &Outstanding| o.job == job.spec.id && o.started.is_none();
         let at = job
             .attempts
--- a/crates/dispatcher/dispatch-policy/src/kept.rs
+++ b/crates/dispatcher/dispatch-policy/src/kept.rs
@@ -1,10 +1,10 @@
 //! What a dispatcher keeps: jobs, workers, counts and times. Nothing is decided here.
 
 use super::{
-    figures, AdmissionPolicy, Arc, BTreeMap, BinaryHeap, ClassMetrics, Draw, JobId, JobSpec, Loads,
-    Micros, Outcome, Pace, Pcg64Mcg, Reach, Reverse, RngCore, Sleeper, VecDeque, WorkerEntry,
-    WorkerId, WorkerStatus, DOWN, INITIAL, MAX, MAX_RANDOMIZATION, RANDOMIZATION, SUCCESSES_DOWN,
-    UP,
+    figures, AdmissionPolicy, Arc, BTreeMap, BinaryHeap, BoundedLoadShare, ClassMetrics, FleetLoad,
+    JobId, JobSpec, Micros, Outcome, Pcg64Mcg, Reverse, RngCore, Sleeper, VecDeque, WatchPacer,
+    WorkerEntry, WorkerId, WorkerStatus, ZoneReachability, DOWN, INITIAL, MAX, MAX_RANDOMIZATION,
+    RANDOMIZATION, SUCCESSES_DOWN, UP,
 };
 
 pub(crate) fn span(units: f64) -> Micros {
@@ -74,7 +74,7 @@
     pub(crate) used: Option<Micros>, // last sent to or heard of, since its connections were last given back
     pub(crate) errors: u32,
     pub(crate) quiet: figures::Quiet,
-    pub(crate) draw: Draw, // of jobs that it is a home for
+    pub(crate) draw: BoundedLoadShare, // of jobs that it is a home for
     pub(crate) cold: (Micros, f64, Option<f64>), // sent to or started, the share of a gap left then, the work sent
 }
 
@@ -162,8 +162,8 @@
     pub(crate) own: f64,
     pub(crate) sent: (u64, u64), // attempts, and those turned away
     pub(crate) others: (f64, f64, Micros), // what others hold: fading sum and weight of reports, and when added to
-    pub(crate) loads: Loads,               // as the list told them
-    pub(crate) reach: Reach,
+    pub(crate) loads: FleetLoad,           // as the list told them
+    pub(crate) reach: ZoneReachability,
     pub(crate) tell_credit: f64,
     pub(crate) probe_credit: f64,
     pub(crate) best: f64,                           // gain of the best lane
@@ -177,7 +177,7 @@
     pub(crate) timers: BinaryHeap<Reverse<(Micros, Timer)>>,
     pub(crate) armed: Option<Micros>,
     pub(crate) rescan_at: Micros,
-    pub(crate) grace: Micros,     // an answer within this is prompt
-    pub(crate) ask: Option<Pace>, // of calls to discovery, where it must be asked
-    pub(crate) asked: Micros,     // when the last one was made: a watch goes on with each answer
+    pub(crate) grace: Micros,           // an answer within this is prompt
+    pub(crate) ask: Option<WatchPacer>, // of calls to discovery, where it must be asked
+    pub(crate) asked: Micros, // when the last one was made: a watch goes on with each answer
 }
--- a/crates/dispatcher/dispatch-policy/src/lib.rs
+++ b/crates/dispatcher/dispatch-policy/src/lib.rs
@@ -23,7 +23,7 @@
     RARE, RESCAN, ROOM_SLACK, RUN_CAP, RUN_SPREAD, SAMPLE, SCOUTS, START_GRACE, START_OVERDUE,
     SUCCESSES_DOWN, TALLY, TELL_SPEND, TOLD_FOR, UP, WASTE_PATIENCE,
 };
-use discovery_pacing::{Draw, Kind, Loads, Pace, Reach};
+use discovery_pacing::{BoundedLoadShare, FleetLoad, KindCapacity, WatchPacer, ZoneReachability};
 use dispatch_api::load_exchange::rendezvous_weight;
 use dispatch_api::{
     Action, AdmissionPolicy, ClassMetrics, DeduplicationScope, DiscoveryFailure, Event,
@@ -53,7 +53,7 @@
     jobs: BTreeMap<JobId, Job>,
     held: BTreeMap<Lane, VecDeque<JobId>>,
     classes: Vec<Tally>,
-    kinds: BTreeMap<u32, Kind>,
+    kinds: BTreeMap<u32, KindCapacity>,
     budget: Budget,
     fleet: Fleet,
 }
@@ -86,7 +86,7 @@
             ..Budget::default()
         };
         let (now, workers, jobs, held, kinds, fleet) = Default::default();
-        let ask = Pace::new(settings.dispatchers, settings.discovery);
+        let ask = WatchPacer::new(settings.dispatchers, settings.discovery);
         let clock = Clock {
             grace,
             ask,
@@ -110,7 +110,12 @@
     /// Takes the time and one event, and appends what to do.
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         self.now = self.now.max(now);
-        if self.clock.ask.as_ref().is_some_and(Pace::unasked) {
+        if self
+            .clock
+            .ask
+            .as_ref()
+            .is_some_and(WatchPacer::is_first_call)
+        {
             self.ask(DiscoveryFailure::Failed);
         }
         let news = event.worker();
--- a/crates/dispatcher/dispatch-policy/src/listing.rs
+++ b/crates/dispatcher/dispatch-policy/src/listing.rs
@@ -1,8 +1,8 @@
 //! What discovery tells of workers, and when it is asked.
 
 use super::{
-    unit, Action, BTreeSet, DiscoveryFailure, Dispatcher, ListUpdateKind, Pace, Reverse, Timer,
-    WorkerEntry, WorkerId, WorkerStatus,
+    unit, Action, BTreeSet, DiscoveryFailure, Dispatcher, ListUpdateKind, Reverse, Timer,
+    WatchPacer, WorkerEntry, WorkerId, WorkerStatus,
 };
 
 impl Dispatcher {
@@ -13,7 +13,7 @@
         out: &mut Vec<Action>,
     ) {
         self.clock.rescan_at = 0;
-        self.clock.ask.iter_mut().for_each(Pace::heard);
+        self.clock.ask.iter_mut().for_each(WatchPacer::answered);
         self.clock.asked = self.now;
         let listed: BTreeSet<WorkerId> = entries.iter().map(|e| e.worker).collect();
         let kept = |id: &WorkerId| kind == ListUpdateKind::Incremental || listed.contains(id);
@@ -29,7 +29,7 @@
                 (worker.backoff, worker.quiet, worker.others, worker.reported) = Default::default();
                 // All dispatchers hear of it about now: each comes in at a time of its own.
                 worker.cold = (self.now, unit(&mut self.rng), None);
-                self.fleet.reach.reached(entry.zone);
+                self.fleet.reach.record_success(entry.zone);
             }
             worker.listing = WorkerEntry {
                 started,
@@ -94,7 +94,7 @@
         let Some(ask) = self.clock.ask.as_mut() else {
             return;
         };
-        let pause = ask.pause(lost, took, unit(&mut self.rng), unit(&mut self.rng));
+        let pause = ask.next_delay(lost, took, unit(&mut self.rng), unit(&mut self.rng));
         self.clock
             .timers
             .push(Reverse((self.now + pause, Timer::Rewatch)));
--- a/crates/dispatcher/dispatch-policy/src/memory.rs
+++ b/crates/dispatcher/dispatch-policy/src/memory.rs
@@ -1,7 +1,7 @@
 //! What passes from one process of a dispatcher to the next. Nothing is decided here.
 
 use super::Dispatcher;
-use discovery_pacing::Kind;
+use discovery_pacing::KindCapacity;
 use dispatch_api::{ClassSnapshot, Micros, PolicySnapshot, WorkerSnapshot};
 
 /// What is known of single workers is believed for so long; kinds and classes change slowly.
@@ -38,7 +38,7 @@
             kinds: self
                 .kinds
                 .iter()
-                .map(|(kind, known)| (*kind, known.known()))
+                .map(|(kind, known)| (*kind, known.snapshot()))
                 .collect(),
             classes: self.classes.iter().map(class).collect(),
             price: (self.fleet.price, self.fleet.best),
@@ -55,7 +55,7 @@
     /// Takes over what a predecessor knew of what is listed by now. What makes no sense is passed over.
     pub fn recall(&mut self, now: Micros, known: &PolicySnapshot) {
         for (kind, figures) in &known.kinds {
-            if let Some(recalled) = Kind::recalled(*figures) {
+            if let Some(recalled) = KindCapacity::from_snapshot(*figures) {
                 self.kinds.insert(*kind, recalled);
             }
         }
--- a/crates/dispatcher/dispatch-policy/src/outcomes.rs
+++ b/crates/dispatcher/dispatch-policy/src/outcomes.rs
@@ -19,7 +19,7 @@
             return;
         };
         w.outstanding[at].started = Some(self.now);
-        self.fleet.reach.reached(w.listing.zone);
+        self.fleet.reach.record_success(w.listing.zone);
         if w.errors < ERRORS && self.settings.start_notices {
             w.backoff.success(&paced(mean_run), &mut self.rng);
         }
@@ -77,7 +77,7 @@
             self.kinds
                 .entry(w.listing.kind)
                 .or_default()
-                .seen(starts().map(|(_, slots)| slots).sum());
+                .record_running(starts().map(|(_, slots)| slots).sum());
         }
         let o = w
             .find(id, attempt)
@@ -94,7 +94,9 @@
         // Called off before its connection was up: it can't be reached.
         let waited = outcome == Outcome::NotSent && told && self.now > o.due;
         let unreached = outcome == Outcome::ConnectFailed || waited;
-        self.fleet.reach.failed(w.listing.zone, unreached && told);
+        if unreached && told {
+            self.fleet.reach.record_failure(w.listing.zone);
+        }
         match outcome {
             Outcome::Rejected => w.backoff.failure(self.now, &usual, &mut self.rng),
             _ if unreached => w.backoff.failure(self.now, &rare, &mut self.rng),
--- a/crates/dispatcher/dispatch-policy/src/placing.rs
+++ b/crates/dispatcher/dispatch-policy/src/placing.rs
@@ -26,7 +26,7 @@
         let (fading, mean_others, idle) = (self.fading(), self.mean_others(), self.idle_span());
         let level = self
             .told_loads()
-            .then(|| self.fleet.loads.level(self.now, self.mean_run()));
+            .then(|| self.fleet.loads.fill_level(self.now, self.mean_run()));
         let candidate = |id: &WorkerId| {
             let w = self
                 .workers
@@ -34,7 +34,7 @@
                 .filter(|w| w.open(self.now, self.clock.grace))?;
             let (slots, pace) = (
                 self.kind(w).slots(),
-                w.pace() * self.fleet.reach.of(w.listing.zone),
+                w.pace() * self.fleet.reach.trust(w.listing.zone),
             );
             let fresh = w.reported.map_or(0.0, &fading);
             let room = match level {
--- a/crates/dispatcher/dispatch-policy/src/probing.rs
+++ b/crates/dispatcher/dispatch-policy/src/probing.rs
@@ -29,12 +29,13 @@
             0.0
         };
         let kind = self.kinds.entry(w.listing.kind).or_default();
-        told.into_iter().for_each(|free| kind.reported(free));
+        told.into_iter()
+            .for_each(|free| kind.record_free_slots(free));
         // Where free slots are not told, what is held says as much: all but what waits is running.
         let free = told.unwrap_or_else(|| {
             let held = held.unwrap_or(0.0);
             // By one slot a report: none that is absurd makes a cold worker look large.
-            kind.seen((held - queued).floor().min(kind.slots() + 1.0));
+            kind.record_running((held - queued).floor().min(kind.slots() + 1.0));
             kind.slots() - held
         });
         if self.now < w.told_until {
--- a/crates/dispatcher/fordrelay/src/folder.rs
+++ b/crates/dispatcher/fordrelay/src/folder.rs
@@ -4,7 +4,7 @@
 //! renamed, and a lock, which it holds for as long as it lives, however it ends. All others' notes are read. What a
 //! dead one left is removed once it has been taken over by one that lives.
 
-use hot_restart::{Note, NoteError, LARGEST};
+use hot_restart::{HandoverError, HandoverFile, MAX_BYTES};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -75,7 +75,7 @@
     ///
     /// # Errors
     /// What the system refuses, or what can't be written.
-    pub fn write<L, K>(&self, note: &Note<L, K>) -> io::Result<()>
+    pub fn write<L, K>(&self, note: &HandoverFile<L, K>) -> io::Result<()>
     where
         L: Serialize + DeserializeOwned,
         K: Serialize + DeserializeOwned,
@@ -87,7 +87,7 @@
     }
 
     /// Looks who is there, and returns the notes that are new since the last look.
-    pub fn look<L, K>(&mut self) -> Vec<Note<L, K>>
+    pub fn look<L, K>(&mut self) -> Vec<HandoverFile<L, K>>
     where
         L: Serialize + DeserializeOwned,
         K: Serialize + DeserializeOwned,
@@ -164,36 +164,36 @@
     }
 }
 
-fn read<L, K>(file: &Path) -> Result<Note<L, K>, NoteError>
+fn read<L, K>(file: &Path) -> Result<HandoverFile<L, K>, HandoverError>
 where
     L: Serialize + DeserializeOwned,
     K: Serialize + DeserializeOwned,
 {
     let mut bytes = vec![];
     let whole =
-        File::open(file).and_then(|file| file.take(LARGEST as u64 + 1).read_to_end(&mut bytes));
-    whole.map_err(|e| NoteError::Malformed(e.to_string()))?;
-    Note::decode(&bytes)
+        File::open(file).and_then(|file| file.take(MAX_BYTES as u64 + 1).read_to_end(&mut bytes));
+    whole.map_err(|e| HandoverError::Malformed(e.to_string()))?;
+    HandoverFile::decode(&bytes)
 }
 
 #[cfg(test)]
 mod tests {
     use super::{path, Folder, NOTE};
-    use hot_restart::{Note, Word};
+    use hot_restart::{HandoverFile, SavedOverride};
 
-    type Plain = Note<u32, u32>;
+    type Plain = HandoverFile<u32, u32>;
 
     fn note(at: u64) -> Plain {
         let words = [(
             "s-1".to_owned(),
-            Word {
+            SavedOverride {
                 out: true,
                 at,
                 since: at,
             },
         )]
         .into();
-        Note {
+        HandoverFile {
             written: at,
             clients: 0,
             words,
--- a/crates/dispatcher/fordrelay/src/succession.rs
+++ b/crates/dispatcher/fordrelay/src/succession.rs
@@ -7,7 +7,7 @@
 use dispatcher_settings::platform::Config;
 use dispatcher_state::{Input, State, TargetOverride};
 use event_loop::{Clock, FlowLimits, LoopHandle};
-use hot_restart::{Event, Note, Place, Word};
+use hot_restart::{Event, HandoverFile, ProcessRole, SavedOverride};
 use http1::Listener;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -40,12 +40,12 @@
     maintenance: Option<maintenance::SavedState>,
 }
 
-type Told = Note<List, Knowledge>;
+type Told = HandoverFile<List, Knowledge>;
 
 /// This process among those of its dispatcher.
 pub struct Succession {
     folder: RefCell<Folder>,
-    place: Cell<Place>,
+    place: Cell<ProcessRole>,
     kept: Rc<RefCell<Kept>>,
     clock: Clock,
     began: u64,
@@ -53,9 +53,9 @@
     classes: Vec<String>,
     kinds: Vec<String>,
     /// What was found at the start, the newest list and all words.
-    found: RefCell<(Option<Told>, BTreeMap<String, Word>)>,
+    found: RefCell<(Option<Told>, BTreeMap<String, SavedOverride>)>,
     /// The latest words that were taken over.
-    heard: RefCell<BTreeMap<String, Word>>,
+    heard: RefCell<BTreeMap<String, SavedOverride>>,
     clients: Cell<usize>,
     others_clients: Cell<usize>,
     written: Cell<u64>,
@@ -67,7 +67,7 @@
     maintains: Cell<bool>,
 }
 
-fn newest(into: &mut BTreeMap<String, Word>, words: BTreeMap<String, Word>) {
+fn newest(into: &mut BTreeMap<String, SavedOverride>, words: BTreeMap<String, SavedOverride>) {
     for (name, word) in words {
         let known = into.entry(name).or_insert(word);
         if word.at > known.at {
@@ -76,8 +76,8 @@
     }
 }
 
-fn input(words: impl IntoIterator<Item = (String, Word)>) -> Input {
-    let target_override = |(name, w): (String, Word)| {
+fn input(words: impl IntoIterator<Item = (String, SavedOverride)>) -> Input {
+    let target_override = |(name, w): (String, SavedOverride)| {
         (
             name,
             TargetOverride {
@@ -117,7 +117,7 @@
         );
         Some(Rc::new(Succession {
             folder: RefCell::new(folder),
-            place: Cell::new(Place::new(others)),
+            place: Cell::new(ProcessRole::new(others)),
             kept: Rc::default(),
             clock,
             began: clock.now(),
@@ -137,7 +137,7 @@
 
     /// Other processes of this dispatcher that live.
     pub fn others(&self) -> usize {
-        self.place.get().processes() - 1
+        self.place.get().process_count() - 1
     }
 
     /// Where the list is kept for a successor.
@@ -149,7 +149,7 @@
     /// configuration's else, and then what the other ever named is known as gone.
     pub fn known(&self, configured: Option<List>) -> Option<List> {
         let found = self.found.borrow().0.clone();
-        let Some(Note {
+        let Some(HandoverFile {
             written,
             discovery,
             list: Some(mut list),
@@ -162,7 +162,7 @@
         if young && discovery.as_deref() == Some(&self.discovery) {
             // Whoever wrote it watches the list on.
             if self.others() > 0 {
-                self.event(Event::Listed);
+                self.event(Event::EndpointsKnown);
             }
             return Some(list);
         }
@@ -211,13 +211,13 @@
 
     fn event(&self, event: Event) {
         let mut place = self.place.get();
-        place.on(event);
+        place.handle_event(event);
         self.place.set(place);
     }
 
     /// Comes back once this process may serve.
     pub async fn may_serve(&self) {
-        while !self.place.get().accepts() {
+        while !self.place.get().accepts_connections() {
             tokio::time::sleep(LOOK / 5).await;
         }
     }
@@ -225,7 +225,7 @@
     /// It was told to stop. Tells whether another process serves on.
     pub fn leave(&self) -> bool {
         self.event(Event::Stop);
-        !self.place.get().accepts()
+        !self.place.get().accepts_connections()
     }
 
     /// Writes this process's note, if it is time for it. Tells whether nothing failed.
@@ -252,14 +252,14 @@
         let words = state.overrides().map(|(name, r)| {
             (
                 name.to_owned(),
-                Word {
+                SavedOverride {
                     out: r.out,
                     at: r.at,
                     since: r.since,
                 },
             )
         });
-        let words: BTreeMap<String, Word> = words.collect();
+        let words: BTreeMap<String, SavedOverride> = words.collect();
         newest(&mut self.heard.borrow_mut(), words.clone());
         let note = Told {
             written: now,
@@ -296,11 +296,11 @@
         let mut processes = 0;
         loop {
             if loop_handle.endpoints_known() {
-                self.event(Event::Listed);
+                self.event(Event::EndpointsKnown);
             }
             let now = self.clock.now();
             if now >= self.began + LIST_WAIT {
-                self.event(Event::Waited);
+                self.event(Event::WaitExpired);
             }
             let notes: Vec<Told> = self.folder.borrow_mut().look();
             for note in notes {
@@ -314,8 +314,9 @@
                 }
                 // Only what is news: each would answer the other's note with its own else, without end.
                 let mut heard = self.heard.borrow_mut();
-                let news =
-                    |(name, word): &(String, Word)| heard.get(name).is_none_or(|h| word.at > h.at);
+                let news = |(name, word): &(String, SavedOverride)| {
+                    heard.get(name).is_none_or(|h| word.at > h.at)
+                };
                 let news: Vec<_> = note.words.into_iter().filter(news).collect();
                 if !news.is_empty() {
                     newest(&mut heard, news.iter().cloned().collect());
@@ -323,7 +324,7 @@
                 }
             }
             let others = self.folder.borrow().living();
-            self.event(Event::Others(others));
+            self.event(Event::OtherProcesses(others));
             self.clients.set(listener.open());
             let share = config.share(1 + others);
             if processes != 1 + others {
--- a/crates/dispatcher/fordrelay/tests/outer_forms.rs
+++ b/crates/dispatcher/fordrelay/tests/outer_forms.rs
@@ -8,7 +8,7 @@
 
 use common::*;
 use dispatcher_settings::list::List;
-use hot_restart::Note;
+use hot_restart::HandoverFile;
 use serde::{Deserialize, Serialize};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
@@ -25,7 +25,7 @@
     maintenance: Option<maintenance::SavedState>,
 }
 
-type Left = Note<List, Knowledge>;
+type Left = HandoverFile<List, Knowledge>;
 
 /// A dispatcher with levels, members, maintenance and a folder, in a folder of its own.
 struct Dispatcher {
--- a/crates/dispatcher/hot-restart/src/note.rs
+++ b/crates/dispatcher/hot-restart/src/file.rs
@@ -12,12 +12,12 @@
 /// The version that is written, and the newest that is read.
 pub const VERSION: u32 = 1;
 /// The largest note that is read, bytes.
-pub const LARGEST: usize = 8 * 1024 * 1024;
+pub const MAX_BYTES: usize = 8 * 1024 * 1024;
 const MAGIC: &str = "fordrelay-note";
 
 /// Why a file is no note that can be read.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
-pub enum NoteError {
+pub enum HandoverError {
     /// It does not begin as one.
     #[error("is no note of fordrelay")]
     Foreign,
@@ -37,7 +37,7 @@
 
 /// The operators' latest word on a target. Times are Unix time in microseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Word {
+pub struct SavedOverride {
     /// It is left out.
     pub out: bool,
     /// When they said so.
@@ -49,7 +49,7 @@
 /// What one process tells. `L` is the list of targets in discovery's form, `K` what is known of them.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(bound = "L: Serialize + DeserializeOwned, K: Serialize + DeserializeOwned")]
-pub struct Note<L, K> {
+pub struct HandoverFile<L, K> {
     /// When it was written, Unix time in microseconds.
     pub written: u64,
     /// Connections from clients that it holds.
@@ -57,7 +57,7 @@
     pub clients: usize,
     /// The operators' word on targets, by name.
     #[serde(default)]
-    pub words: BTreeMap<String, Word>,
+    pub words: BTreeMap<String, SavedOverride>,
     /// Where the discovery was that told the list, which a successor believes only if it is configured with it.
     #[serde(default)]
     pub discovery: Option<String>,
@@ -73,13 +73,13 @@
     None
 }
 
-impl<L: Serialize + DeserializeOwned, K: Serialize + DeserializeOwned> Note<L, K> {
+impl<L: Serialize + DeserializeOwned, K: Serialize + DeserializeOwned> HandoverFile<L, K> {
     /// The bytes of the file.
     ///
     /// # Errors
     /// What of it can't be written as JSON.
-    pub fn encode(&self) -> Result<Vec<u8>, NoteError> {
-        let body = serde_json::to_vec(self).map_err(|e| NoteError::Malformed(e.to_string()))?;
+    pub fn encode(&self) -> Result<Vec<u8>, HandoverError> {
+        let body = serde_json::to_vec(self).map_err(|e| HandoverError::Malformed(e.to_string()))?;
         let mut file = format!(
             "{MAGIC} {VERSION} {} {:08x}\n",
             body.len(),
@@ -94,33 +94,33 @@
     ///
     /// # Errors
     /// Why it says nothing.
-    pub fn decode(file: &[u8]) -> Result<Self, NoteError> {
+    pub fn decode(file: &[u8]) -> Result<Self, HandoverError> {
         let end = file
             .iter()
             .take(128)
             .position(|b| *b == b'\n')
-            .ok_or(NoteError::Foreign)?;
+            .ok_or(HandoverError::Foreign)?;
         let (head, body) = (&file[..end], &file[end + 1..]);
-        let head = std::str::from_utf8(head).map_err(|_| NoteError::Foreign)?;
+        let head = std::str::from_utf8(head).map_err(|_| HandoverError::Foreign)?;
         let words: Vec<&str> = head.split(' ').collect();
         let [MAGIC, version, rest @ ..] = words.as_slice() else {
-            return Err(NoteError::Foreign);
+            return Err(HandoverError::Foreign);
         };
-        let version: u32 = version.parse().map_err(|_| NoteError::Foreign)?;
+        let version: u32 = version.parse().map_err(|_| HandoverError::Foreign)?;
         if version > VERSION {
-            return Err(NoteError::Newer(version));
+            return Err(HandoverError::Newer(version));
         }
         let [length, checksum] = rest else {
-            return Err(NoteError::Foreign);
+            return Err(HandoverError::Foreign);
         };
-        let length: usize = length.parse().map_err(|_| NoteError::Foreign)?;
-        let checksum = u32::from_str_radix(checksum, 16).map_err(|_| NoteError::Foreign)?;
+        let length: usize = length.parse().map_err(|_| HandoverError::Foreign)?;
+        let checksum = u32::from_str_radix(checksum, 16).map_err(|_| HandoverError::Foreign)?;
         if length != body.len() {
-            return Err(NoteError::Cut(body.len(), length));
+            return Err(HandoverError::Cut(body.len(), length));
         }
         if checksum != crc32fast::hash(body) {
-            return Err(NoteError::Changed);
+            return Err(HandoverError::Changed);
         }
-        serde_json::from_slice(body).map_err(|e| NoteError::Malformed(e.to_string()))
+        serde_json::from_slice(body).map_err(|e| HandoverError::Malformed(e.to_string()))
     }
 }
--- a/crates/dispatcher/hot-restart/src/lib.rs
+++ b/crates/dispatcher/hot-restart/src/lib.rs
@@ -1,8 +1,8 @@
 //! Two processes of one dispatcher, as while a new version is brought in: who may do what, and what passes between
 //! them. Nothing here reads a clock, touches a file or a socket.
 
-mod note;
-mod place;
+mod file;
+mod process_role;
 
-pub use note::{Note, NoteError, Word, LARGEST, VERSION};
-pub use place::{Event, Place, Stage};
+pub use file::{HandoverError, HandoverFile, SavedOverride, MAX_BYTES, VERSION};
+pub use process_role::{Event, ProcessRole, Stage};
--- a/crates/dispatcher/hot-restart/src/place.rs
+++ b/crates/dispatcher/hot-restart/src/process_role.rs
@@ -8,33 +8,33 @@
     /// It serves.
     Serving,
     /// It was told to stop.
-    Leaving,
+    Draining,
 }
 
 /// What moves a process on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Event {
     /// Discovery has told it of the targets.
-    Listed,
+    EndpointsKnown,
     /// It has waited for that for as long as it may: whoever starts it is waiting, too.
-    Waited,
+    WaitExpired,
     /// So many other processes of this dispatcher live.
-    Others(usize),
+    OtherProcesses(usize),
     /// It was told to stop.
     Stop,
 }
 
 /// One process among those of its dispatcher.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Place {
+pub struct ProcessRole {
     stage: Stage,
     others: usize,
 }
 
-impl Place {
+impl ProcessRole {
     /// A process that starts while so many others live. With none it serves at once: nobody else does.
     pub fn new(others: usize) -> Self {
-        Place {
+        ProcessRole {
             stage: if others == 0 {
                 Stage::Serving
             } else {
@@ -45,13 +45,16 @@
     }
 
     /// Moves it on.
-    pub fn on(&mut self, event: Event) {
+    pub fn handle_event(&mut self, event: Event) {
         self.stage = match (self.stage, event) {
-            (_, Event::Stop) => Stage::Leaving,
-            (Stage::Starting, Event::Listed | Event::Waited | Event::Others(0)) => Stage::Serving,
+            (_, Event::Stop) => Stage::Draining,
+            (
+                Stage::Starting,
+                Event::EndpointsKnown | Event::WaitExpired | Event::OtherProcesses(0),
+            ) => Stage::Serving,
             (stage, _) => stage,
         };
-        if let Event::Others(others) = event {
+        if let Event::OtherProcesses(others) = event {
             self.others = others;
         }
     }
@@ -62,22 +65,22 @@
     }
 
     /// Jobs can be sent to it; whoever brought it in may stop the others now.
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         self.stage == Stage::Serving
     }
 
     /// It takes connections from the socket that all share. One that leaves does so only while nobody else could.
-    pub fn accepts(&self) -> bool {
-        self.stage == Stage::Serving || self.stage == Stage::Leaving && self.others == 0
+    pub fn accepts_connections(&self) -> bool {
+        self.stage == Stage::Serving || self.stage == Stage::Draining && self.others == 0
     }
 
     /// It holds the port for datagrams from other dispatchers, or tries to.
-    pub fn speaks(&self) -> bool {
-        self.stage != Stage::Leaving
+    pub fn holds_peer_port(&self) -> bool {
+        self.stage != Stage::Draining
     }
 
     /// Processes that the limits of the dispatcher are there for.
-    pub fn processes(&self) -> usize {
+    pub fn process_count(&self) -> usize {
         1 + self.others
     }
 }
--- a/crates/dispatcher/hot-restart/tests/bytes.rs
+++ b/crates/dispatcher/hot-restart/tests/bytes.rs
@@ -1,8 +1,8 @@
 //! The bytes of the note between two processes: each reads what a process of another version wrote.
 
-use hot_restart::{Note, Word, LARGEST, VERSION};
+use hot_restart::{HandoverFile, SavedOverride, MAX_BYTES, VERSION};
 
-type Plain = Note<Vec<String>, u32>;
+type Plain = HandoverFile<Vec<String>, u32>;
 
 const BODY: &str = r#"{"written":1764000000000000,"clients":3,"words":{"s-1":{"out":true,"at":20,"since":10},"s-2":{"out":false,"at":40,"since":30}},"discovery":"127.0.0.1:85","list":["s-1","s-2"],"known":7}"#;
 
@@ -10,14 +10,14 @@
     let word = |name: &str, out, at| {
         (
             name.to_owned(),
-            Word {
+            SavedOverride {
                 out,
                 at,
                 since: at - 10,
             },
         )
     };
-    Note {
+    HandoverFile {
         written: 1_764_000_000_000_000,
         clients: 3,
         words: [word("s-1", true, 20), word("s-2", false, 40)].into(),
@@ -32,7 +32,7 @@
     let file = format!("fordrelay-note 1 {} 1fcb5e92\n{BODY}", BODY.len());
     assert_eq!(String::from_utf8(note().encode().unwrap()).unwrap(), file);
     assert_eq!(Plain::decode(file.as_bytes()), Ok(note()));
-    assert_eq!((VERSION, LARGEST), (1, 8 * 1024 * 1024));
+    assert_eq!((VERSION, MAX_BYTES), (1, 8 * 1024 * 1024));
 }
 
 #[test]
--- a/crates/dispatcher/hot-restart/tests/handover.rs
+++ b/crates/dispatcher/hot-restart/tests/handover.rs
@@ -1,15 +1,15 @@
 //! Files that are cut, changed, foreign or newer, and every order of what can happen to a process.
 
-use hot_restart::{Event, Note, NoteError, Place, Stage, Word};
+use hot_restart::{Event, HandoverError, HandoverFile, ProcessRole, SavedOverride, Stage};
 use proptest::prelude::*;
 
-type Plain = Note<Vec<String>, u32>;
+type Plain = HandoverFile<Vec<String>, u32>;
 
 fn note(words: Vec<(String, bool, u64)>) -> Plain {
     let word = |(name, out, at): (String, bool, u64)| {
         (
             name,
-            Word {
+            SavedOverride {
                 out,
                 at,
                 since: at / 2,
@@ -17,7 +17,7 @@
         )
     };
     let (list, known) = (Some(vec!["s-1".to_owned()]), Some(7));
-    Note {
+    HandoverFile {
         written: 1,
         clients: 3,
         words: words.into_iter().map(word).collect(),
@@ -34,17 +34,17 @@
     let decode = |text: String| Plain::decode(text.as_bytes());
     assert_eq!(
         decode(text.replacen(" 1 ", " 2 ", 1)),
-        Err(NoteError::Newer(2))
+        Err(HandoverError::Newer(2))
     );
     assert_eq!(
         decode("fordrelay-note 9 and what comes then\n".into()),
-        Err(NoteError::Newer(9))
+        Err(HandoverError::Newer(9))
     );
     assert_eq!(
         decode(text.replacen("fordrelay", "another", 1)),
-        Err(NoteError::Foreign)
+        Err(HandoverError::Foreign)
     );
-    assert_eq!(decode(String::new()), Err(NoteError::Foreign));
+    assert_eq!(decode(String::new()), Err(HandoverError::Foreign));
     // Without the fields that came later, and with one that is not known yet.
     let body = r#"{"written":5,"mood":"good"}"#;
     let old = format!(
@@ -69,10 +69,10 @@
 
 fn event() -> impl Strategy<Value = Event> {
     prop_oneof![
-        Just(Event::Listed),
-        Just(Event::Waited),
+        Just(Event::EndpointsKnown),
+        Just(Event::WaitExpired),
         Just(Event::Stop),
-        (0usize..3).prop_map(Event::Others)
+        (0usize..3).prop_map(Event::OtherProcesses)
     ]
 }
 
@@ -99,21 +99,21 @@
         others in 0usize..3,
         events in prop::collection::vec(event(), 0..12),
     ) {
-        let mut place = Place::new(others);
+        let mut place = ProcessRole::new(others);
         let (mut stopped, mut known, mut lives) = (false, others == 0, others);
         for event in events {
-            place.on(event);
+            place.handle_event(event);
             stopped |= event == Event::Stop;
-            known |= matches!(event, Event::Listed | Event::Waited | Event::Others(0));
-            if let Event::Others(n) = event {
+            known |= matches!(event, Event::EndpointsKnown | Event::WaitExpired | Event::OtherProcesses(0));
+            if let Event::OtherProcesses(n) = event {
                 lives = n;
             }
-            prop_assert_eq!(place.ready(), known && !stopped);
-            prop_assert!(!place.ready() || place.accepts());
-            prop_assert!(place.accepts() || lives > 0 || !known, "alone, and nobody accepts");
-            prop_assert_eq!(place.speaks(), !stopped);
-            prop_assert_eq!(place.processes(), lives + 1);
-            prop_assert_eq!(place.stage() == Stage::Leaving, stopped);
+            prop_assert_eq!(place.is_ready(), known && !stopped);
+            prop_assert!(!place.is_ready() || place.accepts_connections());
+            prop_assert!(place.accepts_connections() || lives > 0 || !known, "alone, and nobody accepts");
+            prop_assert_eq!(place.holds_peer_port(), !stopped);
+            prop_assert_eq!(place.process_count(), lives + 1);
+            prop_assert_eq!(place.stage() == Stage::Draining, stopped);
         }
     }
 }
--- a/crates/testbed/testbed/src/model.rs
+++ b/crates/testbed/testbed/src/model.rs
@@ -7,7 +7,7 @@
 use crate::scenario::{name, Addresses, Arrival, Fault, Scenario, SECOND};
 use bytes::Bytes;
 use degradation::{Readings, Spec};
-use discovery_pacing::{ANSWER_WAIT, WATCH_WAIT};
+use discovery_pacing::{ANSWER_TIMEOUT, WATCH_TIMEOUT};
 use dispatch_api::{
     DiscoveryFailure, JobId, JobSpec, ListUpdateKind, LoadReport, Micros, Outcome, WorkerStatus,
 };
@@ -622,7 +622,7 @@
         let (number, told) = (self.next_watch, self.registry.version());
         self.dispatchers[dispatcher].watch = Some(Watch { number, told });
         self.later(
-            self.now + WATCH_WAIT,
+            self.now + WATCH_TIMEOUT,
             Due::Waited {
                 dispatcher,
                 watch: number,
@@ -654,7 +654,7 @@
             Service::Refuses | Service::Silent => {
                 self.dispatchers[dispatcher].watch = None;
                 let (at, lost) = match self.registry.service() {
-                    Service::Silent => (self.now + ANSWER_WAIT, DiscoveryFailure::TimedOut),
+                    Service::Silent => (self.now + ANSWER_TIMEOUT, DiscoveryFailure::TimedOut),
                     _ => (self.now, DiscoveryFailure::Failed),
                 };
                 self.later(
--- a/crates/testbed/testbed/src/registry.rs
+++ b/crates/testbed/testbed/src/registry.rs
@@ -1,7 +1,7 @@
 //! Discovery in virtual time: one service for all dispatchers, which takes their calls in turn. A call whose caller has
 //! stopped waiting takes its turn all the same; a watch that is kept up takes none. No I/O, clock or randomness.
 
-use discovery_pacing::{ANSWER_WAIT, CALL_WAITS};
+use discovery_pacing::{ANSWER_TIMEOUT, QUEUE_TIMEOUT};
 use dispatch_api::Micros;
 use std::collections::BTreeMap;
 
@@ -102,7 +102,7 @@
     pub fn call(&mut self, now: Micros) -> Called {
         self.asked.calls += 1;
         *self.asked.by_second.entry(now / 1_000_000).or_default() += 1;
-        let wait = CALL_WAITS + ANSWER_WAIT;
+        let wait = QUEUE_TIMEOUT + ANSWER_TIMEOUT;
         let called = match self.service {
             Service::Refuses => Called::Fails(now + 1),
             Service::Silent => Called::Fails(now + wait),
@@ -147,7 +147,7 @@
         );
         assert_eq!(
             registry.call(2_200_000),
-            Called::Fails(2_200_000 + CALL_WAITS + ANSWER_WAIT),
+            Called::Fails(2_200_000 + QUEUE_TIMEOUT + ANSWER_TIMEOUT),
             "the given up ones are still in the way"
         );
         assert_eq!(
