--- a/crates/batch/batch-store/examples/recovery.rs
+++ b/crates/batch/batch-store/examples/recovery.rs
@@ -21,7 +21,7 @@
 
 use batch::command::{Command, Take};
 use batch::wire::{Item, Message as _};
-use batch::BatchJobs;
+use batch::BatchJobTable;
 use batch_store::journal::ReadBack;
 use bytes::Bytes;
 use chain_replication::{Machine, Member, Node, Recovered, Write};
@@ -81,7 +81,7 @@
 
 /// A job that is kept.
 fn job(name: String, bytes: usize) -> Bytes {
-    Command::Take(Take {
+    Command::Accept(Take {
         clock: 1,
         batch_job: name.as_str().into(),
         host: "h".into(),
@@ -100,7 +100,7 @@
     let ring = open(folder, options, 7)?.ring;
     let mut number = 0;
     if live > 0 {
-        let mut table = BatchJobs::new();
+        let mut table = BatchJobTable::new();
         for n in 0..live * 1_000_000 / ENTRY_BYTES {
             number += 1;
             table.apply(number, &job(format!("job{n}"), ENTRY_BYTES));
@@ -205,9 +205,9 @@
         addr: ([10, 0, 0, 1], 7_662).into(),
         since: 1,
     };
-    let nodes: Vec<Node<BatchJobs>> = found
+    let nodes: Vec<Node<BatchJobTable>> = found
         .into_iter()
-        .map(|(_, found)| Node::new(me.clone(), BatchJobs::new(), found))
+        .map(|(_, found)| Node::new(me.clone(), BatchJobTable::new(), found))
         .collect();
     let bytes: usize = nodes.iter().map(|node| node.machine().bytes()).sum();
     println!(
@@ -239,7 +239,7 @@
         addr: ([10, 0, 0, 1], 7_662).into(),
         since: 1,
     };
-    let node = Node::new(me, BatchJobs::new(), found);
+    let node = Node::new(me, BatchJobTable::new(), found);
     println!(
         "a member at {} after {:?}; {}",
         node.applied(),
--- a/crates/batch/batch-store/src/core.rs
+++ b/crates/batch/batch-store/src/core.rs
@@ -9,9 +9,9 @@
 use crate::pace::Pace;
 use crate::part::{Act, Part, Turn};
 use batch::wire::{
-    ChainFrame, FetchAnswer, Grant, Heartbeat, Message, PartStatus, Placement, StoreMap, WireError,
-    AUDIT, CHAIN, GRANT, GRANTED, HEARTBEAT, HEARTBEAT_INTERVAL_MS, LEFT, MOST_PARTITIONS, RESERVE,
-    RESERVE_NOTE,
+    ChainFrame, DecodeError, FetchResponse, Heartbeat, LeaseGrant, Message, PartitionStatus,
+    Placement, PlacementMap, AUDIT, AUDIT_RESPONSE, CHAIN, HEARTBEAT, HEARTBEAT_INTERVAL_MS,
+    LEASE_GRANT, MAX_PARTITIONS, RESERVE, RESERVE_PROGRESS, RESERVE_RESPONSE,
 };
 use bytes::Bytes;
 use chain_replication::{Member, Ms, Msg, Recovered, Write};
@@ -169,7 +169,7 @@
 pub enum Odd {
     /// Its bytes are no message.
     #[error("{0}")]
-    Wire(#[from] WireError),
+    Wire(#[from] DecodeError),
     /// A message of the chain that can't be read.
     #[error("{0}")]
     Chain(#[from] chain_replication::BadBytes),
@@ -187,7 +187,7 @@
     parts: Vec<Option<Part<R>>>,
     /// Of the answers to reads of all partitions: they share one link.
     pace: Rc<RefCell<Pace>>,
-    map: Option<StoreMap>,
+    map: Option<PlacementMap>,
     /// Controllers: the head first where known.
     controllers: Vec<SocketAddr>,
     leased_until: Ms,
@@ -260,17 +260,19 @@
     }
 
     /// The map that this store knows.
-    pub fn map(&self) -> Option<&StoreMap> {
+    pub fn map(&self) -> Option<&PlacementMap> {
         self.map.as_ref()
     }
 
     /// One partition's copy, if it has one.
-    pub fn node(&self, part: usize) -> Option<&chain_replication::Node<batch::BatchJobs>> {
+    pub fn node(&self, part: usize) -> Option<&chain_replication::Node<batch::BatchJobTable>> {
         self.parts.get(part)?.as_ref().map(Part::node)
     }
 
     /// The partitions of which it has a copy.
-    pub fn held(&self) -> impl Iterator<Item = (u16, &chain_replication::Node<batch::BatchJobs>)> {
+    pub fn held(
+        &self,
+    ) -> impl Iterator<Item = (u16, &chain_replication::Node<batch::BatchJobTable>)> {
         let parts = self.parts.iter().zip(0u16..);
         parts.filter_map(|(part, number)| part.as_ref().map(|part| (number, part.node())))
     }
@@ -368,7 +370,7 @@
     }
 
     /// The newest map of the stores, as the controllers spread it.
-    pub fn take_map(&mut self, now: Ms, map: StoreMap) {
+    pub fn take_map(&mut self, now: Ms, map: PlacementMap) {
         if self
             .map
             .as_ref()
@@ -392,7 +394,7 @@
         let wanted = map
             .partitions
             .len()
-            .min(MOST_PARTITIONS)
+            .min(MAX_PARTITIONS)
             .max(self.parts.len());
         self.parts.resize_with(wanted, || None);
         for (number, view) in (0u16..).zip(map.partitions.iter()) {
@@ -437,7 +439,7 @@
         match kind {
             CHAIN => {
                 let (number, body) = ChainFrame::split(body)
-                    .ok_or_else(|| WireError::Malformed("a frame".into()))?;
+                    .ok_or_else(|| DecodeError::Malformed("a frame".into()))?;
                 let msg = Msg::decode(&body)?;
                 if !self.persistence.able() {
                     return Ok(());
@@ -450,20 +452,22 @@
                 }
                 Ok(())
             }
-            GRANT => {
-                let grant = Grant::decode(body)?;
+            LEASE_GRANT => {
+                let grant = LeaseGrant::decode(body)?;
                 if !self.controllers.contains(&from) || grant.lease_ms > LEASE_MOST {
                     return Err(Odd::Lease(grant.lease_ms));
                 }
                 self.granted(now, &grant);
                 Ok(())
             }
-            RESERVE | RESERVE_NOTE | GRANTED | AUDIT | LEFT => self.quota_word(now, kind, body),
+            RESERVE | RESERVE_PROGRESS | RESERVE_RESPONSE | AUDIT | AUDIT_RESPONSE => {
+                self.quota_word(now, kind, body)
+            }
             _ => Err(Odd::Kind),
         }
     }
 
-    fn granted(&mut self, now: Ms, grant: &Grant) {
+    fn granted(&mut self, now: Ms, grant: &LeaseGrant) {
         self.granted_at = now;
         if grant.sent_ms <= now {
             self.answered_ms = self.answered_ms.max(grant.sent_ms);
@@ -591,7 +595,7 @@
             if turn.leased {
                 let elsewhere = self.elsewhere(&fetch.call);
                 fetch.reply.answer(
-                    FetchAnswer {
+                    FetchResponse {
                         items: Vec::new(),
                         elsewhere,
                     }
@@ -609,13 +613,14 @@
 
     fn heartbeat(&mut self, now: Ms) {
         self.heartbeat_at = Some(now);
-        let status =
-            |(number, node): (u16, &chain_replication::Node<batch::BatchJobs>)| PartStatus {
+        let status = |(number, node): (u16, &chain_replication::Node<batch::BatchJobTable>)| {
+            PartitionStatus {
                 partition: number,
                 status: node.status(),
                 batch_jobs: u32::try_from(node.machine().len()).unwrap_or(u32::MAX),
                 bytes: node.machine().expected_bytes() as u64,
-            };
+            }
+        };
         let heartbeat = Heartbeat {
             addr: self.terms.addr,
             id: self.terms.id,
--- a/crates/batch/batch-store/src/core/calls.rs
+++ b/crates/batch/batch-store/src/core/calls.rs
@@ -5,10 +5,11 @@
 use crate::fetches::{share, Fetch};
 use crate::part::{Part, Turn};
 use batch::wire::{
-    BodyAnswer, BodyCall, DoneAnswer, DoneCall, Elsewhere, EndAnswer, EndCall, FetchAnswer,
-    FetchCall, HeldPart, HoldAnswer, HoldCall, HoldPart, Message, PartAnswer, Placement,
-    ReadAnswer, ReadCall, SubmitAnswer, SubmitCall, Want, BODY, DONE, END, FETCH, HOLD,
-    MAX_FETCH_BYTES, READ, SUBMIT,
+    CompleteRequest, CompleteResponse, EndRequest, EndResponse, FetchRequest, FetchResponse,
+    ItemBodyRequest, ItemBodyResponse, Message, PartitionLeases, PartitionRedirect,
+    PartitionRenewal, Placement, ReadRequest, ReadResponse, RenewOutcome, RenewRequest,
+    RenewResponse, RouteDemand, SubmitRequest, SubmitResponse, BODY, COMPLETE, END, FETCH,
+    MAX_FETCH_BYTES, READ, RENEW, SUBMIT,
 };
 use bytes::Bytes;
 use chain_replication::Ms;
@@ -20,19 +21,19 @@
         if self.closed {
             // Dropped, the caller asks again elsewhere; only a batch job is certainly not taken.
             if kind == SUBMIT {
-                reply.answer(SubmitAnswer::Busy.encode());
+                reply.answer(SubmitResponse::Unavailable.encode());
             }
             return Ok(());
         }
         let turn = self.turn(now);
         match kind {
-            SUBMIT => self.submit(turn, SubmitCall::decode(body)?, reply),
-            READ => self.read(turn, ReadCall::decode(body)?, reply),
-            BODY => self.body(turn, BodyCall::decode(body)?, reply),
-            END => self.end(turn, &EndCall::decode(body)?, reply),
-            FETCH => self.fetch(turn, FetchCall::decode(body)?, reply),
-            DONE => self.done(turn, DoneCall::decode(body)?, reply),
-            HOLD => self.hold(turn, &HoldCall::decode(body)?, reply),
+            SUBMIT => self.submit(turn, SubmitRequest::decode(body)?, reply),
+            READ => self.read(turn, ReadRequest::decode(body)?, reply),
+            BODY => self.body(turn, ItemBodyRequest::decode(body)?, reply),
+            END => self.end(turn, &EndRequest::decode(body)?, reply),
+            FETCH => self.fetch(turn, FetchRequest::decode(body)?, reply),
+            COMPLETE => self.done(turn, CompleteRequest::decode(body)?, reply),
+            RENEW => self.hold(turn, &RenewRequest::decode(body)?, reply),
             _ => return Err(Odd::Kind),
         }
         Ok(())
@@ -72,12 +73,14 @@
             .filter(|part| part.is_tail())
     }
 
-    fn submit(&mut self, turn: Turn, call: SubmitCall, reply: R) {
+    fn submit(&mut self, turn: Turn, call: SubmitRequest, reply: R) {
         let partition = self.place_of(&call.host, &call.batch_job);
         let Some(part) = self.head(partition) else {
             let answer = self
                 .named(partition, true)
-                .map_or(SubmitAnswer::Busy, |to| SubmitAnswer::Moved { to });
+                .map_or(SubmitResponse::Unavailable, |to| SubmitResponse::Redirect {
+                    to,
+                });
             return reply.answer(answer.encode());
         };
         part.submit(turn, call, reply);
@@ -85,50 +88,58 @@
         self.serve(turn);
     }
 
-    fn read(&mut self, turn: Turn, call: ReadCall, reply: R) {
+    fn read(&mut self, turn: Turn, call: ReadRequest, reply: R) {
         let partition = self.place_of(&call.host, &call.batch_job);
         match self.tail(partition) {
             Some(part) => part.read(turn, call, reply),
             None => {
                 let answer = self
                     .named(partition, false)
-                    .map_or(ReadAnswer::Unsure, |to| ReadAnswer::Moved { to });
+                    .map_or(ReadResponse::Unavailable, |to| ReadResponse::Redirect {
+                        to,
+                    });
                 reply.answer(answer.encode());
             }
         }
     }
 
-    fn body(&mut self, turn: Turn, call: BodyCall, reply: R) {
+    fn body(&mut self, turn: Turn, call: ItemBodyRequest, reply: R) {
         let partition = self.place_of(&call.host, &call.batch_job);
         match self.tail(partition) {
             Some(part) => part.body(turn, call, reply),
             None => {
                 let answer = self
                     .named(partition, false)
-                    .map_or(BodyAnswer::Unsure, |to| BodyAnswer::Moved { to });
+                    .map_or(ItemBodyResponse::Unavailable, |to| {
+                        ItemBodyResponse::Redirect { to }
+                    });
                 reply.answer(answer.encode());
             }
         }
     }
 
-    fn end(&mut self, turn: Turn, call: &EndCall, reply: R) {
+    fn end(&mut self, turn: Turn, call: &EndRequest, reply: R) {
         let partition = self.place_of(&call.host, &call.batch_job);
         let Some(part) = self.head(partition) else {
             let answer = self
                 .named(partition, true)
-                .map_or(EndAnswer::Unsure, |to| EndAnswer::Moved { to });
+                .map_or(EndResponse::Indeterminate, |to| EndResponse::Redirect {
+                    to,
+                });
             return reply.answer(answer.encode());
         };
         part.end(turn, call, reply);
         self.after(turn, partition);
     }
 
-    fn done(&mut self, turn: Turn, call: DoneCall, reply: R) {
+    fn done(&mut self, turn: Turn, call: CompleteRequest, reply: R) {
         let partition = usize::from(call.partition);
         let Some(part) = self.head(partition) else {
             let answer = self
                 .named(partition, true)
-                .map_or(DoneAnswer::Unsure, |to| DoneAnswer::Moved { to });
+                .map_or(CompleteResponse::Indeterminate, |to| {
+                    CompleteResponse::Redirect { to }
+                });
             return reply.answer(answer.encode());
         };
         let some_wait = part.done(turn, call.holder, call.results, reply);
@@ -138,35 +149,37 @@
         }
     }
 
-    fn hold(&mut self, turn: Turn, call: &HoldCall, reply: R) {
+    fn hold(&mut self, turn: Turn, call: &RenewRequest, reply: R) {
         let parts = call
             .parts
             .iter()
             .map(|held| self.hold_part(turn, call.holder, held))
             .collect();
-        reply.answer(HoldAnswer { parts }.encode());
+        reply.answer(RenewResponse { parts }.encode());
         self.serve(turn);
     }
 
-    fn hold_part(&mut self, turn: Turn, holder: u64, held: &HeldPart) -> HoldPart {
+    fn hold_part(&mut self, turn: Turn, holder: u64, held: &PartitionLeases) -> PartitionRenewal {
         let partition = usize::from(held.partition);
         let drop = self
             .head(partition)
             .map(|part| part.hold(turn, holder, &held.held));
         let answer = match drop {
-            Some(Some(drop)) => PartAnswer::Drop { drop },
-            Some(None) => PartAnswer::Unsure,
+            Some(Some(leases)) => RenewOutcome::Revoke { leases },
+            Some(None) => RenewOutcome::Unavailable,
             None => self
                 .named(partition, true)
-                .map_or(PartAnswer::Unsure, |to| PartAnswer::Moved { to }),
+                .map_or(RenewOutcome::Unavailable, |to| RenewOutcome::Redirect {
+                    to,
+                }),
         };
-        HoldPart {
+        PartitionRenewal {
             partition: held.partition,
             answer,
         }
     }
 
-    fn fetch(&mut self, turn: Turn, call: FetchCall, reply: R) {
+    fn fetch(&mut self, turn: Turn, call: FetchRequest, reply: R) {
         let fetch = Fetch {
             reply,
             call,
@@ -178,7 +191,7 @@
         let elsewhere = self.elsewhere(&fetch.call);
         if !elsewhere.is_empty() {
             return fetch.reply.answer(
-                FetchAnswer {
+                FetchResponse {
                     items: Vec::new(),
                     elsewhere,
                 }
@@ -191,8 +204,8 @@
     }
 
     /// Partitions among the wants that have another head.
-    pub(super) fn elsewhere(&mut self, call: &FetchCall) -> Vec<Elsewhere> {
-        let mut elsewhere: Vec<Elsewhere> = Vec::new();
+    pub(super) fn elsewhere(&mut self, call: &FetchRequest) -> Vec<PartitionRedirect> {
+        let mut elsewhere: Vec<PartitionRedirect> = Vec::new();
         let Some(map) = self
             .map
             .as_ref()
@@ -203,7 +216,7 @@
         let homes: Vec<usize> = call
             .wants
             .iter()
-            .map(|want| map.home_of(&want.host))
+            .map(|want| map.home_partition(&want.host))
             .collect();
         for partition in homes {
             let known = elsewhere
@@ -211,7 +224,7 @@
                 .any(|e| usize::from(e.partition) == partition);
             if !known && self.head(partition).is_none() {
                 if let Some(to) = self.named(partition, true) {
-                    elsewhere.push(Elsewhere {
+                    elsewhere.push(PartitionRedirect {
                         partition: partition as u16,
                         to,
                     });
@@ -222,7 +235,7 @@
     }
 
     /// The partitions with items that are wanted, the one with the most urgent item first.
-    fn by_urgency(&mut self, turn: Turn, wants: &[Want]) -> Vec<usize> {
+    fn by_urgency(&mut self, turn: Turn, wants: &[RouteDemand]) -> Vec<usize> {
         let mut found = Vec::new();
         for (number, part) in self.parts.iter_mut().enumerate() {
             let owner = part.as_mut().and_then(|part| part.open(turn));
@@ -262,7 +275,9 @@
             let found = owner.fetch(turn.now, batch_jobs, fetch.call.holder, &wants, most);
             for leased in &found {
                 bytes += leased.item.body.len();
-                let of = |want: &&mut Want| want.host == leased.host && want.route == leased.route;
+                let of = |want: &&mut RouteDemand| {
+                    want.host == leased.host && want.route == leased.route
+                };
                 if let Some(want) = wants.iter_mut().find(of) {
                     want.want = want.want.saturating_sub(1);
                 }
@@ -273,7 +288,7 @@
             return Some(fetch);
         }
         let elsewhere = self.elsewhere(&fetch.call);
-        let answer = FetchAnswer { items, elsewhere }.encode();
+        let answer = FetchResponse { items, elsewhere }.encode();
         self.pace.borrow_mut().spend(turn.now, answer.len());
         fetch.reply.answer(answer);
         None
--- a/crates/batch/batch-store/src/core/quota.rs
+++ b/crates/batch/batch-store/src/core/quota.rs
@@ -3,8 +3,8 @@
 use super::{Odd, Store};
 use crate::answer::Answer;
 use batch::wire::{
-    AuditCall, GrantedWord, LeftWord, Message, ReserveCall, ReserveNote, StoreMap, AUDIT, GRANTED,
-    LEFT, RESERVE, RESERVE_NOTE,
+    AuditRequest, AuditResponse, Message, PlacementMap, ReserveProgress, ReserveRequest,
+    ReserveResponse, AUDIT, AUDIT_RESPONSE, RESERVE, RESERVE_PROGRESS, RESERVE_RESPONSE,
 };
 use bytes::Bytes;
 use chain_replication::Ms;
@@ -18,8 +18,8 @@
         let turn = self.turn(now);
         let number = match kind {
             RESERVE => {
-                let call = ReserveCall::decode(body)?;
-                let Some(home) = self.map.as_ref().map(|map| map.home_of(&call.host)) else {
+                let call = ReserveRequest::decode(body)?;
+                let Some(home) = self.map.as_ref().map(|map| map.home_partition(&call.host)) else {
                     return Ok(());
                 };
                 if let Some(part) = self.head(home) {
@@ -27,16 +27,16 @@
                 }
                 home
             }
-            RESERVE_NOTE => {
-                let note = ReserveNote::decode(body)?;
+            RESERVE_PROGRESS => {
+                let note = ReserveProgress::decode(body)?;
                 let number = usize::from(note.partition);
                 if let Some(part) = self.head(number) {
                     part.reserve_noted(turn, &note);
                 }
                 number
             }
-            GRANTED => {
-                let word = GrantedWord::decode(body)?;
+            RESERVE_RESPONSE => {
+                let word = ReserveResponse::decode(body)?;
                 let number = usize::from(word.partition);
                 if let Some(part) = self.head(number) {
                     part.granted(turn, &word);
@@ -44,15 +44,15 @@
                 number
             }
             AUDIT => {
-                let call = AuditCall::decode(body)?;
+                let call = AuditRequest::decode(body)?;
                 let number = usize::from(call.partition);
                 if let Some(part) = self.head(number) {
                     part.audited(turn, &call);
                 }
                 number
             }
-            LEFT => {
-                let word = LeftWord::decode(body)?;
+            AUDIT_RESPONSE => {
+                let word = AuditResponse::decode(body)?;
                 let number = usize::from(word.home);
                 if let Some(part) = self.head(number) {
                     part.left(turn, &word);
@@ -66,11 +66,11 @@
     }
 
     /// A map with other heads is in force: what was asked of the heads before them is asked again.
-    pub(super) fn heads_changed(&mut self, before: Option<&StoreMap>) {
+    pub(super) fn heads_changed(&mut self, before: Option<&PlacementMap>) {
         let (Some(before), Some(map)) = (before, self.map.as_ref()) else {
             return;
         };
-        let head = |map: &StoreMap, number: usize| {
+        let head = |map: &PlacementMap, number: usize| {
             map.partitions.get(number)?.members.first().map(|m| m.addr)
         };
         let changed = |number: &u16| head(before, (*number).into()) != head(map, (*number).into());
--- a/crates/batch/batch-store/src/fetches.rs
+++ b/crates/batch/batch-store/src/fetches.rs
@@ -1,6 +1,6 @@
 //! Gateways that wait for items.
 
-use batch::wire::{FetchCall, MAX_WAIT_MS};
+use batch::wire::{FetchRequest, MAX_WAIT_MS};
 use chain_replication::Ms;
 use std::collections::VecDeque;
 
@@ -12,7 +12,7 @@
 /// One that waits.
 pub(crate) struct Fetch<R> {
     pub reply: R,
-    pub call: FetchCall,
+    pub call: FetchRequest,
     pub until: Ms,
 }
 
@@ -33,7 +33,7 @@
     }
 
     /// Waits; given back if too many do.
-    pub fn push(&mut self, now: Ms, call: FetchCall, reply: R) -> Option<R> {
+    pub fn push(&mut self, now: Ms, call: FetchRequest, reply: R) -> Option<R> {
         if self.waiting.len() >= MOST {
             return Some(reply);
         }
--- a/crates/batch/batch-store/src/journal.rs
+++ b/crates/batch/batch-store/src/journal.rs
@@ -1,8 +1,8 @@
 //! The records of all partitions on one ring of files: written together, read back, and written once more when too
 //! much of the ring is of no use.
 
-use batch::wire::MOST_PARTITIONS;
-use batch::BatchJobs;
+use batch::wire::MAX_PARTITIONS;
+use batch::BatchJobTable;
 use bytes::Bytes;
 use chain_replication::{Machine, Ms, Node, Recovered, Write};
 use std::collections::VecDeque;
@@ -221,7 +221,7 @@
 
 impl Default for ReadBack {
     fn default() -> Self {
-        let parts = (0..MOST_PARTITIONS).map(|_| PartRead::default()).collect();
+        let parts = (0..MAX_PARTITIONS).map(|_| PartRead::default()).collect();
         ReadBack {
             parts,
             entry_bytes: 0,
@@ -318,7 +318,7 @@
             return Ok(());
         };
         recovered
-            .fold(BatchJobs::new(), keep)
+            .fold(BatchJobTable::new(), keep)
             .map_err(|why| BadRecord::Snapshot { part, why })?;
         self.entry_bytes = self.entry_bytes.saturating_sub(read.entry_bytes);
         read.entry_bytes = recovered.entry_bytes();
@@ -337,7 +337,7 @@
                 continue;
             };
             if let Some((_, _, body)) = &recovered.snapshot {
-                BatchJobs::new()
+                BatchJobTable::new()
                     .restore(body)
                     .map_err(|why| BadRecord::Snapshot { part, why })?;
             }
@@ -507,8 +507,8 @@
     }
 
     /// Time passes: writes the ring anew where that is due, one partition a turn.
-    pub fn tick<'a>(&mut self, nodes: impl Iterator<Item = (u16, &'a Node<BatchJobs>)>) {
-        let nodes: Vec<(u16, &Node<BatchJobs>)> = nodes.collect();
+    pub fn tick<'a>(&mut self, nodes: impl Iterator<Item = (u16, &'a Node<BatchJobTable>)>) {
+        let nodes: Vec<(u16, &Node<BatchJobTable>)> = nodes.collect();
         let live: u64 = nodes
             .iter()
             .map(|(_, node)| node.machine().bytes() as u64)
@@ -577,7 +577,7 @@
     }
 
     /// Queues all that a partition has, in place of what of it was not handed over yet; returns its bytes.
-    fn write_anew(&mut self, part: u16, node: &Node<BatchJobs>) -> u64 {
+    fn write_anew(&mut self, part: u16, node: &Node<BatchJobTable>) -> u64 {
         let mut again: Vec<Bytes> = node.whole().iter().map(Write::encode).collect();
         let own = self.waiting.iter().filter(|waiting| waiting.part == part);
         let mut kept: Vec<Bytes> = own
--- a/crates/batch/batch-store/src/part.rs
+++ b/crates/batch/batch-store/src/part.rs
@@ -6,10 +6,11 @@
 use crate::answer::Answer;
 use crate::pace::Pace;
 use batch::wire::{
-    AuditCall, BodyAnswer, BodyCall, DoneAnswer, EndAnswer, GrantedWord, LeftWord, Message,
-    ReadAnswer, ReadCall, SubmitAnswer, GRANTED, LEFT,
+    AuditRequest, AuditResponse, CompleteResponse, EndResponse, ItemBodyRequest, ItemBodyResponse,
+    Message, ReadRequest, ReadResponse, ReserveResponse, SubmitResponse, AUDIT_RESPONSE,
+    RESERVE_RESPONSE,
 };
-use batch::{BatchJobs, Owner, QuotaOwner};
+use batch::{BatchJobTable, PartitionLeader, QuotaLeader};
 use bytes::Bytes;
 use chain_replication::{Member, Ms, Msg, Node, Out, Recovered, View, Write};
 use compact_str::CompactString;
@@ -72,39 +73,39 @@
     End {
         reply: R,
     },
-    Done {
+    Complete {
         reply: R,
     },
     Read {
         reply: R,
-        call: ReadCall,
+        call: ReadRequest,
         until: Ms,
     },
     Body {
         reply: R,
-        call: BodyCall,
+        call: ItemBodyRequest,
     },
     /// Tokens that were reserved here.
-    Granted {
+    Reserved {
         to: SocketAddr,
-        word: GrantedWord,
+        word: ReserveResponse,
     },
     /// How batch jobs stood when their home partition asked.
-    Left {
+    Audited {
         to: SocketAddr,
-        word: LeftWord,
+        word: AuditResponse,
     },
 }
 
 struct ParkedRead<R> {
     reply: R,
-    call: ReadCall,
+    call: ReadRequest,
     until: Ms,
 }
 
 /// What only the head of a chain has.
 struct Head {
-    owner: Owner,
+    owner: PartitionLeader,
     /// Items are given out once all up to this is committed: what the view began with.
     open_from: u64,
 }
@@ -119,7 +120,7 @@
 /// One partition.
 pub(crate) struct Part<R> {
     number: u16,
-    node: Node<BatchJobs>,
+    node: Node<BatchJobTable>,
     head: Option<Head>,
     waits: VecDeque<(u64, Wait<R>)>,
     reads: Vec<ParkedRead<R>>,
@@ -131,8 +132,8 @@
     /// Batch jobs of which the head waits for the grant of their tokens.
     reserving: Reserving<R>,
     /// Where this is a home partition: who is asked about reservations.
-    quota: QuotaOwner,
-    late_audit: Option<AuditCall>,
+    quota: QuotaLeader,
+    late_audit: Option<AuditRequest>,
     role: Role,
     unready_since: Option<Ms>,
     /// When something was committed last, or became the only thing to be.
@@ -154,9 +155,9 @@
         let addr = me.addr;
         Self {
             number,
-            node: Node::new(me, BatchJobs::new(), recovered),
+            node: Node::new(me, BatchJobTable::new(), recovered),
             reserving: Reserving::new(addr, incarnation),
-            quota: QuotaOwner::new(number, addr, incarnation),
+            quota: QuotaLeader::new(number, addr, incarnation),
             late_audit: None,
             head: None,
             waits: VecDeque::new(),
@@ -174,7 +175,7 @@
         }
     }
 
-    pub fn node(&self) -> &Node<BatchJobs> {
+    pub fn node(&self) -> &Node<BatchJobTable> {
         &self.node
     }
 
@@ -270,7 +271,7 @@
             self.paced.drain(..).for_each(|(_, wait)| unsure(wait));
             self.send_away(|wait| matches!(wait, Wait::Read { .. } | Wait::Body { .. }));
             for read in self.reads.drain(..) {
-                read.reply.answer(ReadAnswer::Unsure.encode());
+                read.reply.answer(ReadResponse::Unavailable.encode());
             }
         }
     }
@@ -286,7 +287,7 @@
 
     fn begin_head(&mut self, turn: Turn) {
         let view = self.node.view().map_or(0, |view| view.number);
-        let owner = Owner::new(turn.now, view, self.node.machine(), turn.poll_ms);
+        let owner = PartitionLeader::new(turn.now, view, self.node.machine(), turn.poll_ms);
         self.quota.begin();
         self.head = Some(Head {
             owner,
@@ -344,36 +345,39 @@
                     head.owner.taken(self.node.machine(), &batch_job);
                 }
                 let answer = if enough {
-                    SubmitAnswer::Taken
+                    SubmitResponse::Accepted
                 } else {
-                    SubmitAnswer::Unsure
+                    SubmitResponse::Indeterminate
                 };
                 reply.answer(answer.encode());
             }
             Wait::End { reply } => {
                 let answer = if enough {
-                    EndAnswer::Ended
+                    EndResponse::Ended
                 } else {
-                    EndAnswer::Unsure
+                    EndResponse::Indeterminate
                 };
                 reply.answer(answer.encode());
             }
-            Wait::Done { reply } => {
+            Wait::Complete { reply } => {
                 let answer = if enough {
-                    DoneAnswer::Accepted
+                    CompleteResponse::Accepted
                 } else {
-                    DoneAnswer::Unsure
+                    CompleteResponse::Indeterminate
                 };
                 reply.answer(answer.encode());
             }
             Wait::Read { reply, call, until } => self.read_now(turn, reply, call, until),
             Wait::Body { reply, call } => self.body_now(turn, reply, call),
             // Of what might be lost with fewer disks than are enough, nobody hears; it is asked for again.
-            Wait::Granted { to, word } if enough => {
-                self.acts.push(Act::Tell(to, GRANTED, word.encode()))
+            Wait::Reserved { to, word } if enough => {
+                self.acts
+                    .push(Act::Tell(to, RESERVE_RESPONSE, word.encode()))
             }
-            Wait::Left { to, word } => self.acts.push(Act::Tell(to, LEFT, word.encode())),
-            Wait::Granted { .. } => {}
+            Wait::Audited { to, word } => {
+                self.acts.push(Act::Tell(to, AUDIT_RESPONSE, word.encode()))
+            }
+            Wait::Reserved { .. } => {}
         }
     }
 
@@ -418,7 +422,7 @@
     }
 
     /// The head's state with its table, once it may give out items.
-    pub fn open(&mut self, turn: Turn) -> Option<(&mut Owner, &BatchJobs)> {
+    pub fn open(&mut self, turn: Turn) -> Option<(&mut PartitionLeader, &BatchJobTable)> {
         let committed = self.node.committed();
         let head = self
             .head
@@ -483,20 +487,20 @@
         self.send_away(|_| true);
         self.paced.drain(..).for_each(|(_, wait)| unsure(wait));
         for read in self.reads.drain(..) {
-            read.reply.answer(ReadAnswer::Unsure.encode());
+            read.reply.answer(ReadResponse::Unavailable.encode());
         }
     }
 }
 
 fn unsure<R: Answer>(wait: Wait<R>) {
     match wait {
-        Wait::Submit { reply, .. } => reply.answer(SubmitAnswer::Unsure.encode()),
-        Wait::End { reply } => reply.answer(EndAnswer::Unsure.encode()),
-        Wait::Done { reply } => reply.answer(DoneAnswer::Unsure.encode()),
-        Wait::Read { reply, .. } => reply.answer(ReadAnswer::Unsure.encode()),
-        Wait::Body { reply, .. } => reply.answer(BodyAnswer::Unsure.encode()),
+        Wait::Submit { reply, .. } => reply.answer(SubmitResponse::Indeterminate.encode()),
+        Wait::End { reply } => reply.answer(EndResponse::Indeterminate.encode()),
+        Wait::Complete { reply } => reply.answer(CompleteResponse::Indeterminate.encode()),
+        Wait::Read { reply, .. } => reply.answer(ReadResponse::Unavailable.encode()),
+        Wait::Body { reply, .. } => reply.answer(ItemBodyResponse::Unavailable.encode()),
         // Nobody waits for these: who wants one asks again.
-        Wait::Granted { .. } | Wait::Left { .. } => {}
+        Wait::Reserved { .. } | Wait::Audited { .. } => {}
     }
 }
 
--- a/crates/batch/batch-store/src/part/calls.rs
+++ b/crates/batch/batch-store/src/part/calls.rs
@@ -3,10 +3,11 @@
 use super::{unsure, ParkedRead, Part, Turn, Wait, MOST_PACED_MS, MOST_WAITING};
 use crate::answer::Answer;
 use batch::wire::{
-    BodyAnswer, BodyCall, Done, DoneAnswer, EndAnswer, EndCall, Held, Message, Outcome, ReadAnswer,
-    ReadCall, SubmitAnswer, SubmitCall, MAX_READ_BYTES, MAX_WAIT_MS,
+    CompleteResponse, Completion, EndRequest, EndResponse, ItemBodyRequest, ItemBodyResponse,
+    LeaseRef, Message, Outcome, ReadRequest, ReadResponse, SubmitRequest, SubmitResponse,
+    MAX_READ_BYTES, MAX_WAIT_MS,
 };
-use batch::{End, Quota, Submit};
+use batch::{EndDecision, QuotaState, SubmitDecision};
 use chain_replication::Ms;
 
 /// Results are proposed in pieces of about so many bytes.
@@ -17,7 +18,7 @@
 
 impl<R: Answer> Part<R> {
     /// A batch job for the head.
-    pub fn submit(&mut self, turn: Turn, call: SubmitCall, reply: R) {
+    pub fn submit(&mut self, turn: Turn, call: SubmitRequest, reply: R) {
         let unready = self
             .unready_since
             .is_some_and(|since| turn.now.saturating_sub(since) >= UNREADY_MS);
@@ -25,34 +26,40 @@
             // `Busy` promises that nothing of it runs, which can't be said of a batch job that is in the table.
             let known = self.node.machine().batch_job(&call.batch_job).is_some();
             let answer = if known {
-                SubmitAnswer::Unsure
+                SubmitResponse::Indeterminate
             } else {
-                SubmitAnswer::Busy
+                SubmitResponse::Unavailable
             };
             return reply.answer(answer.encode());
         }
         let quota = if turn.by_job {
-            Quota::ToReserve
+            QuotaState::Unreserved
         } else {
-            Quota::Here
+            QuotaState::Local
         };
         self.submit_under(turn, call, reply, quota);
         self.settle(turn);
     }
 
     /// A batch job for the head, once it is known who holds the quota for it.
-    pub(super) fn submit_under(&mut self, turn: Turn, call: SubmitCall, reply: R, quota: Quota) {
+    pub(super) fn submit_under(
+        &mut self,
+        turn: Turn,
+        call: SubmitRequest,
+        reply: R,
+        quota: QuotaState,
+    ) {
         let Some(head) = self.head.as_mut() else {
-            return reply.answer(SubmitAnswer::Busy.encode());
+            return reply.answer(SubmitResponse::Unavailable.encode());
         };
         let batch_job = call.batch_job.clone();
         match head
             .owner
             .submit(turn.now, self.node.machine(), call, turn.room, quota)
         {
-            Submit::Reserve(call, tokens) => self.reserve(turn, call, tokens, reply),
-            Submit::Answer(answer) => reply.answer(answer.encode()),
-            Submit::Known => self.wait(
+            SubmitDecision::Reserve(call, tokens) => self.reserve(turn, call, tokens, reply),
+            SubmitDecision::Answer(answer) => reply.answer(answer.encode()),
+            SubmitDecision::Known => self.wait(
                 turn,
                 Wait::Submit {
                     reply,
@@ -60,7 +67,7 @@
                     fresh: false,
                 },
             ),
-            Submit::Propose(command) => {
+            SubmitDecision::Propose(command) => {
                 if self.propose(turn, vec![command]) {
                     self.wait(
                         turn,
@@ -71,31 +78,31 @@
                         },
                     );
                 } else {
-                    reply.answer(SubmitAnswer::Busy.encode());
+                    reply.answer(SubmitResponse::Unavailable.encode());
                 }
             }
         }
     }
 
     /// The end of a batch job, for the head.
-    pub fn end(&mut self, turn: Turn, call: &EndCall, reply: R) {
+    pub fn end(&mut self, turn: Turn, call: &EndRequest, reply: R) {
         let full = self.is_full();
         let Some(head) = self.head.as_mut().filter(|_| !full) else {
-            return reply.answer(EndAnswer::Unsure.encode());
+            return reply.answer(EndResponse::Indeterminate.encode());
         };
         match head
             .owner
             .end(turn.now, self.node.machine(), &call.host, &call.batch_job)
         {
             // Only the tail knows for certain that there is none: this head may have been left behind.
-            End::Unknown if turn.leased => reply.answer(EndAnswer::Unknown.encode()),
-            End::Unknown => reply.answer(EndAnswer::Unsure.encode()),
-            End::Known => self.wait(turn, Wait::End { reply }),
-            End::Propose(command) => {
+            EndDecision::Unknown if turn.leased => reply.answer(EndResponse::NotFound.encode()),
+            EndDecision::Unknown => reply.answer(EndResponse::Indeterminate.encode()),
+            EndDecision::Known => self.wait(turn, Wait::End { reply }),
+            EndDecision::Propose(command) => {
                 if self.propose(turn, vec![command]) {
                     self.wait(turn, Wait::End { reply });
                 } else {
-                    reply.answer(EndAnswer::Unsure.encode());
+                    reply.answer(EndResponse::Indeterminate.encode());
                 }
             }
         }
@@ -103,7 +110,7 @@
     }
 
     /// What became of items, for the head. True if some wait again.
-    pub fn done(&mut self, turn: Turn, holder: u64, results: Vec<Done>, reply: R) -> bool {
+    pub fn done(&mut self, turn: Turn, holder: u64, results: Vec<Completion>, reply: R) -> bool {
         let mut results = results.into_iter().peekable();
         let mut taken = true;
         while taken && results.peek().is_some() {
@@ -126,9 +133,9 @@
             taken = self.propose(turn, commands);
         }
         if taken {
-            self.wait(turn, Wait::Done { reply });
+            self.wait(turn, Wait::Complete { reply });
         } else {
-            reply.answer(DoneAnswer::Unsure.encode());
+            reply.answer(CompleteResponse::Indeterminate.encode());
         }
         self.settle(turn);
         self.head
@@ -137,14 +144,14 @@
     }
 
     /// A read, for the tail.
-    pub fn read(&mut self, turn: Turn, call: ReadCall, reply: R) {
+    pub fn read(&mut self, turn: Turn, call: ReadRequest, reply: R) {
         let until = turn.now + u64::from(call.wait_ms.min(MAX_WAIT_MS));
         self.wait(turn, Wait::Read { reply, call, until });
     }
 
-    pub(super) fn read_now(&mut self, turn: Turn, reply: R, call: ReadCall, until: Ms) {
+    pub(super) fn read_now(&mut self, turn: Turn, reply: R, call: ReadRequest, until: Ms) {
         if !turn.leased {
-            return reply.answer(ReadAnswer::Unsure.encode());
+            return reply.answer(ReadResponse::Unavailable.encode());
         }
         let batch_jobs = self.node.machine();
         let may_grow = turn.now < until && self.reads.len() < MOST_WAITING;
@@ -192,19 +199,19 @@
         }
     }
 
-    fn found(&self, call: &ReadCall) -> ReadAnswer {
+    fn found(&self, call: &ReadRequest) -> ReadResponse {
         match self.node.machine().read(
             &call.host,
             &call.batch_job,
             call.start_after,
             MAX_READ_BYTES,
         ) {
-            Some(found) => ReadAnswer::Found {
+            Some(found) => ReadResponse::Found {
                 total: found.total,
                 next: found.next,
                 results: found.results,
             },
-            None => ReadAnswer::Unknown,
+            None => ReadResponse::NotFound,
         }
     }
 
@@ -239,24 +246,24 @@
     }
 
     /// A call for a body, for the tail.
-    pub fn body(&mut self, turn: Turn, call: BodyCall, reply: R) {
+    pub fn body(&mut self, turn: Turn, call: ItemBodyRequest, reply: R) {
         self.wait(turn, Wait::Body { reply, call });
     }
 
-    pub(super) fn body_now(&mut self, turn: Turn, reply: R, call: BodyCall) {
+    pub(super) fn body_now(&mut self, turn: Turn, reply: R, call: ItemBodyRequest) {
         if turn.leased && !self.pace.borrow().allows(turn.now) {
             return self.wait_for_the_link(turn, Wait::Body { reply, call });
         }
         let answer = if !turn.leased {
-            BodyAnswer::Unsure
+            ItemBodyResponse::Unavailable
         } else {
             match self
                 .node
                 .machine()
                 .body(&call.host, &call.batch_job, &call.item)
             {
-                Some(body) => BodyAnswer::Found { body },
-                None => BodyAnswer::Unknown,
+                Some(body) => ItemBodyResponse::Found { body },
+                None => ItemBodyResponse::NotFound,
             }
         };
         let answer = answer.encode();
@@ -265,7 +272,7 @@
     }
 
     /// What of its holdings a holder must drop; none if this store can't say.
-    pub fn hold(&mut self, turn: Turn, holder: u64, held: &[Held]) -> Option<Vec<Held>> {
+    pub fn hold(&mut self, turn: Turn, holder: u64, held: &[LeaseRef]) -> Option<Vec<LeaseRef>> {
         let head = self.head.as_mut().filter(|_| turn.leased)?;
         Some(head.owner.hold(turn.now, self.node.machine(), holder, held))
     }
--- a/crates/batch/batch-store/src/part/quota.rs
+++ b/crates/batch/batch-store/src/part/quota.rs
@@ -3,10 +3,11 @@
 use super::{Act, Part, Turn, Wait};
 use crate::answer::Answer;
 use batch::wire::{
-    home_of, AuditCall, GrantedWord, Left, LeftWord, Message, ReserveCall, ReserveNote,
-    SubmitAnswer, SubmitCall, AUDIT, GRANTED, RESERVE, RESERVE_NOTE,
+    home_partition, AuditRequest, AuditResponse, Message, RemainingTokens, ReserveProgress,
+    ReserveRequest, ReserveResponse, SubmitRequest, SubmitResponse, AUDIT, RESERVE,
+    RESERVE_PROGRESS, RESERVE_RESPONSE,
 };
-use batch::{most_tokens, Decision, Quota};
+use batch::{max_queued_tokens, QuotaState, ReserveDecision};
 use chain_replication::Ms;
 use compact_str::CompactString;
 use std::collections::BTreeMap;
@@ -26,13 +27,13 @@
 const MOST_RESERVING: usize = 256;
 
 struct Asking<R> {
-    call: ReserveCall,
+    call: ReserveRequest,
     until: Ms,
     asked_at: Ms,
     /// When it was asked first, or said last that its word is about to follow.
     heard_at: Ms,
     /// All tries of the batch job that have come meanwhile.
-    tries: Vec<(SubmitCall, R)>,
+    tries: Vec<(SubmitRequest, R)>,
 }
 
 /// The batch jobs of a partition that wait for their grants. Nothing of them is in the table: they may always be sent away.
@@ -63,13 +64,13 @@
     /// None of them is taken.
     pub fn send_away(&mut self) {
         for (_, asking) in std::mem::take(&mut self.batch_jobs) {
-            asking.answer(&SubmitAnswer::Busy);
+            asking.answer(&SubmitResponse::Unavailable);
         }
     }
 }
 
 impl<R: Answer> Asking<R> {
-    fn answer(self, answer: &SubmitAnswer) {
+    fn answer(self, answer: &SubmitResponse) {
         for (_, reply) in self.tries {
             reply.answer(answer.encode());
         }
@@ -78,21 +79,21 @@
 
 impl<R: Answer> Part<R> {
     /// A batch job that fits here, once its tokens are granted.
-    pub(super) fn reserve(&mut self, turn: Turn, call: SubmitCall, tokens: u64, reply: R) {
+    pub(super) fn reserve(&mut self, turn: Turn, call: SubmitRequest, tokens: u64, reply: R) {
         let reserving = &mut self.reserving;
         if let Some(asking) = reserving.batch_jobs.get_mut(&call.batch_job) {
             if asking.tries.len() < MOST_RESERVING {
                 asking.tries.push((call, reply));
             } else {
-                reply.answer(SubmitAnswer::Busy.encode());
+                reply.answer(SubmitResponse::Unavailable.encode());
             }
             return;
         }
         if reserving.batch_jobs.len() >= MOST_RESERVING {
-            return reply.answer(SubmitAnswer::Busy.encode());
+            return reply.answer(SubmitResponse::Unavailable.encode());
         }
         reserving.nonce += 1;
-        let asked = ReserveCall {
+        let asked = ReserveRequest {
             host: call.host.clone(),
             route: call.route.clone(),
             batch_job: call.batch_job.clone(),
@@ -101,9 +102,9 @@
             incarnation: reserving.incarnation,
             nonce: reserving.nonce,
             tokens,
-            most: most_tokens(call.max_queued, call.excess_permille),
+            most: max_queued_tokens(call.max_queued, call.excess_permille),
         };
-        let home = home_of(&call.host, turn.partitions);
+        let home = home_partition(&call.host, turn.partitions);
         self.acts.push(Act::TellHead(home, RESERVE, asked.encode()));
         let batch_job = call.batch_job.clone();
         let now = turn.now;
@@ -118,7 +119,7 @@
     }
 
     /// What the home partition's head says before its word.
-    pub fn reserve_noted(&mut self, turn: Turn, note: &ReserveNote) {
+    pub fn reserve_noted(&mut self, turn: Turn, note: &ReserveProgress) {
         self.reserving.hears_notes = true;
         let Some(asking) = self.reserving.batch_jobs.get_mut(&note.batch_job) else {
             return;
@@ -140,12 +141,12 @@
 
     fn send_away_one(&mut self, batch_job: &str) {
         if let Some(asking) = self.reserving.batch_jobs.remove(batch_job) {
-            asking.answer(&SubmitAnswer::Busy);
+            asking.answer(&SubmitResponse::Unavailable);
         }
     }
 
     /// The home partition's word on a batch job.
-    pub fn granted(&mut self, turn: Turn, word: &GrantedWord) {
+    pub fn granted(&mut self, turn: Turn, word: &ReserveResponse) {
         let batch_jobs = &mut self.reserving.batch_jobs;
         let current = |asking: &&Asking<R>| {
             asking.call.nonce == word.nonce && asking.call.incarnation == word.incarnation
@@ -157,16 +158,16 @@
             return;
         };
         if !word.granted {
-            return asking.answer(&SubmitAnswer::Full);
+            return asking.answer(&SubmitResponse::QuotaExceeded);
         }
         let may_take = self.node.ready() && !self.is_full() && self.enough(turn);
         for (call, reply) in asking.tries {
             let of_the_grant =
                 call.route == asking.call.route && tokens(&call) <= asking.call.tokens;
             if may_take && of_the_grant {
-                self.submit_under(turn, call, reply, Quota::Granted);
+                self.submit_under(turn, call, reply, QuotaState::Reserved);
             } else {
-                reply.answer(SubmitAnswer::Busy.encode());
+                reply.answer(SubmitResponse::Unavailable.encode());
             }
         }
         self.settle(turn);
@@ -174,12 +175,12 @@
 
     /// How batch jobs stand, for their home partition: as of now, and said once all of it is committed. The command behind it
     /// can't be committed by a head that another one has followed, so its word is never of an older table.
-    pub fn audited(&mut self, turn: Turn, call: &AuditCall) {
+    pub fn audited(&mut self, turn: Turn, call: &AuditRequest) {
         // A chain that stands still is not filled with what is asked again and again.
         let waiting = self
             .waits
             .iter()
-            .filter(|(_, wait)| matches!(wait, Wait::Left { .. }))
+            .filter(|(_, wait)| matches!(wait, Wait::Audited { .. }))
             .count();
         if !self.node.ready() || self.is_full() || waiting >= MOST_AUDITS {
             self.late_audit = Some(call.clone());
@@ -193,13 +194,13 @@
             .batch_jobs
             .iter()
             .filter(|asked| !self.reserving.is_waiting(&asked.batch_job));
-        let batch_jobs = settled.map(|asked| Left {
+        let batch_jobs = settled.map(|asked| RemainingTokens {
             host: asked.host.clone(),
             route: asked.route.clone(),
             batch_job: asked.batch_job.clone(),
             tokens: table.waiting_of(&asked.host, &asked.route, &asked.batch_job),
         });
-        let word = LeftWord {
+        let word = AuditResponse {
             home: call.home,
             partition: self.number,
             incarnation: call.incarnation,
@@ -210,7 +211,7 @@
         if self.propose(turn, vec![barrier]) {
             self.wait(
                 turn,
-                Wait::Left {
+                Wait::Audited {
                     to: call.reply_to,
                     word,
                 },
@@ -227,14 +228,15 @@
     }
 
     /// A batch job's head asks for tokens of a host of which this is the home partition.
-    pub fn reserve_asked(&mut self, turn: Turn, call: ReserveCall) {
+    pub fn reserve_asked(&mut self, turn: Turn, call: ReserveRequest) {
         if !self.node.ready() || self.is_full() {
             return;
         }
         // What is on its way to the disks already is answered once it is there.
-        let same =
-            |word: &GrantedWord| (word.incarnation, word.nonce) == (call.incarnation, call.nonce);
-        let on_its_way = |wait: &Wait<R>| matches!(wait, Wait::Granted { word, .. } if same(word));
+        let same = |word: &ReserveResponse| {
+            (word.incarnation, word.nonce) == (call.incarnation, call.nonce)
+        };
+        let on_its_way = |wait: &Wait<R>| matches!(wait, Wait::Reserved { word, .. } if same(word));
         let soon = !self.is_stalled(turn.now);
         if self.waits.iter().any(|(_, wait)| on_its_way(wait)) {
             return self.note(&call, soon);
@@ -246,12 +248,12 @@
             .quota
             .reserve(turn.now, self.node.machine(), &mut head.owner, &call);
         match decision {
-            Decision::Propose(_) => self.note(&call, soon),
-            Decision::Wait => self.note(&call, !self.quota.is_blind(turn.now)),
-            Decision::Full => {}
+            ReserveDecision::Propose(_) => self.note(&call, soon),
+            ReserveDecision::Undecided => self.note(&call, !self.quota.is_blind(turn.now)),
+            ReserveDecision::Rejected => {}
         }
-        let granted = decision != Decision::Full;
-        let ReserveCall {
+        let granted = decision != ReserveDecision::Rejected;
+        let ReserveRequest {
             partition,
             batch_job,
             incarnation,
@@ -259,7 +261,7 @@
             reply_to,
             ..
         } = call;
-        let word = GrantedWord {
+        let word = ReserveResponse {
             partition,
             batch_job,
             incarnation,
@@ -267,19 +269,22 @@
             granted,
         };
         match decision {
-            Decision::Propose(command) => {
+            ReserveDecision::Propose(command) => {
                 if self.propose(turn, vec![command]) {
-                    self.wait(turn, Wait::Granted { to: reply_to, word });
+                    self.wait(turn, Wait::Reserved { to: reply_to, word });
                 }
             }
-            Decision::Full => self.acts.push(Act::Tell(reply_to, GRANTED, word.encode())),
-            Decision::Wait => self.ask_partitions(turn),
+            ReserveDecision::Rejected => {
+                self.acts
+                    .push(Act::Tell(reply_to, RESERVE_RESPONSE, word.encode()))
+            }
+            ReserveDecision::Undecided => self.ask_partitions(turn),
         }
         self.settle(turn);
     }
 
-    fn note(&mut self, call: &ReserveCall, soon: bool) {
-        let note = ReserveNote {
+    fn note(&mut self, call: &ReserveRequest, soon: bool) {
+        let note = ReserveProgress {
             partition: call.partition,
             batch_job: call.batch_job.clone(),
             incarnation: call.incarnation,
@@ -287,11 +292,11 @@
             soon,
         };
         self.acts
-            .push(Act::Tell(call.reply_to, RESERVE_NOTE, note.encode()));
+            .push(Act::Tell(call.reply_to, RESERVE_PROGRESS, note.encode()));
     }
 
     /// A partition's word on what is reserved.
-    pub fn left(&mut self, turn: Turn, word: &LeftWord) {
+    pub fn left(&mut self, turn: Turn, word: &AuditResponse) {
         let Some(head) = self.head.as_mut() else {
             return;
         };
@@ -317,7 +322,7 @@
                 over.push(batch_job.clone());
             } else if now.saturating_sub(asking.asked_at) >= AGAIN_MS {
                 asking.asked_at = now;
-                let home = home_of(&asking.call.host, turn.partitions);
+                let home = home_partition(&asking.call.host, turn.partitions);
                 self.acts
                     .push(Act::TellHead(home, RESERVE, asking.call.encode()));
             }
@@ -342,7 +347,7 @@
     }
 }
 
-fn tokens(call: &SubmitCall) -> u64 {
+fn tokens(call: &SubmitRequest) -> u64 {
     call.items
         .iter()
         .fold(0, |sum, item| sum.saturating_add(item.tokens))
--- a/crates/batch/batch-store/src/process.rs
+++ b/crates/batch/batch-store/src/process.rs
@@ -2,7 +2,7 @@
 
 use crate::journal::{BadRecord, Journal, ReadBack};
 use crate::{Effect, Store, Terms};
-use batch::wire::{Message, StoreMap};
+use batch::wire::{Message, PlacementMap};
 use bytes::Bytes;
 use peer_transport::{Event, Handler, Links, Me, Peer, Reply};
 use relay_tree::{Follow, Role, StateTable};
@@ -309,7 +309,7 @@
                 continue;
             };
             match key.as_str() {
-                STORES => match StoreMap::decode(&value) {
+                STORES => match PlacementMap::decode(&value) {
                     Ok(map) => self.store.borrow_mut().take_map(now, map),
                     Err(why) => {
                         warn!(self.log, "a map that can't be read"; "code" => 2204, "why" => %why)
--- a/crates/batch/batch-store/tests/journal.rs
+++ b/crates/batch/batch-store/tests/journal.rs
@@ -8,8 +8,8 @@
 )]
 
 use batch::command::{Command, ItemResult, Take};
-use batch::wire::{Item, Message, State, MOST_PARTITIONS};
-use batch::BatchJobs;
+use batch::wire::{Item, Message, ResultStatus, MAX_PARTITIONS};
+use batch::BatchJobTable;
 use batch_store::journal::{read_back, BadRecord, Journal, ReadBack};
 use bytes::Bytes;
 use chain_replication::{Machine as _, Member, Node, Out, Recovered, View, Write};
@@ -54,7 +54,7 @@
 
 struct Disk {
     journal: Journal,
-    nodes: BTreeMap<u16, Node<BatchJobs>>,
+    nodes: BTreeMap<u16, Node<BatchJobTable>>,
     now: u64,
 }
 
@@ -72,8 +72,8 @@
             .map(|(_, r)| r.body.len() as u64)
             .sum();
         let parts = read_back(opened.records).unwrap();
-        let node = |found| Node::new(me(), BatchJobs::new(), found);
-        let nodes: BTreeMap<u16, Node<BatchJobs>> = parts
+        let node = |found| Node::new(me(), BatchJobTable::new(), found);
+        let nodes: BTreeMap<u16, Node<BatchJobTable>> = parts
             .into_iter()
             .map(|(part, found)| (part, node(found)))
             .collect();
@@ -104,7 +104,7 @@
         let node = self
             .nodes
             .entry(part)
-            .or_insert_with(|| Node::new(me(), BatchJobs::new(), Recovered::default()));
+            .or_insert_with(|| Node::new(me(), BatchJobTable::new(), Recovered::default()));
         node.enter(
             self.now,
             View {
@@ -157,7 +157,7 @@
             .tick(self.nodes.iter().map(|(part, node)| (*part, node)));
     }
 
-    fn tables(&self) -> BTreeMap<u16, BatchJobs> {
+    fn tables(&self) -> BTreeMap<u16, BatchJobTable> {
         self.nodes
             .iter()
             .map(|(part, node)| (*part, node.machine().clone()))
@@ -174,7 +174,7 @@
         tokens: 1,
     };
     let items = (0..1 + random.next_u64() as usize % 4).map(item).collect();
-    Command::Take(Take {
+    Command::Accept(Take {
         clock: 1,
         batch_job: name.as_str().into(),
         host: "h".into(),
@@ -207,7 +207,7 @@
         }
         disk.sync(&runtime);
         if round == 3 {
-            // Left, and joined again from nothing: what was there before must not come back.
+            // RemainingTokens, and joined again from nothing: what was there before must not come back.
             disk.nodes.remove(&3);
             disk.journal.void(3);
             disk.enter(3, 1);
@@ -218,7 +218,7 @@
             let name = format!("lot{}", random.next_u64() % 40);
             let command = match random.next_u64() % 4 {
                 0 | 1 => take(&mut random, name, 20_000),
-                2 => Command::Forget {
+                2 => Command::Delete {
                     clock: n,
                     batch_job: name.into(),
                 }
@@ -228,10 +228,10 @@
                     let result = |index| ItemResult {
                         batch_job: name.as_str().into(),
                         index,
-                        state: State::Complete,
+                        state: ResultStatus::Complete,
                         text: text.clone(),
                     };
-                    Command::Results {
+                    Command::RecordResults {
                         clock: n,
                         results: (0..2).map(result).collect(),
                     }
@@ -251,7 +251,7 @@
         before = disk.tables();
         disk.journal.close();
     }
-    let live: usize = before.values().map(BatchJobs::bytes).sum();
+    let live: usize = before.values().map(BatchJobTable::bytes).sum();
     assert!(live > 1 << 20, "{live}: its state takes several pieces");
     assert!(most < 40 << 20, "{most}: bytes of no use stay on the ring");
 }
@@ -305,7 +305,7 @@
         Err(BadRecord::Kind { kind: 6, .. })
     ));
     assert!(matches!(
-        read_back(vec![record(1, MOST_PARTITIONS as u32, one.clone())]),
+        read_back(vec![record(1, MAX_PARTITIONS as u32, one.clone())]),
         Err(BadRecord::Kind { part: 512, .. })
     ));
     assert!(matches!(
@@ -338,7 +338,7 @@
         for _ in 0..MOST_LOOKS {
             self.tick();
             let whole =
-                |node: &Node<BatchJobs>| node.committed() == node.received() && node.active();
+                |node: &Node<BatchJobTable>| node.committed() == node.received() && node.active();
             if self.nodes.values().all(whole) && !self.journal.disk().behind {
                 return true;
             }
@@ -386,7 +386,7 @@
         tries: 1,
         items: vec![item],
     };
-    Command::Take(take).encode()
+    Command::Accept(take).encode()
 }
 
 #[test]
@@ -401,7 +401,7 @@
     for number in 1..=(capacity / 250_000) * 3 {
         assert!(disk.propose(
             3,
-            Command::Forget {
+            Command::Delete {
                 clock: 2,
                 batch_job: format!("lot{number}").into()
             }
@@ -411,7 +411,7 @@
         assert!(disk.propose(3, big(&mut random, format!("more{end}"))));
         if number > 10 {
             let old = capacity / 250_000 + number - 10;
-            let forget = Command::Forget {
+            let forget = Command::Delete {
                 clock: 2,
                 batch_job: format!("more{old}").into(),
             }
@@ -436,7 +436,7 @@
     let body = Bytes::from(disk.nodes[&3].machine().snapshot());
     let number = disk.nodes[&3].received();
     for round in 2..6u64 {
-        // Left, and joined again: the whole state comes once more.
+        // RemainingTokens, and joined again: the whole state comes once more.
         disk.nodes.remove(&3);
         disk.journal.void(3);
         let snapshot = Some((1, number, body.to_vec()));
@@ -454,7 +454,7 @@
             },
         );
         disk.nodes
-            .insert(3, Node::new(me(), BatchJobs::new(), recovered));
+            .insert(3, Node::new(me(), BatchJobTable::new(), recovered));
         // Its tickets begin behind that of the snapshot.
         disk.enter(3, round);
         assert!(
@@ -517,7 +517,7 @@
             for part in 0..parts {
                 // Ten jobs that come again and again: the table stays small, the entries don't.
                 let command = take(&mut random, format!("lot{}", number % 10), ENTRY);
-                let table: &mut BatchJobs = tables.entry(part).or_default();
+                let table: &mut BatchJobTable = tables.entry(part).or_default();
                 table.apply(number, &command);
                 bytes += command.len() as u64;
                 let body = Write::Entry {
@@ -544,7 +544,7 @@
         let found = back.finish().unwrap();
         assert_eq!(found.len(), usize::from(parts));
         for (part, recovered) in found {
-            let node = Node::new(me(), BatchJobs::new(), recovered);
+            let node = Node::new(me(), BatchJobTable::new(), recovered);
             assert!(
                 node.machine() == &tables[&part],
                 "partition {part} of {parts}"
--- a/crates/batch/batch-store/tests/refused.rs
+++ b/crates/batch/batch-store/tests/refused.rs
@@ -71,7 +71,7 @@
     };
     store.take_map(
         300,
-        StoreMap {
+        PlacementMap {
             number: 1,
             partitions: vec![view; PARTITIONS],
             stores: vec![],
@@ -94,8 +94,8 @@
     store.told(
         1_000,
         from,
-        GRANT,
-        &Grant {
+        LEASE_GRANT,
+        &LeaseGrant {
             sent_ms,
             lease_ms,
             map: 1,
@@ -132,7 +132,7 @@
 /// Whether a read at the tail is answered from its copy, which takes a lease.
 fn reads(store: &mut Store<Said>, now: u64) -> bool {
     let said = Said::default();
-    let call = ReadCall {
+    let call = ReadRequest {
         host: HOST.into(),
         batch_job: "none".into(),
         start_after: 0,
@@ -175,7 +175,7 @@
     /// Whatever a stranger tells: no record, no answer to it, and every chain stands as before.
     #[test]
     fn frames_of_strangers_change_no_chain(
-        kind in prop_oneof![Just(CHAIN), Just(GRANT), any::<u16>()], body in prop::collection::vec(any::<u8>(), 0..200),
+        kind in prop_oneof![Just(CHAIN), Just(LEASE_GRANT), any::<u16>()], body in prop::collection::vec(any::<u8>(), 0..200),
     ) {
         let mut store = store();
         let before = stands(&store);
@@ -191,7 +191,7 @@
         at in any::<prop::sample::Index>(), byte in any::<u8>(), cut in any::<prop::sample::Index>(), how in 0u8..3,
     ) {
         let item = |n: u8| Item { id: format!("i-{n}").into(), path: "/p".into(), headers: vec![], body: vec![n; 9].into(), tokens: 9 };
-        let call = SubmitCall {
+        let call = SubmitRequest {
             host: HOST.into(), route: "r".into(), batch_job: "l".into(), age_ms: 0, due_ms: 60_000, retain_ms: 120_000,
             max_queued: 0, excess_permille: 0, tries: 3, items: vec![item(1), item(2)],
         };
--- a/crates/batch/batch-store/tests/store.rs
+++ b/crates/batch/batch-store/tests/store.rs
@@ -133,7 +133,7 @@
         };
         self.store.take_map(
             now,
-            StoreMap {
+            PlacementMap {
                 number,
                 partitions: vec![view; PARTITIONS],
                 stores: vec![],
@@ -144,13 +144,15 @@
     }
 
     fn grant(&mut self, now: u64, sent_ms: u64, map: u64) {
-        let grant = Grant {
+        let grant = LeaseGrant {
             sent_ms,
             lease_ms: 700,
             map,
         }
         .encode();
-        self.store.told(now, controller(1), GRANT, &grant).unwrap();
+        self.store
+            .told(now, controller(1), LEASE_GRANT, &grant)
+            .unwrap();
         self.act(now);
     }
 
@@ -187,7 +189,7 @@
     }
 }
 
-fn submit(batch_job: &str, items: usize) -> SubmitCall {
+fn submit(batch_job: &str, items: usize) -> SubmitRequest {
     let item = |n: usize| Item {
         id: format!("{batch_job}-{n}").into(),
         path: "/p/x".into(),
@@ -195,7 +197,7 @@
         body: Bytes::from(vec![1; 100]),
         tokens: 10,
     };
-    SubmitCall {
+    SubmitRequest {
         host: HOST.into(),
         route: "r".into(),
         batch_job: batch_job.into(),
@@ -209,8 +211,8 @@
     }
 }
 
-fn read(batch_job: &str, start_after: u32, wait_ms: u32) -> ReadCall {
-    ReadCall {
+fn read(batch_job: &str, start_after: u32, wait_ms: u32) -> ReadRequest {
+    ReadRequest {
         host: HOST.into(),
         batch_job: batch_job.into(),
         start_after,
@@ -218,26 +220,26 @@
     }
 }
 
-fn body(batch_job: &str, item: &str) -> BodyCall {
-    BodyCall {
+fn body(batch_job: &str, item: &str) -> ItemBodyRequest {
+    ItemBodyRequest {
         host: HOST.into(),
         batch_job: batch_job.into(),
         item: item.into(),
     }
 }
 
-fn end(batch_job: &str) -> EndCall {
-    EndCall {
+fn end(batch_job: &str) -> EndRequest {
+    EndRequest {
         host: HOST.into(),
         batch_job: batch_job.into(),
     }
 }
 
-fn fetch(want: u32, wait_ms: u32) -> FetchCall {
-    FetchCall {
+fn fetch(want: u32, wait_ms: u32) -> FetchRequest {
+    FetchRequest {
         holder: 9,
         wait_ms,
-        wants: vec![Want {
+        wants: vec![RouteDemand {
             host: HOST.into(),
             route: "r".into(),
             want,
@@ -245,33 +247,33 @@
     }
 }
 
-fn done(leased: &Leased, text: &'static str) -> DoneCall {
+fn done(leased: &LeasedItem, text: &'static str) -> CompleteRequest {
     let outcome = Outcome::Complete {
         text: Bytes::from_static(text.as_bytes()),
     };
-    let done = Done {
+    let done = Completion {
         batch_job: leased.batch_job.clone(),
         index: leased.index,
         lease: leased.lease,
         outcome,
     };
-    DoneCall {
+    CompleteRequest {
         holder: 9,
-        partition: home_of(HOST, PARTITIONS) as u16,
+        partition: home_partition(HOST, PARTITIONS) as u16,
         results: vec![done],
     }
 }
 
-fn hold(leased: &Leased) -> HoldCall {
-    let held = vec![Held {
+fn hold(leased: &LeasedItem) -> RenewRequest {
+    let held = vec![LeaseRef {
         batch_job: leased.batch_job.clone(),
         index: leased.index,
         lease: leased.lease,
     }];
-    HoldCall {
+    RenewRequest {
         holder: 9,
-        parts: vec![HeldPart {
-            partition: home_of(HOST, PARTITIONS) as u16,
+        parts: vec![PartitionLeases {
+            partition: home_partition(HOST, PARTITIONS) as u16,
             held,
         }],
     }
@@ -282,32 +284,38 @@
     let mut one = One::new(1);
     assert_eq!(
         one.ask(5, SUBMIT, &submit("a", 1)),
-        Some(SubmitAnswer::Busy)
+        Some(SubmitResponse::Unavailable)
+    );
+    assert_eq!(
+        one.ask(5, READ, &read("a", 0, 0)),
+        Some(ReadResponse::Unavailable)
     );
-    assert_eq!(one.ask(5, READ, &read("a", 0, 0)), Some(ReadAnswer::Unsure));
     assert_eq!(
         one.ask(5, BODY, &body("a", "a-0")),
-        Some(BodyAnswer::Unsure)
+        Some(ItemBodyResponse::Unavailable)
     );
-    assert_eq!(one.ask(5, END, &end("a")), Some(EndAnswer::Unsure));
-    let call = DoneCall {
+    assert_eq!(one.ask(5, END, &end("a")), Some(EndResponse::Indeterminate));
+    let call = CompleteRequest {
         holder: 9,
         partition: 3,
         results: vec![],
     };
-    assert_eq!(one.ask(5, DONE, &call), Some(DoneAnswer::Unsure));
-    let call = HoldCall {
+    assert_eq!(
+        one.ask(5, COMPLETE, &call),
+        Some(CompleteResponse::Indeterminate)
+    );
+    let call = RenewRequest {
         holder: 9,
-        parts: vec![HeldPart {
+        parts: vec![PartitionLeases {
             partition: 3,
             held: vec![],
         }],
     };
-    let parts = vec![HoldPart {
+    let parts = vec![PartitionRenewal {
         partition: 3,
-        answer: PartAnswer::Unsure,
+        answer: RenewOutcome::Unavailable,
     }];
-    assert_eq!(one.ask(5, HOLD, &call), Some(HoldAnswer { parts }));
+    assert_eq!(one.ask(5, RENEW, &call), Some(RenewResponse { parts }));
     assert!(one
         .store
         .called(5, 0x0399, &Bytes::new(), Said::default())
@@ -329,36 +337,36 @@
     let (head, tail) = (addr(2), addr(3));
     assert_eq!(
         one.ask(5, SUBMIT, &submit("a", 1)),
-        Some(SubmitAnswer::Moved { to: head })
+        Some(SubmitResponse::Redirect { to: head })
     );
     assert_eq!(
         one.ask(5, END, &end("a")),
-        Some(EndAnswer::Moved { to: head })
+        Some(EndResponse::Redirect { to: head })
     );
     assert_eq!(
         one.ask(5, READ, &read("a", 0, 0)),
-        Some(ReadAnswer::Moved { to: tail })
+        Some(ReadResponse::Redirect { to: tail })
     );
     assert_eq!(
         one.ask(5, BODY, &body("a", "i")),
-        Some(BodyAnswer::Moved { to: tail })
+        Some(ItemBodyResponse::Redirect { to: tail })
     );
-    let call = DoneCall {
+    let call = CompleteRequest {
         holder: 9,
         partition: 0,
         results: vec![],
     };
     assert_eq!(
-        one.ask(5, DONE, &call),
-        Some(DoneAnswer::Moved { to: head })
+        one.ask(5, COMPLETE, &call),
+        Some(CompleteResponse::Redirect { to: head })
     );
-    let elsewhere = vec![Elsewhere {
-        partition: home_of(HOST, PARTITIONS) as u16,
+    let elsewhere = vec![PartitionRedirect {
+        partition: home_partition(HOST, PARTITIONS) as u16,
         to: head,
     }];
     assert_eq!(
         one.ask(5, FETCH, &fetch(1, 500)),
-        Some(FetchAnswer {
+        Some(FetchResponse {
             items: vec![],
             elsewhere
         })
@@ -373,41 +381,41 @@
     let again = one.call(10_001, SUBMIT, &submit("a", 1));
     let seen = one.call(10_001, READ, &read("a", 0, 0));
     let fetched = one.call(10_001, FETCH, &fetch(1, 500));
-    assert_eq!(said.take::<SubmitAnswer>(), None);
-    assert_eq!(again.take::<SubmitAnswer>(), None);
-    assert_eq!(seen.take::<ReadAnswer>(), None);
+    assert_eq!(said.take::<SubmitResponse>(), None);
+    assert_eq!(again.take::<SubmitResponse>(), None);
+    assert_eq!(seen.take::<ReadResponse>(), None);
     assert_eq!(
-        fetched.take::<FetchAnswer>(),
+        fetched.take::<FetchResponse>(),
         None,
         "nothing runs that may not be taken"
     );
     one.sync(10_002);
-    assert_eq!(said.take(), Some(SubmitAnswer::Taken));
-    assert_eq!(again.take(), Some(SubmitAnswer::Taken));
+    assert_eq!(said.take(), Some(SubmitResponse::Accepted));
+    assert_eq!(again.take(), Some(SubmitResponse::Accepted));
     assert_eq!(
         seen.take(),
-        Some(ReadAnswer::Found {
+        Some(ReadResponse::Found {
             total: 1,
             next: 0,
             results: vec![]
         })
     );
-    let leased = fetched.take::<FetchAnswer>().unwrap().items.remove(0);
+    let leased = fetched.take::<FetchResponse>().unwrap().items.remove(0);
     one.held = Some(Vec::new());
-    let said = one.call(10_003, DONE, &done(&leased, "text"));
-    let again = one.call(10_003, DONE, &done(&leased, "text"));
+    let said = one.call(10_003, COMPLETE, &done(&leased, "text"));
+    let again = one.call(10_003, COMPLETE, &done(&leased, "text"));
     let ended = one.call(10_003, END, &end("a"));
-    assert_eq!(said.take::<DoneAnswer>(), None);
+    assert_eq!(said.take::<CompleteResponse>(), None);
     assert_eq!(
-        again.take::<DoneAnswer>(),
+        again.take::<CompleteResponse>(),
         None,
         "it is on its way, and not there"
     );
-    assert_eq!(ended.take::<EndAnswer>(), None);
+    assert_eq!(ended.take::<EndResponse>(), None);
     one.sync(10_004);
-    assert_eq!(said.take(), Some(DoneAnswer::Accepted));
-    assert_eq!(again.take(), Some(DoneAnswer::Accepted));
-    assert_eq!(ended.take(), Some(EndAnswer::Ended));
+    assert_eq!(said.take(), Some(CompleteResponse::Accepted));
+    assert_eq!(again.take(), Some(CompleteResponse::Accepted));
+    assert_eq!(ended.take(), Some(EndResponse::Ended));
 }
 
 #[test]
@@ -415,27 +423,27 @@
     let mut one = One::alone(10_000);
     one.call(10_000, SUBMIT, &submit("a", 2));
     let now = one.call(10_000, READ, &read("a", 0, 0));
-    assert!(now.take::<ReadAnswer>().is_some());
+    assert!(now.take::<ReadResponse>().is_some());
     let waiting = one.call(10_000, READ, &read("a", 0, 400));
     let over = one.call(10_000, READ, &read("a", 1, 300));
     let unknown = one.call(10_000, READ, &read("b", 0, 400));
-    assert_eq!(unknown.take(), Some(ReadAnswer::Unknown));
+    assert_eq!(unknown.take(), Some(ReadResponse::NotFound));
     one.tick(10_100);
-    assert_eq!(waiting.take::<ReadAnswer>(), None);
-    let leased: FetchAnswer = one.ask(10_100, FETCH, &fetch(2, 0)).unwrap();
-    one.call(10_150, DONE, &done(&leased.items[0], "x"));
-    let Some(ReadAnswer::Found { next, results, .. }) = waiting.take() else {
+    assert_eq!(waiting.take::<ReadResponse>(), None);
+    let leased: FetchResponse = one.ask(10_100, FETCH, &fetch(2, 0)).unwrap();
+    one.call(10_150, COMPLETE, &done(&leased.items[0], "x"));
+    let Some(ReadResponse::Found { next, results, .. }) = waiting.take() else {
         panic!("no results")
     };
     assert_eq!(
         (next, results.len(), &results[0].text[..]),
         (1, 1, &b"x"[..])
     );
-    assert_eq!(over.take::<ReadAnswer>(), None);
+    assert_eq!(over.take::<ReadResponse>(), None);
     one.tick(10_300);
     assert_eq!(
         over.take(),
-        Some(ReadAnswer::Found {
+        Some(ReadResponse::Found {
             total: 2,
             next: 1,
             results: vec![]
@@ -444,12 +452,12 @@
     let ended = one.call(10_300, READ, &read("a", 1, 400));
     one.call(10_310, END, &end("a"));
     assert!(
-        ended.take::<ReadAnswer>().is_some(),
+        ended.take::<ReadResponse>().is_some(),
         "there will be no more"
     );
     assert!(one
         .call(10_320, READ, &read("a", 1, 400))
-        .take::<ReadAnswer>()
+        .take::<ReadResponse>()
         .is_some());
 }
 
@@ -457,39 +465,42 @@
 fn without_a_lease_no_read_is_answered_and_no_item_given_out() {
     let mut one = One::alone(10_000);
     one.call(10_000, SUBMIT, &submit("a", 2));
-    let leased: FetchAnswer = one.ask(10_001, FETCH, &fetch(1, 0)).unwrap();
+    let leased: FetchResponse = one.ask(10_001, FETCH, &fetch(1, 0)).unwrap();
     assert_eq!(
         one.ask(10_699, BODY, &body("a", "a-1")),
-        Some(BodyAnswer::Found {
+        Some(ItemBodyResponse::Found {
             body: vec![1; 100].into()
         })
     );
     // The lease counts from when the heartbeat was sent.
     assert_eq!(
         one.ask(10_700, READ, &read("a", 0, 0)),
-        Some(ReadAnswer::Unsure)
+        Some(ReadResponse::Unavailable)
     );
     assert_eq!(
         one.ask(10_700, READ, &read("b", 0, 0)),
-        Some(ReadAnswer::Unsure)
+        Some(ReadResponse::Unavailable)
     );
     assert_eq!(
         one.ask(10_700, BODY, &body("a", "a-1")),
-        Some(BodyAnswer::Unsure)
+        Some(ItemBodyResponse::Unavailable)
     );
-    assert_eq!(one.ask(10_700, END, &end("b")), Some(EndAnswer::Unsure));
-    let unsure = vec![HoldPart {
-        partition: home_of(HOST, PARTITIONS) as u16,
-        answer: PartAnswer::Unsure,
+    assert_eq!(
+        one.ask(10_700, END, &end("b")),
+        Some(EndResponse::Indeterminate)
+    );
+    let unsure = vec![PartitionRenewal {
+        partition: home_partition(HOST, PARTITIONS) as u16,
+        answer: RenewOutcome::Unavailable,
     }];
     assert_eq!(
-        one.ask(10_700, HOLD, &hold(&leased.items[0])),
-        Some(HoldAnswer { parts: unsure })
+        one.ask(10_700, RENEW, &hold(&leased.items[0])),
+        Some(RenewResponse { parts: unsure })
     );
     let fetched = one.call(10_700, FETCH, &fetch(1, 200));
     one.tick(11_000);
     assert_eq!(
-        fetched.take::<FetchAnswer>(),
+        fetched.take::<FetchResponse>(),
         None,
         "not even that there is none"
     );
@@ -497,19 +508,19 @@
     one.grant(11_000, 10_900, 2);
     assert_eq!(
         one.ask(11_000, READ, &read("a", 0, 0)),
-        Some(ReadAnswer::Unsure)
+        Some(ReadResponse::Unavailable)
     );
     one.grant(11_000, 10_900, 1);
     assert!(matches!(
         one.ask(11_000, READ, &read("a", 0, 0)),
-        Some(ReadAnswer::Found { .. })
+        Some(ReadResponse::Found { .. })
     ));
-    assert_eq!(one.ask(11_000, END, &end("b")), Some(EndAnswer::Unknown));
+    assert_eq!(one.ask(11_000, END, &end("b")), Some(EndResponse::NotFound));
     // A read that waits looks at the lease again when its answer is released.
     let waiting = one.call(11_000, READ, &read("a", 0, 900));
-    let leased: FetchAnswer = one.ask(11_000, FETCH, &fetch(1, 0)).unwrap();
-    one.call(11_700, DONE, &done(&leased.items[0], "x"));
-    assert_eq!(waiting.take(), Some(ReadAnswer::Unsure));
+    let leased: FetchResponse = one.ask(11_000, FETCH, &fetch(1, 0)).unwrap();
+    one.call(11_700, COMPLETE, &done(&leased.items[0], "x"));
+    assert_eq!(waiting.take(), Some(ReadResponse::Unavailable));
 }
 
 #[test]
@@ -518,15 +529,15 @@
     let first = one.call(10_000, FETCH, &fetch(2, 2_000));
     let second = one.call(10_000, FETCH, &fetch(2, 2_000));
     one.call(10_010, SUBMIT, &submit("a", 3));
-    let (first, second): (FetchAnswer, FetchAnswer) =
+    let (first, second): (FetchResponse, FetchResponse) =
         (first.take().unwrap(), second.take().unwrap());
     assert_eq!((first.items.len(), second.items.len()), (2, 1));
     let third = one.call(10_020, FETCH, &fetch(2, 2_000));
     let mut call = done(&first.items[0], "");
     call.results[0].outcome = Outcome::Released;
-    one.call(10_030, DONE, &call);
+    one.call(10_030, COMPLETE, &call);
     assert_eq!(
-        third.take::<FetchAnswer>().unwrap().items[0].item.id,
+        third.take::<FetchResponse>().unwrap().items[0].item.id,
         first.items[0].item.id
     );
     // A holder that says nothing more loses what it holds.
@@ -536,7 +547,7 @@
         one.tick(now);
     }
     assert_eq!(
-        fourth.take::<FetchAnswer>().unwrap().items,
+        fourth.take::<FetchResponse>().unwrap().items,
         [],
         "its time was over"
     );
@@ -544,7 +555,7 @@
         one.grant(now, now, 1);
         one.tick(now);
     }
-    let fifth: FetchAnswer = one.ask(13_200, FETCH, &fetch(5, 0)).unwrap();
+    let fifth: FetchResponse = one.ask(13_200, FETCH, &fetch(5, 0)).unwrap();
     assert_eq!(fifth.items.len(), 3);
 }
 
@@ -560,7 +571,7 @@
     one.store.disk(10_000, disk);
     assert_eq!(
         one.ask(10_000, SUBMIT, &submit("a", 1)),
-        Some(SubmitAnswer::Taken)
+        Some(SubmitResponse::Accepted)
     );
     one.store.disk(
         10_000,
@@ -571,11 +582,11 @@
     );
     assert_eq!(
         one.ask(10_000, SUBMIT, &submit("b", 1)),
-        Some(SubmitAnswer::Busy)
+        Some(SubmitResponse::Unavailable)
     );
     assert_eq!(
         one.ask(10_000, SUBMIT, &submit("a", 1)),
-        Some(SubmitAnswer::Taken),
+        Some(SubmitResponse::Accepted),
         "it is there already"
     );
     one.store.disk(
@@ -594,39 +605,42 @@
     );
     assert_eq!(
         one.ask(10_999, SUBMIT, &submit("b", 1)),
-        Some(SubmitAnswer::Taken),
+        Some(SubmitResponse::Accepted),
         "only for a moment"
     );
     assert_eq!(
         one.ask(11_000, SUBMIT, &submit("c", 1)),
-        Some(SubmitAnswer::Busy)
+        Some(SubmitResponse::Unavailable)
     );
     one.store.disk(11_000, disk);
     assert_eq!(
         one.ask(11_000, SUBMIT, &submit("c", 200)),
-        Some(SubmitAnswer::Taken)
+        Some(SubmitResponse::Accepted)
     );
     assert_eq!(
         one.ask(11_000, SUBMIT, &submit("d", 200)),
-        Some(SubmitAnswer::Taken)
+        Some(SubmitResponse::Accepted)
     );
     assert!(one.store.bytes() > 100_000);
     assert_eq!(
         one.ask(11_000, SUBMIT, &submit("e", 1)),
-        Some(SubmitAnswer::Busy)
+        Some(SubmitResponse::Unavailable)
     );
     one.call(11_001, END, &end("c"));
     assert_eq!(
         one.ask(11_001, SUBMIT, &submit("e", 1)),
-        Some(SubmitAnswer::Taken)
+        Some(SubmitResponse::Accepted)
     );
     // The results to come count too.
     let mut large = submit("f", 1);
     large.items[0].tokens = 100_000;
-    assert_eq!(one.ask(11_001, SUBMIT, &large), Some(SubmitAnswer::Taken));
+    assert_eq!(
+        one.ask(11_001, SUBMIT, &large),
+        Some(SubmitResponse::Accepted)
+    );
     assert_eq!(
         one.ask(11_001, SUBMIT, &submit("g", 1)),
-        Some(SubmitAnswer::Busy)
+        Some(SubmitResponse::Unavailable)
     );
 }
 
@@ -636,30 +650,30 @@
     one.map(5_000, 1, &[1], &[]);
     assert_eq!(
         one.ask(6_000, SUBMIT, &submit("a", 1)),
-        Some(SubmitAnswer::Busy)
+        Some(SubmitResponse::Unavailable)
     );
     let mut one = One::new(2);
     one.map(5_000, 1, &[1, 2], &[]);
     one.tick(5_100);
     let waits = one.call(5_200, SUBMIT, &submit("a", 1));
     assert_eq!(
-        waits.take::<SubmitAnswer>(),
+        waits.take::<SubmitResponse>(),
         None,
         "the other may be there soon"
     );
     one.tick(6_200);
     assert_eq!(
         one.ask(6_200, SUBMIT, &submit("b", 1)),
-        Some(SubmitAnswer::Busy)
+        Some(SubmitResponse::Unavailable)
     );
     // Busy promises that nothing of it runs. This one is in the table, and may yet be taken.
     assert_eq!(
         one.ask(6_200, SUBMIT, &submit("a", 1)),
-        Some(SubmitAnswer::Unsure)
+        Some(SubmitResponse::Indeterminate)
     );
     // Its place is another's now: whether the batch job is taken nobody here can say.
     one.map(6_300, 2, &[2, 1], &[]);
-    assert_eq!(waits.take(), Some(SubmitAnswer::Unsure));
+    assert_eq!(waits.take(), Some(SubmitResponse::Indeterminate));
 }
 
 /// Carries what the two say to each other, until they say nothing more.
@@ -696,7 +710,11 @@
     talk(5_000, &mut one, &mut two);
     let said = two.call(5_010, SUBMIT, &submit("a", 1));
     talk(5_010, &mut one, &mut two);
-    assert_eq!(said.take::<SubmitAnswer>(), None, "the third says nothing");
+    assert_eq!(
+        said.take::<SubmitResponse>(),
+        None,
+        "the third says nothing"
+    );
     one.map(6_000, 2, &[1, 3], &[]);
     assert!(one
         .store
@@ -709,11 +727,11 @@
     one.grant(7_000, 7_000, 2);
     let fetched = one.call(7_000, FETCH, &fetch(1, 1_000));
     one.tick(7_100);
-    assert_eq!(fetched.take::<FetchAnswer>(), None);
+    assert_eq!(fetched.take::<FetchResponse>(), None);
     one.map(7_200, 3, &[1], &[]);
     one.grant(7_200, 7_200, 3);
     one.tick(7_300);
-    assert_eq!(fetched.take::<FetchAnswer>().unwrap().items.len(), 1);
+    assert_eq!(fetched.take::<FetchResponse>().unwrap().items.len(), 1);
 }
 
 #[test]
@@ -723,11 +741,11 @@
     let parked = one.call(10_000, READ, &read("a", 0, 1_000));
     one.map(10_100, 2, &[2, 3], &[]);
     assert_eq!(one.voids.len(), PARTITIONS);
-    assert_eq!(parked.take(), Some(ReadAnswer::Unsure));
+    assert_eq!(parked.take(), Some(ReadResponse::Unavailable));
     assert_eq!(one.store.held().count(), 0);
     assert_eq!(
         one.ask(10_100, READ, &read("a", 0, 0)),
-        Some(ReadAnswer::Moved { to: addr(3) })
+        Some(ReadResponse::Redirect { to: addr(3) })
     );
     one.map(10_200, 3, &[2, 3], &[1]);
     assert_eq!(one.store.held().count(), PARTITIONS);
@@ -792,22 +810,22 @@
     one.act(10_010);
     assert_eq!(
         one.ask(10_020, SUBMIT, &submit("a", 1)),
-        Some(SubmitAnswer::Taken)
+        Some(SubmitResponse::Accepted)
     );
     let parked = one.call(10_020, READ, &read("a", 0, 1_000));
     one.held = Some(Vec::new());
     let unsaid = one.call(10_030, SUBMIT, &submit("b", 1));
     one.store.close();
     one.act(10_040);
-    assert_eq!(parked.take(), Some(ReadAnswer::Unsure));
-    assert_eq!(unsaid.take(), Some(SubmitAnswer::Unsure));
+    assert_eq!(parked.take(), Some(ReadResponse::Unavailable));
+    assert_eq!(unsaid.take(), Some(SubmitResponse::Indeterminate));
     assert_eq!(
         one.ask(10_050, SUBMIT, &submit("c", 1)),
-        Some(SubmitAnswer::Busy)
+        Some(SubmitResponse::Unavailable)
     );
     assert_eq!(
         one.call(10_050, READ, &read("a", 0, 0))
-            .take::<ReadAnswer>(),
+            .take::<ReadResponse>(),
         None
     );
 }
@@ -837,7 +855,7 @@
     one.store.disk(10_000, disk);
     assert_eq!(
         one.ask(10_000, SUBMIT, &submit("a", 200)),
-        Some(SubmitAnswer::Taken)
+        Some(SubmitResponse::Accepted)
     );
     assert!(
         (47_000..100_000).contains(&one.store.bytes()),
@@ -846,7 +864,7 @@
     );
     assert_eq!(
         one.ask(10_000, SUBMIT, &submit("b", 1)),
-        Some(SubmitAnswer::Busy)
+        Some(SubmitResponse::Unavailable)
     );
 }
 
@@ -856,12 +874,12 @@
     let mut one = One::alone_on_link(10_000, 1);
     assert_eq!(
         one.ask(10_000, SUBMIT, &submit("a", 1)),
-        Some(SubmitAnswer::Taken)
+        Some(SubmitResponse::Accepted)
     );
     let call = read("a", 1, 0);
     let bytes = {
         let said = one.call(10_000, READ, &call);
-        let found: Option<ReadAnswer> = said.take();
+        let found: Option<ReadResponse> = said.take();
         found.expect("the first leaves at once").encode().len()
     };
     // At a byte a millisecond, 100 ms of the link may be ahead.
@@ -869,7 +887,7 @@
     let answered = |waiting: &[Said]| {
         waiting
             .iter()
-            .filter_map(|said| said.take::<ReadAnswer>())
+            .filter_map(|said| said.take::<ReadResponse>())
             .collect::<Vec<_>>()
     };
     let at_once = answered(&waiting).len();
@@ -893,7 +911,7 @@
     let rest = answered(&waiting);
     assert!(
         rest.iter()
-            .filter(|answer| matches!(answer, ReadAnswer::Unsure))
+            .filter(|answer| matches!(answer, ReadResponse::Unavailable))
             .count()
             >= rest.len() - most
     );
@@ -951,12 +969,15 @@
     let dues = [9_000, 3_000, 7_000, 5_000, 8_000, 4_000, 6_000, 2_000];
     for due_ms in dues {
         let batch_job = format!("lot-{due_ms}");
-        let call = SubmitCall {
+        let call = SubmitRequest {
             due_ms,
             max_queued: 0,
             ..submit(&batch_job, 1)
         };
-        assert_eq!(one.ask(10_000, SUBMIT, &call), Some(SubmitAnswer::Taken));
+        assert_eq!(
+            one.ask(10_000, SUBMIT, &call),
+            Some(SubmitResponse::Accepted)
+        );
     }
     let parts = dues.map(|due| partition_of(HOST, &format!("lot-{due}"), PARTITIONS));
     assert!(
@@ -969,7 +990,7 @@
     );
     let mut got = Vec::new();
     for _ in dues {
-        let answer: FetchAnswer = one.ask(10_100, FETCH, &fetch(1, 0)).expect("an item");
+        let answer: FetchResponse = one.ask(10_100, FETCH, &fetch(1, 0)).expect("an item");
         got.extend(answer.items.into_iter().map(|leased| leased.due_in_ms));
     }
     assert!(got.len() == dues.len() && got.is_sorted(), "{got:?}");
@@ -982,7 +1003,7 @@
     one.placement = Placement::ByJob;
     one.map(1, 1, &[1], &[]);
     one.grant(10_000, 10_000, 1);
-    let call = |batch_job: &str| SubmitCall {
+    let call = |batch_job: &str| SubmitRequest {
         max_queued: 1_000,
         excess_permille: 0,
         ..submit(batch_job, 1)
@@ -992,27 +1013,27 @@
     for n in 0..fit {
         assert_eq!(
             one.ask(10_000, SUBMIT, &call(&format!("lot-{n}"))),
-            Some(SubmitAnswer::Taken)
+            Some(SubmitResponse::Accepted)
         );
     }
     assert_eq!(
         one.ask(10_001, SUBMIT, &call("lot-0")),
-        Some(SubmitAnswer::Taken),
+        Some(SubmitResponse::Accepted),
         "known"
     );
     let one_more = one.call(10_001, SUBMIT, &call("one-more"));
     for now in (10_050..10_500).step_by(50) {
         one.tick(now);
     }
-    assert_eq!(one_more.take(), Some(SubmitAnswer::Full));
-    one.ask::<_, EndAnswer>(10_500, END, &end("lot-0"));
+    assert_eq!(one_more.take(), Some(SubmitResponse::QuotaExceeded));
+    one.ask::<_, EndResponse>(10_500, END, &end("lot-0"));
     // The words on which a refusal rests are renewed meanwhile.
     for now in (10_550..10_800).step_by(50) {
         one.tick(now);
     }
     assert_eq!(
         one.ask(10_800, SUBMIT, &call("one-more")),
-        Some(SubmitAnswer::Taken)
+        Some(SubmitResponse::Accepted)
     );
 }
 
@@ -1023,7 +1044,7 @@
     one.placement = Placement::ByJob;
     one.map(1, 1, &[1], &[]);
     one.grant(10_000, 10_000, 1);
-    let unlimited = SubmitCall {
+    let unlimited = SubmitRequest {
         max_queued: 0,
         excess_permille: 0,
         ..submit("a", 1)
@@ -1031,9 +1052,9 @@
     let tokens: u64 = unlimited.items.iter().map(|item| item.tokens).sum();
     assert_eq!(
         one.ask(10_000, SUBMIT, &unlimited),
-        Some(SubmitAnswer::Taken)
+        Some(SubmitResponse::Accepted)
     );
-    let limited = |batch_job: &str, max_queued| SubmitCall {
+    let limited = |batch_job: &str, max_queued| SubmitRequest {
         max_queued,
         excess_permille: 0,
         ..submit(batch_job, 1)
@@ -1042,10 +1063,10 @@
     for now in (10_050..10_500).step_by(50) {
         one.tick(now);
     }
-    assert_eq!(too_much.take(), Some(SubmitAnswer::Full));
+    assert_eq!(too_much.take(), Some(SubmitResponse::QuotaExceeded));
     assert_eq!(
         one.ask(10_500, SUBMIT, &limited("c", 2 * tokens)),
-        Some(SubmitAnswer::Taken)
+        Some(SubmitResponse::Accepted)
     );
 }
 
@@ -1056,7 +1077,7 @@
     one.placement = Placement::ByJob;
     one.map(1, 1, &[1], &[]);
     one.grant(10_000, 10_000, 1);
-    let word = GrantedWord {
+    let word = ReserveResponse {
         partition: 900,
         batch_job: "l".into(),
         incarnation: 77,
@@ -1064,9 +1085,9 @@
         granted: true,
     };
     one.store
-        .told(10_000, addr(2), GRANTED, &word.encode())
+        .told(10_000, addr(2), RESERVE_RESPONSE, &word.encode())
         .unwrap();
-    let audit = AuditCall {
+    let audit = AuditRequest {
         home: 900,
         partition: 900,
         reply_to: addr(2),
@@ -1077,7 +1098,7 @@
     one.store
         .told(10_000, addr(2), AUDIT, &audit.encode())
         .unwrap();
-    let left = LeftWord {
+    let left = AuditResponse {
         home: 900,
         partition: 0,
         incarnation: 77,
@@ -1085,7 +1106,7 @@
         batch_jobs: vec![],
     };
     one.store
-        .told(10_000, addr(2), LEFT, &left.encode())
+        .told(10_000, addr(2), AUDIT_RESPONSE, &left.encode())
         .unwrap();
     assert!(one
         .store
@@ -1095,11 +1116,11 @@
     assert!(one
         .told
         .iter()
-        .all(|(_, kind, _)| ![GRANTED, LEFT].contains(kind)));
+        .all(|(_, kind, _)| ![RESERVE_RESPONSE, AUDIT_RESPONSE].contains(kind)));
 }
 
 /// A store whose batch jobs' home partition another store (2) heads, and a batch job that waits for its tokens there.
-fn waits_for_another_home(hears_notes: bool) -> (One, Said, ReserveCall) {
+fn waits_for_another_home(hears_notes: bool) -> (One, Said, ReserveRequest) {
     let mut one = One::new(1);
     one.placement = Placement::ByJob;
     let member = |n: u8| Member {
@@ -1115,10 +1136,10 @@
         };
         PARTITIONS
     ];
-    partitions[home_of(HOST, PARTITIONS)].members = vec![member(2)];
+    partitions[home_partition(HOST, PARTITIONS)].members = vec![member(2)];
     one.store.take_map(
         1,
-        StoreMap {
+        PlacementMap {
             number: 1,
             partitions,
             stores: vec![],
@@ -1128,16 +1149,16 @@
     one.grant(10_000, 10_000, 1);
     let job = (0..).map(|n| format!("lot-{n}"));
     let mut elsewhere =
-        job.filter(|job| partition_of(HOST, job, PARTITIONS) != home_of(HOST, PARTITIONS));
+        job.filter(|job| partition_of(HOST, job, PARTITIONS) != home_partition(HOST, PARTITIONS));
     let (first, job) = (elsewhere.next().unwrap(), elsewhere.next().unwrap());
-    let limited = |job: &str| SubmitCall {
+    let limited = |job: &str| SubmitRequest {
         max_queued: 1_000,
         ..submit(job, 1)
     };
     if hears_notes {
         // A note about any batch job of the same partition shows that the home's head is of a version that says them.
         let partition = partition_of(HOST, &job, PARTITIONS) as u16;
-        let note = ReserveNote {
+        let note = ReserveProgress {
             partition,
             batch_job: first.into(),
             incarnation: 1,
@@ -1145,7 +1166,7 @@
             soon: true,
         };
         one.store
-            .told(10_000, addr(2), RESERVE_NOTE, &note.encode())
+            .told(10_000, addr(2), RESERVE_PROGRESS, &note.encode())
             .unwrap();
     }
     let said = one.call(10_000, SUBMIT, &limited(&job));
@@ -1154,19 +1175,19 @@
         .iter()
         .rfind(|(to, kind, _)| *to == addr(2) && *kind == RESERVE)
         .expect("an asking");
-    let asked = ReserveCall::decode(&asked.2).unwrap();
+    let asked = ReserveRequest::decode(&asked.2).unwrap();
     (one, said, asked)
 }
 
-fn note(asked: &ReserveCall, soon: bool) -> Bytes {
-    let ReserveCall {
+fn note(asked: &ReserveRequest, soon: bool) -> Bytes {
+    let ReserveRequest {
         partition,
         batch_job,
         incarnation,
         nonce,
         ..
     } = asked.clone();
-    ReserveNote {
+    ReserveProgress {
         partition,
         batch_job,
         incarnation,
@@ -1182,12 +1203,12 @@
     let (mut one, said, _) = waits_for_another_home(true);
     one.tick(10_050);
     assert_eq!(
-        said.take::<SubmitAnswer>(),
+        said.take::<SubmitResponse>(),
         None,
         "it is asked once more first"
     );
     one.tick(10_100);
-    assert_eq!(said.take(), Some(SubmitAnswer::Busy));
+    assert_eq!(said.take(), Some(SubmitResponse::Unavailable));
 }
 
 #[test]
@@ -1195,19 +1216,19 @@
     let (mut one, said, asked) = waits_for_another_home(true);
     for now in (10_050..10_500).step_by(50) {
         one.store
-            .told(now, addr(2), RESERVE_NOTE, &note(&asked, true))
+            .told(now, addr(2), RESERVE_PROGRESS, &note(&asked, true))
             .unwrap();
         one.tick(now);
     }
-    assert_eq!(said.take::<SubmitAnswer>(), None);
-    let ReserveCall {
+    assert_eq!(said.take::<SubmitResponse>(), None);
+    let ReserveRequest {
         partition,
         batch_job,
         incarnation,
         nonce,
         ..
     } = asked;
-    let word = GrantedWord {
+    let word = ReserveResponse {
         partition,
         batch_job,
         incarnation,
@@ -1215,10 +1236,10 @@
         granted: true,
     };
     one.store
-        .told(10_500, addr(2), GRANTED, &word.encode())
+        .told(10_500, addr(2), RESERVE_RESPONSE, &word.encode())
         .unwrap();
     one.act(10_500);
-    assert_eq!(said.take(), Some(SubmitAnswer::Taken));
+    assert_eq!(said.take(), Some(SubmitResponse::Accepted));
 }
 
 #[test]
@@ -1228,9 +1249,9 @@
         .told(
             10_010,
             addr(2),
-            RESERVE_NOTE,
+            RESERVE_PROGRESS,
             &note(
-                &ReserveCall {
+                &ReserveRequest {
                     nonce: 0,
                     ..asked.clone()
                 },
@@ -1239,14 +1260,14 @@
         )
         .unwrap();
     assert_eq!(
-        said.take::<SubmitAnswer>(),
+        said.take::<SubmitResponse>(),
         None,
         "that was said of an earlier asking"
     );
     one.store
-        .told(10_010, addr(2), RESERVE_NOTE, &note(&asked, false))
+        .told(10_010, addr(2), RESERVE_PROGRESS, &note(&asked, false))
         .unwrap();
-    assert_eq!(said.take(), Some(SubmitAnswer::Busy));
+    assert_eq!(said.take(), Some(SubmitResponse::Unavailable));
 }
 
 /// A home partition's head of the version before says no notes: its silence means nothing.
@@ -1254,9 +1275,9 @@
 fn a_batch_job_waits_its_whole_time_for_a_home_partition_of_the_version_before() {
     let (mut one, said, _) = waits_for_another_home(false);
     (10_050..10_550).step_by(50).for_each(|now| one.tick(now));
-    assert_eq!(said.take::<SubmitAnswer>(), None);
+    assert_eq!(said.take::<SubmitResponse>(), None);
     one.tick(10_550);
-    assert_eq!(said.take(), Some(SubmitAnswer::Busy));
+    assert_eq!(said.take(), Some(SubmitResponse::Unavailable));
 }
 
 /// A chain that commits nothing takes no batch job: its client comes again when the chain is whole.
@@ -1268,16 +1289,19 @@
     let second = one.call(10_350, SUBMIT, &submit("b", 1));
     assert_eq!(
         one.ask(10_450, SUBMIT, &submit("c", 1)),
-        Some(SubmitAnswer::Busy)
+        Some(SubmitResponse::Unavailable)
     );
     one.sync(10_460);
     assert_eq!(
         (first.take(), second.take()),
-        (Some(SubmitAnswer::Taken), Some(SubmitAnswer::Taken))
+        (
+            Some(SubmitResponse::Accepted),
+            Some(SubmitResponse::Accepted)
+        )
     );
     assert_eq!(
         one.ask(10_470, SUBMIT, &submit("d", 1)),
-        Some(SubmitAnswer::Taken)
+        Some(SubmitResponse::Accepted)
     );
 }
 
@@ -1286,9 +1310,9 @@
 fn an_audit_that_comes_too_soon_is_answered_later() {
     let mut one = One::alone(10_000);
     one.held = Some(Vec::new());
-    let partition = home_of(HOST, PARTITIONS) as u16;
+    let partition = home_partition(HOST, PARTITIONS) as u16;
     for audit in 1..=6 {
-        let call = AuditCall {
+        let call = AuditRequest {
             home: 0,
             partition,
             reply_to: addr(2),
@@ -1303,9 +1327,12 @@
     one.act(10_000);
     one.sync(10_020);
     one.tick(10_050);
-    let left = one.told.iter().filter(|(_, kind, _)| *kind == LEFT);
+    let left = one
+        .told
+        .iter()
+        .filter(|(_, kind, _)| *kind == AUDIT_RESPONSE);
     let audits: Vec<u64> = left
-        .map(|(_, _, body)| LeftWord::decode(body).unwrap().audit)
+        .map(|(_, _, body)| AuditResponse::decode(body).unwrap().audit)
         .collect();
     assert_eq!(
         audits,
--- a/crates/batch/batch-store/tests/stored_data.rs
+++ b/crates/batch/batch-store/tests/stored_data.rs
@@ -5,7 +5,7 @@
 #![expect(clippy::too_many_lines, reason = "not revised yet")]
 
 use batch::wire::*;
-use batch::{BatchJobs, ItemState};
+use batch::{BatchJobTable, ItemState};
 use batch_store::journal::{Journal, ReadBack};
 use batch_store::{Answer, Effect, Store, Terms};
 use bytes::Bytes;
@@ -34,7 +34,7 @@
 const PARTITIONS: u16 = 8;
 /// From the second view on it has another member, which never answers: no more is committed there.
 const UNCOMMITTED: u16 = 6;
-/// Left before the end: all its records are void.
+/// RemainingTokens before the end: all its records are void.
 const LEFT_PARTITION: u16 = 7;
 
 /// A directory of the test's own, removed at its end.
@@ -168,13 +168,13 @@
         self.now += ms;
         let now = self.now;
         if self.map > 0 {
-            let grant = Grant {
+            let grant = LeaseGrant {
                 sent_ms: now,
                 lease_ms: 2_000,
                 map: self.map,
             };
             self.store
-                .told(now, controller(), GRANT, &grant.encode())
+                .told(now, controller(), LEASE_GRANT, &grant.encode())
                 .unwrap();
         }
         self.journal.at(now);
@@ -204,7 +204,7 @@
     /// Until all that was handed over is on the disk.
     fn settle(&mut self) {
         self.until("all is on the disk", |disk| {
-            let committed = |(part, node): (u16, &chain_replication::Node<BatchJobs>)| {
+            let committed = |(part, node): (u16, &chain_replication::Node<BatchJobTable>)| {
                 part == UNCOMMITTED || node.committed() == node.received() && node.active()
             };
             !disk.journal.disk().behind && disk.store.held().all(committed)
@@ -242,7 +242,7 @@
             },
         };
         let partitions = (0..PARTITIONS).map(view).collect();
-        let map = StoreMap {
+        let map = PlacementMap {
             number,
             partitions,
             stores: vec![],
@@ -272,10 +272,10 @@
     }
 
     /// Submits as a client does: again while the store is busy.
-    fn submit(&mut self, call: &SubmitCall) -> SubmitAnswer {
+    fn submit(&mut self, call: &SubmitRequest) -> SubmitResponse {
         for _ in 0..50 {
             match self.ask(SUBMIT, call) {
-                SubmitAnswer::Busy | SubmitAnswer::Unsure => self.wait(500),
+                SubmitResponse::Unavailable | SubmitResponse::Indeterminate => self.wait(500),
                 answer => return answer,
             }
         }
@@ -292,7 +292,7 @@
 }
 
 /// A job with this many items of so many bytes.
-fn submit(host: &str, route: &str, job: &str, items: usize, bytes: usize) -> SubmitCall {
+fn submit(host: &str, route: &str, job: &str, items: usize, bytes: usize) -> SubmitRequest {
     let text = format!("{job}: a body of many equal parts. ");
     let item = |n: usize| Item {
         id: format!("{job}-item-{n}").into(),
@@ -310,7 +310,7 @@
         body: Bytes::from(text.bytes().cycle().take(bytes + n).collect::<Vec<u8>>()),
         tokens: 100 + n as u64,
     };
-    SubmitCall {
+    SubmitRequest {
         host: host.into(),
         route: route.into(),
         batch_job: job.into(),
@@ -324,11 +324,11 @@
     }
 }
 
-fn fetch(host: &str, route: &str, want: u32) -> FetchCall {
-    FetchCall {
+fn fetch(host: &str, route: &str, want: u32) -> FetchRequest {
+    FetchRequest {
         holder: 9,
         wait_ms: 0,
-        wants: vec![Want {
+        wants: vec![RouteDemand {
             host: host.into(),
             route: route.into(),
             want,
@@ -340,18 +340,18 @@
     partition_of(host, job, usize::from(PARTITIONS)) as u16
 }
 
-fn done(leased: &Leased, outcome: Outcome) -> DoneCall {
+fn done(leased: &LeasedItem, outcome: Outcome) -> CompleteRequest {
     let partition = partition_of_job(&leased.host, &leased.batch_job);
-    let Leased {
+    let LeasedItem {
         batch_job,
         index,
         lease,
         ..
     } = leased.clone();
-    DoneCall {
+    CompleteRequest {
         holder: 9,
         partition,
-        results: vec![Done {
+        results: vec![Completion {
             batch_job,
             index,
             lease,
@@ -395,7 +395,7 @@
             .unwrap();
             for item in &job.items {
                 let state = match &item.state {
-                    ItemState::Waiting {
+                    ItemState::Pending {
                         path,
                         headers,
                         body,
@@ -404,7 +404,7 @@
                         let headers = headers.collect::<Vec<_>>().join(";");
                         format!("waiting {path} {headers} {}", digest(body))
                     }
-                    ItemState::Listed { state, text } => {
+                    ItemState::Finished { state, text } => {
                         let text = match std::str::from_utf8(text) {
                             Ok(text) if text.len() <= 60 => format!("{text:?}"),
                             _ => digest(text),
@@ -464,15 +464,15 @@
     disk.enter(10, &[LEFT_PARTITION]);
     // A job that is kept is known as the same, and as another.
     let known = submit(HOST, "r", "open-1", 4, 300);
-    assert_eq!(disk.submit(&known), SubmitAnswer::Taken);
+    assert_eq!(disk.submit(&known), SubmitResponse::Accepted);
     let other = submit(HOST, "r", "open-1", 4, 301);
     let code = batch::codes::OTHER_CONTENT;
-    assert_eq!(disk.submit(&other), SubmitAnswer::Bad { code });
+    assert_eq!(disk.submit(&other), SubmitResponse::Invalid { code });
     // Its items that waited or were held run, once each.
     let mut ran = Vec::new();
     for route in ["r", "q", "h", "e"] {
         loop {
-            let answer: FetchAnswer = disk.ask(FETCH, &fetch(HOST, route, 50));
+            let answer: FetchResponse = disk.ask(FETCH, &fetch(HOST, route, 50));
             if answer.items.is_empty() {
                 break;
             }
@@ -482,8 +482,8 @@
                     text: Bytes::from_static(b"after the upgrade"),
                 };
                 assert_eq!(
-                    disk.ask::<_, DoneAnswer>(DONE, &done(leased, outcome)),
-                    DoneAnswer::Accepted
+                    disk.ask::<_, CompleteResponse>(COMPLETE, &done(leased, outcome)),
+                    CompleteResponse::Accepted
                 );
             }
         }
@@ -494,14 +494,14 @@
     assert_eq!(ran, [&open[..], &failed_once, &leased_before].concat());
     // A new one is taken, and read.
     let new = submit(HOST, "r", "new-2", 2, 500);
-    assert_eq!(disk.submit(&new), SubmitAnswer::Taken);
-    let read = ReadCall {
+    assert_eq!(disk.submit(&new), SubmitResponse::Accepted);
+    let read = ReadRequest {
         host: HOST.into(),
         batch_job: "open-1".into(),
         start_after: 0,
         wait_ms: 0,
     };
-    let ReadAnswer::Found { total, next, .. } = disk.ask(READ, &read) else {
+    let ReadResponse::Found { total, next, .. } = disk.ask(READ, &read) else {
         panic!("not found")
     };
     assert_eq!((total, next), (4, 4));
@@ -521,21 +521,21 @@
         if [UNCOMMITTED, LEFT_PARTITION].contains(&partition_of_job(HOST, &job)) {
             continue;
         }
-        let call = SubmitCall {
+        let call = SubmitRequest {
             max_queued: 0,
             ..submit(HOST, "s", &job, 2, 100_000)
         };
-        assert_eq!(disk.submit(&call), SubmitAnswer::Taken, "{job}");
-        let answer: FetchAnswer = disk.ask(FETCH, &fetch(HOST, "s", 1));
+        assert_eq!(disk.submit(&call), SubmitResponse::Accepted, "{job}");
+        let answer: FetchResponse = disk.ask(FETCH, &fetch(HOST, "s", 1));
         for leased in &answer.items {
             let text = leased.item.body.slice(..40_000);
-            let _: DoneAnswer = disk.ask(DONE, &done(leased, Outcome::Complete { text }));
+            let _: CompleteResponse = disk.ask(COMPLETE, &done(leased, Outcome::Complete { text }));
         }
-        let end = EndCall {
+        let end = EndRequest {
             host: HOST.into(),
             batch_job: job.into(),
         };
-        assert_eq!(disk.ask::<_, EndAnswer>(END, &end), EndAnswer::Ended);
+        assert_eq!(disk.ask::<_, EndResponse>(END, &end), EndResponse::Ended);
         disk.wait(500);
     }
 }
--- a/crates/batch/batch-store/tests/world/controller.rs
+++ b/crates/batch/batch-store/tests/world/controller.rs
@@ -1,7 +1,7 @@
 //! A controller that is always there: the map of the stores by the controllers' own planner.
 
 use super::losses::Planted;
-use batch::wire::{Grant, Heartbeat, Message, StoreMap, StoreState};
+use batch::wire::{Heartbeat, LeaseGrant, Message, PlacementMap, StoreState};
 use bytes::Bytes;
 use controller::plan::{self, Lengths, Stores, LEASE};
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
     withheld: (Vec<SocketAddr>, u64),
     released: Vec<SocketAddr>,
     planted: Option<Planted>,
-    pub map: Option<StoreMap>,
+    pub map: Option<PlacementMap>,
 }
 
 impl Controller {
@@ -37,11 +37,15 @@
     }
 
     /// A heartbeat is answered with a lease, and with the map if the store has an older one.
-    pub fn heard(&mut self, now: u64, mut heartbeat: Heartbeat) -> (Option<Grant>, Option<Bytes>) {
+    pub fn heard(
+        &mut self,
+        now: u64,
+        mut heartbeat: Heartbeat,
+    ) -> (Option<LeaseGrant>, Option<Bytes>) {
         let number = self.map.as_ref().map_or(0, |map| map.number);
         let (ends, at) = &self.withheld;
         let withheld = now < at + WITHHELD && ends.contains(&heartbeat.addr);
-        let grant = Grant {
+        let grant = LeaseGrant {
             sent_ms: heartbeat.sent_ms,
             lease_ms: LEASE,
             map: number,
@@ -100,7 +104,7 @@
         new
     }
 
-    pub fn plan(&mut self, now: u64) -> Option<StoreMap> {
+    pub fn plan(&mut self, now: u64) -> Option<PlacementMap> {
         let next = self.stores.plan(now, self.map.as_ref(), 0, self.lengths)?;
         let ends = self
             .map
--- a/crates/batch/batch-store/tests/world/gateway.rs
+++ b/crates/batch/batch-store/tests/world/gateway.rs
@@ -61,10 +61,10 @@
         holder: u64,
         to: std::net::SocketAddr,
     },
-    Done {
+    Complete {
         holder: u64,
         partition: u16,
-        results: Vec<Done>,
+        results: Vec<Completion>,
     },
     Hold {
         holder: u64,
@@ -72,14 +72,14 @@
 }
 
 struct Holding {
-    leased: Leased,
+    leased: LeasedItem,
     ready_at: u64,
 }
 
 #[derive(Default)]
 struct Holder {
     held: BTreeMap<(String, u32, u64), Holding>,
-    results: BTreeMap<u16, Vec<Done>>,
+    results: BTreeMap<u16, Vec<Completion>>,
     fetching: Vec<std::net::SocketAddr>,
     handing: Vec<u16>,
     held_at: u64,
@@ -87,7 +87,7 @@
 
 #[derive(Default)]
 pub struct Gateways {
-    pub map: Option<StoreMap>,
+    pub map: Option<PlacementMap>,
     pub batch_jobs: BTreeMap<String, BatchJob>,
     /// No more batch jobs are sent.
     pub quiet: bool,
@@ -201,7 +201,7 @@
             body: Bytes::from(format!("body of {name}-{n}")),
             tokens: TOKENS,
         };
-        let call = SubmitCall {
+        let call = SubmitRequest {
             host: host.into(),
             route: "r".into(),
             batch_job: name.into(),
@@ -233,7 +233,7 @@
         world.gateways.batch_jobs.insert(name.to_owned(), batch_job);
     }
 
-    fn submit(world: &mut World, map: &StoreMap, name: &str) {
+    fn submit(world: &mut World, map: &PlacementMap, name: &str) {
         let Some(batch_job) = world.gateways.batch_jobs.get_mut(name) else {
             return;
         };
@@ -261,7 +261,7 @@
         );
     }
 
-    fn read(world: &mut World, map: &StoreMap, name: &str) {
+    fn read(world: &mut World, map: &PlacementMap, name: &str) {
         let Some(batch_job) = world.gateways.batch_jobs.get(name) else {
             return;
         };
@@ -280,7 +280,7 @@
             tail
         };
         let wait_ms = if world.below(2) == 0 { 1_000 } else { 0 };
-        let call = ReadCall {
+        let call = ReadRequest {
             host: host.into(),
             batch_job: name.into(),
             start_after: start,
@@ -294,7 +294,7 @@
         Self::call(world, to, READ, call.encode(), what);
     }
 
-    fn body(world: &mut World, map: &StoreMap, name: &str) {
+    fn body(world: &mut World, map: &PlacementMap, name: &str) {
         let Some(batch_job) = world.gateways.batch_jobs.get(name) else {
             return;
         };
@@ -302,7 +302,7 @@
             return;
         };
         let item = format!("{name}-{}", batch_job.items - 1);
-        let call = BodyCall {
+        let call = ItemBodyRequest {
             host: batch_job.host.as_str().into(),
             batch_job: name.into(),
             item: item.as_str().into(),
@@ -315,7 +315,7 @@
         Self::call(world, to, BODY, call.encode(), what);
     }
 
-    fn end(world: &mut World, map: &StoreMap, name: &str) {
+    fn end(world: &mut World, map: &PlacementMap, name: &str) {
         let Some(batch_job) = world.gateways.batch_jobs.get_mut(name) else {
             return;
         };
@@ -323,7 +323,7 @@
             return;
         };
         batch_job.end_asked = true;
-        let call = EndCall {
+        let call = EndRequest {
             host: batch_job.host.as_str().into(),
             batch_job: name.into(),
         };
@@ -338,7 +338,7 @@
         );
     }
 
-    fn work(world: &mut World, map: &StoreMap, holder: u64) {
+    fn work(world: &mut World, map: &PlacementMap, holder: u64) {
         let now = world.now;
         let mine = world.gateways.holders.entry(holder).or_default();
         let ready: Vec<_> = mine
@@ -375,7 +375,7 @@
                 map.partition_of(&holding.leased.host, &holding.leased.batch_job) as u16;
             outcomes.push((
                 partition,
-                Done {
+                Completion {
                     batch_job: key.0.into(),
                     index: key.1,
                     lease: key.2,
@@ -406,7 +406,7 @@
             else {
                 continue;
             };
-            let call = DoneCall {
+            let call = CompleteRequest {
                 holder,
                 partition,
                 results: results.clone(),
@@ -414,9 +414,9 @@
             Self::call(
                 world,
                 to,
-                DONE,
+                COMPLETE,
                 call.encode(),
-                What::Done {
+                What::Complete {
                     holder,
                     partition,
                     results,
@@ -424,9 +424,9 @@
             );
         }
         let mine = world.gateways.holders.entry(holder).or_default();
-        if now >= mine.held_at + HOLD_EVERY_MS {
+        if now >= mine.held_at + LEASE_RENEWAL_INTERVAL_MS {
             mine.held_at = now;
-            let mut by_head: BTreeMap<std::net::SocketAddr, BTreeMap<u16, Vec<Held>>> =
+            let mut by_head: BTreeMap<std::net::SocketAddr, BTreeMap<u16, Vec<LeaseRef>>> =
                 BTreeMap::new();
             for (key, holding) in &mine.held {
                 let partition =
@@ -434,7 +434,7 @@
                 let Some(to) = map.head(usize::from(partition)) else {
                     continue;
                 };
-                let held = Held {
+                let held = LeaseRef {
                     batch_job: key.0.as_str().into(),
                     index: key.1,
                     lease: key.2,
@@ -449,27 +449,27 @@
             for (to, parts) in by_head {
                 let parts = parts
                     .into_iter()
-                    .map(|(partition, held)| HeldPart { partition, held })
+                    .map(|(partition, held)| PartitionLeases { partition, held })
                     .collect();
                 Self::call(
                     world,
                     to,
-                    HOLD,
-                    HoldCall { holder, parts }.encode(),
+                    RENEW,
+                    RenewRequest { holder, parts }.encode(),
                     What::Hold { holder },
                 );
             }
         }
         let mine = world.gateways.holders.entry(holder).or_default();
         if mine.held.len() < 20 {
-            let mut by_head: BTreeMap<std::net::SocketAddr, Vec<Want>> = BTreeMap::new();
+            let mut by_head: BTreeMap<std::net::SocketAddr, Vec<RouteDemand>> = BTreeMap::new();
             for host in HOSTS {
                 for to in map
                     .heads_of(host)
                     .into_iter()
                     .filter(|to| !mine.fetching.contains(to))
                 {
-                    let want = Want {
+                    let want = RouteDemand {
                         host: host.into(),
                         route: "r".into(),
                         want: 4,
@@ -485,7 +485,7 @@
                     .or_default()
                     .fetching
                     .push(to);
-                let call = FetchCall {
+                let call = FetchRequest {
                     holder,
                     wait_ms: 500,
                     wants,
@@ -506,21 +506,21 @@
                 start,
                 sent,
             } => {
-                let answer = body.and_then(|body| ReadAnswer::decode(&body).ok());
+                let answer = body.and_then(|body| ReadResponse::decode(&body).ok());
                 match answer {
-                    Some(ReadAnswer::Found { total, results, .. }) => {
+                    Some(ReadResponse::Found { total, results, .. }) => {
                         assert_eq!(total as usize, world.gateways.batch_jobs[&batch_job].items);
                         for result in &results {
                             let index = result.id.rsplit('-').next().unwrap().parse().unwrap();
                             assert_eq!(result.id, format!("{batch_job}-{index}"));
                             assert_eq!(
                                 (result.state, &result.text),
-                                (State::Complete, &text(&batch_job, index))
+                                (ResultStatus::Complete, &text(&batch_job, index))
                             );
                         }
                         world.read(&batch_job, sent, start, Some(results));
                     }
-                    Some(ReadAnswer::Unknown) => {
+                    Some(ReadResponse::NotFound) => {
                         let taken = world.gateways.batch_jobs[&batch_job].taken_at;
                         assert!(
                             taken.is_none_or(|at| at + SETTLE >= sent),
@@ -537,16 +537,16 @@
                 item,
                 sent,
             } => {
-                if let Some(Ok(answer)) = body.map(|body| BodyAnswer::decode(&body)) {
+                if let Some(Ok(answer)) = body.map(|body| ItemBodyResponse::decode(&body)) {
                     let found = &world.gateways.batch_jobs[&batch_job];
                     let old =
                         found.taken_at.is_some_and(|at| at + SETTLE < sent) && !found.end_asked;
                     match answer {
-                        BodyAnswer::Found { body } => {
+                        ItemBodyResponse::Found { body } => {
                             assert_eq!(body, format!("body of {item}"));
                             world.sum.bodies += 1;
                         }
-                        BodyAnswer::Unknown => assert!(
+                        ItemBodyResponse::NotFound => assert!(
                             !old || world.is_listed(&found.host, &batch_job, &item),
                             "{item}: no body at {}, asked {sent}, taken {:?}, {}",
                             world.now,
@@ -558,7 +558,7 @@
                 }
             }
             What::End { batch_job } => {
-                if let Some(Ok(EndAnswer::Ended)) = body.map(|body| EndAnswer::decode(&body)) {
+                if let Some(Ok(EndResponse::Ended)) = body.map(|body| EndResponse::decode(&body)) {
                     let now = world.now;
                     let batch_job = world.gateways.batch_jobs.get_mut(&batch_job).unwrap();
                     assert!(
@@ -572,16 +572,16 @@
                 }
             }
             What::Fetch { holder, to } => Self::fetched(world, holder, to, body),
-            What::Done {
+            What::Complete {
                 holder,
                 partition,
                 results,
             } => {
                 let now = world.now;
-                let answer = body.and_then(|body| DoneAnswer::decode(&body).ok());
+                let answer = body.and_then(|body| CompleteResponse::decode(&body).ok());
                 let mine = world.gateways.holders.entry(holder).or_default();
                 mine.handing.retain(|p| *p != partition);
-                if answer == Some(DoneAnswer::Accepted) {
+                if answer == Some(CompleteResponse::Accepted) {
                     for done in &results {
                         mine.held
                             .remove(&(done.batch_job.to_string(), done.index, done.lease));
@@ -613,13 +613,13 @@
                 }
             }
             What::Hold { holder } => {
-                let Some(Ok(answer)) = body.map(|body| HoldAnswer::decode(&body)) else {
+                let Some(Ok(answer)) = body.map(|body| RenewResponse::decode(&body)) else {
                     return;
                 };
                 let mine = world.gateways.holders.entry(holder).or_default();
                 for part in answer.parts {
-                    if let PartAnswer::Drop { drop } = part.answer {
-                        for one in drop {
+                    if let RenewOutcome::Revoke { leases } = part.answer {
+                        for one in leases {
                             // What is on its way to the store is said to the end.
                             let key = (one.batch_job.to_string(), one.index, one.lease);
                             if mine.held.get(&key).is_some_and(|h| h.ready_at < u64::MAX) {
@@ -634,14 +634,14 @@
 
     fn submitted(world: &mut World, batch_job: &str, body: Option<Bytes>) {
         let now = world.now;
-        let answer = body.and_then(|body| SubmitAnswer::decode(&body).ok());
+        let answer = body.and_then(|body| SubmitResponse::decode(&body).ok());
         let Some(found) = world.gateways.batch_jobs.get_mut(batch_job) else {
             return;
         };
         found.open = false;
         found.answered_at = Some(now);
         match answer {
-            Some(SubmitAnswer::Taken) => {
+            Some(SubmitResponse::Accepted) => {
                 found.taken_at = Some(now);
                 world.sum.taken += 1;
                 let host = found.host.clone();
@@ -650,7 +650,7 @@
                     world.check_taken(batch_job);
                 }
             }
-            Some(SubmitAnswer::Full) => {
+            Some(SubmitResponse::QuotaExceeded) => {
                 world.sum.full += 1;
                 found.full_at = Some(now);
                 if !found.unclear && now.is_multiple_of(3) {
@@ -659,7 +659,7 @@
                 let (host, tokens) = (found.host.clone(), found.tokens());
                 world.check_full(batch_job, &host, tokens);
             }
-            Some(SubmitAnswer::Busy) => {
+            Some(SubmitResponse::Unavailable) => {
                 world.sum.busy += 1;
                 found.again_at = now + BUSY_AGAIN + now % BUSY_SPREAD;
                 // Some clients give up: then nothing of it may ever run.
@@ -667,8 +667,8 @@
                     found.refused = true;
                 }
             }
-            Some(SubmitAnswer::Moved { .. }) => {}
-            Some(SubmitAnswer::Unsure) | None => {
+            Some(SubmitResponse::Redirect { .. }) => {}
+            Some(SubmitResponse::Indeterminate) | None => {
                 world.sum.unsure += 1;
                 found.unclear = true;
             }
@@ -678,7 +678,7 @@
 
     fn fetched(world: &mut World, holder: u64, to: std::net::SocketAddr, body: Option<Bytes>) {
         let now = world.now;
-        let answer = body.and_then(|body| FetchAnswer::decode(&body).ok());
+        let answer = body.and_then(|body| FetchResponse::decode(&body).ok());
         let mine = world.gateways.holders.entry(holder).or_default();
         mine.fetching.retain(|at| *at != to);
         for leased in answer.map(|answer| answer.items).unwrap_or_default() {
--- a/crates/batch/batch-store/tests/world/losses.rs
+++ b/crates/batch/batch-store/tests/world/losses.rs
@@ -3,7 +3,7 @@
 //! is replaced, until its successor was there for so long.
 
 use super::{addr, Disk, Event, Process, World};
-use batch::BatchJobs;
+use batch::BatchJobTable;
 use chain_replication::{Member, Node, Recovered, Write};
 use rand_pcg::rand_core::RngCore;
 
@@ -92,7 +92,7 @@
             addr: self.addr,
             since: 0,
         };
-        Node::new(me, BatchJobs::new(), recovered)
+        Node::new(me, BatchJobTable::new(), recovered)
             .machine()
             .batch_job(batch_job)
             .is_some()
@@ -408,7 +408,7 @@
                 .controller
                 .map
                 .as_ref()
-                .map_or(0, |map| map.home_of(host));
+                .map_or(0, |map| map.home_partition(host));
             let view = self
                 .controller
                 .map
--- a/crates/batch/batch-store/tests/world/mod.rs
+++ b/crates/batch/batch-store/tests/world/mod.rs
@@ -6,7 +6,7 @@
 pub mod losses;
 mod quota;
 
-use batch::wire::{Heartbeat, Listed, Message, MOST_PARTITIONS};
+use batch::wire::{Heartbeat, Message, ResultEntry, MAX_PARTITIONS};
 use batch_store::{Answer, Effect, Store, Terms};
 use bytes::Bytes;
 use chain_replication::{Recovered, Write};
@@ -249,7 +249,7 @@
     quota: quota::Words,
     healing: bool,
     /// What readers have seen: batch job, and each position with when it was first seen.
-    pub seen: BTreeMap<String, Vec<(Listed, u64)>>,
+    pub seen: BTreeMap<String, Vec<(ResultEntry, u64)>>,
     pub sum: Sum,
 }
 
@@ -498,7 +498,7 @@
                                 Event::Tell {
                                     to,
                                     from,
-                                    kind: batch::wire::GRANT,
+                                    kind: batch::wire::LEASE_GRANT,
                                     body,
                                 },
                             );
@@ -578,7 +578,7 @@
         if process.disk.settled {
             process.disk.synced = process.disk.records.len();
         }
-        let mut parts: Vec<Option<Recovered>> = (0..MOST_PARTITIONS).map(|_| None).collect();
+        let mut parts: Vec<Option<Recovered>> = (0..MAX_PARTITIONS).map(|_| None).collect();
         for (part, record) in &process.disk.records {
             let recovered = &mut parts[usize::from(*part)];
             match record {
@@ -772,7 +772,13 @@
     }
 
     /// A read has come back.
-    pub fn read(&mut self, batch_job: &str, sent: u64, start: u32, results: Option<Vec<Listed>>) {
+    pub fn read(
+        &mut self,
+        batch_job: &str,
+        sent: u64,
+        start: u32,
+        results: Option<Vec<ResultEntry>>,
+    ) {
         self.sum.reads += 1;
         let seen = self.seen.entry(batch_job.to_owned()).or_default();
         let old = seen.iter().filter(|(_, at)| at + SETTLE < sent).count();
@@ -812,7 +818,7 @@
     }
 
     /// The table that is certainly on all disks: that of the tail, if it is there and in sync.
-    pub fn kept(&self, host: &str, batch_job: &str) -> Option<&batch::BatchJobs> {
+    pub fn kept(&self, host: &str, batch_job: &str) -> Option<&batch::BatchJobTable> {
         let part = self.part_of(host, batch_job);
         let tail = self.controller.map.as_ref()?.tail(part)?;
         let process = self.processes.iter().find(|p| p.addr == tail)?;
--- a/crates/batch/batch-store/tests/world/quota.rs
+++ b/crates/batch/batch-store/tests/world/quota.rs
@@ -3,8 +3,8 @@
 use super::losses::Planted;
 use super::{Event, World};
 use batch::wire::{
-    AuditCall, GrantedWord, LeftWord, Message, ReserveCall, AUDIT, GRANTED, LEFT, RESERVE,
-    RESERVE_NOTE,
+    AuditRequest, AuditResponse, Message, ReserveRequest, ReserveResponse, AUDIT, AUDIT_RESPONSE,
+    RESERVE, RESERVE_PROGRESS, RESERVE_RESPONSE,
 };
 use bytes::Bytes;
 use std::collections::BTreeMap;
@@ -37,7 +37,14 @@
 
 /// Whether a frame is a word about reservations.
 pub fn is_word(kind: u16) -> bool {
-    [RESERVE, RESERVE_NOTE, GRANTED, AUDIT, LEFT].contains(&kind)
+    [
+        RESERVE,
+        RESERVE_PROGRESS,
+        RESERVE_RESPONSE,
+        AUDIT,
+        AUDIT_RESPONSE,
+    ]
+    .contains(&kind)
 }
 
 #[derive(Default)]
@@ -57,7 +64,8 @@
         // For one second of three hardly any comes through: batch jobs are given up whose tokens are reserved.
         let bad = (self.now / 1_000).is_multiple_of(3);
         // Where any grant counts, most are lost the first time: their batch jobs are asked for anew once the promise has ended.
-        let first_lost = self.planted == Some(Planted::GrantOfAnyAsking) && kind == GRANTED;
+        let first_lost =
+            self.planted == Some(Planted::GrantOfAnyAsking) && kind == RESERVE_RESPONSE;
         let lost = faulty
             && if bad || first_lost {
                 self.below(10) < 7
@@ -101,15 +109,15 @@
         if self.planted != Some(Planted::GrantOfAnyAsking) || !self.faulty_words() {
             return;
         }
-        if kind == GRANTED {
-            let word = GrantedWord::decode(body).expect("a grant");
+        if kind == RESERVE_RESPONSE {
+            let word = ReserveResponse::decode(body).expect("a grant");
             if word.granted {
                 self.quota
                     .granted
                     .insert(word.batch_job.to_string(), body.clone());
             }
         } else if kind == RESERVE {
-            let call = ReserveCall::decode(body).expect("an asking");
+            let call = ReserveRequest::decode(body).expect("an asking");
             if let (Some(body), Some(delay)) = (
                 self.quota.granted.get(call.batch_job.as_str()).cloned(),
                 self.way(to, from),
@@ -120,7 +128,7 @@
                     Event::Tell {
                         to: from,
                         from: addr,
-                        kind: GRANTED,
+                        kind: RESERVE_RESPONSE,
                         body,
                     },
                 );
@@ -137,7 +145,8 @@
     /// How often a word comes once more.
     fn copies(&mut self, kind: u16, faulty: bool) -> u64 {
         match (self.planted, kind) {
-            (Some(Planted::GrantOfAnyAsking), GRANTED) | (Some(Planted::WordOnAnyAudit), LEFT)
+            (Some(Planted::GrantOfAnyAsking), RESERVE_RESPONSE)
+            | (Some(Planted::WordOnAnyAudit), AUDIT_RESPONSE)
                 if faulty =>
             {
                 COPIES
@@ -150,13 +159,13 @@
     fn note_word(&mut self, kind: u16, body: &Bytes) {
         match kind {
             RESERVE => {
-                let call = ReserveCall::decode(body).expect("an asking");
+                let call = ReserveRequest::decode(body).expect("an asking");
                 self.quota
                     .asked
                     .insert(call.batch_job.to_string(), (call.incarnation, call.nonce));
             }
             AUDIT => {
-                let call = AuditCall::decode(body).expect("an audit");
+                let call = AuditRequest::decode(body).expect("an audit");
                 self.quota
                     .audited
                     .insert((call.home, call.partition), (call.incarnation, call.audit));
@@ -168,15 +177,15 @@
     /// A word as it arrives: where a fault is planted, not as it was said.
     pub fn planted_word(&self, kind: u16, body: Bytes) -> Bytes {
         match (self.planted, kind) {
-            (Some(Planted::GrantOfAnyAsking), GRANTED) => {
-                let mut word = GrantedWord::decode(&body).expect("a grant");
+            (Some(Planted::GrantOfAnyAsking), RESERVE_RESPONSE) => {
+                let mut word = ReserveResponse::decode(&body).expect("a grant");
                 if let Some((incarnation, nonce)) = self.quota.asked.get(word.batch_job.as_str()) {
                     (word.incarnation, word.nonce) = (*incarnation, *nonce);
                 }
                 word.encode()
             }
-            (Some(Planted::WordOnAnyAudit), LEFT) => {
-                let mut word = LeftWord::decode(&body).expect("a word");
+            (Some(Planted::WordOnAnyAudit), AUDIT_RESPONSE) => {
+                let mut word = AuditResponse::decode(&body).expect("a word");
                 if let Some((incarnation, audit)) =
                     self.quota.audited.get(&(word.home, word.partition))
                 {
@@ -184,8 +193,8 @@
                 }
                 word.encode()
             }
-            (Some(Planted::PartitionForgotten), LEFT) => {
-                let mut word = LeftWord::decode(&body).expect("a word");
+            (Some(Planted::PartitionForgotten), AUDIT_RESPONSE) => {
+                let mut word = AuditResponse::decode(&body).expect("a word");
                 if word.partition == 0 {
                     word.batch_jobs.iter_mut().for_each(|left| left.tokens = 0);
                 }
--- a/crates/batch/batch/src/codec.rs
+++ b/crates/batch/batch/src/codec.rs
@@ -9,13 +9,13 @@
 
 /// Bytes that are no message of the kind.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum WireError {
+pub enum DecodeError {
     /// They break off, or a field has no meaning or is over its bound.
     #[error("no message of this kind: {0}")]
     Malformed(String),
     /// There are more bytes behind the message.
     #[error("{0} bytes behind the message")]
-    Surplus(usize),
+    TrailingBytes(usize),
 }
 
 /// A message that turns into bytes and back.
@@ -23,7 +23,7 @@
     /// As bytes; none when a field is over its bound, which nobody reads as a message.
     fn encode(&self) -> Bytes;
     /// From bytes, whole.
-    fn decode(bytes: &[u8]) -> Result<Self, WireError>;
+    fn decode(bytes: &[u8]) -> Result<Self, DecodeError>;
 }
 
 impl<T> Message for T
@@ -38,15 +38,15 @@
         }
     }
 
-    fn decode(bytes: &[u8]) -> Result<Self, WireError> {
+    fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
         let mut cursor = Cursor::new(bytes);
         let message =
-            Self::read(&mut cursor).map_err(|error| WireError::Malformed(error.to_string()))?;
+            Self::read(&mut cursor).map_err(|error| DecodeError::Malformed(error.to_string()))?;
         let behind = bytes
             .len()
             .saturating_sub(usize::try_from(cursor.position()).unwrap_or(usize::MAX));
         if behind > 0 {
-            return Err(WireError::Surplus(behind));
+            return Err(DecodeError::TrailingBytes(behind));
         }
         Ok(message)
     }
--- a/crates/batch/batch/src/command.rs
+++ b/crates/batch/batch/src/command.rs
@@ -6,7 +6,7 @@
 //! forgetting a batch job) comes early; it falls behind by the time in which there was no head.
 
 use crate::codec::{bytes as bytes_of, list, put_bytes, put_list, put_text, text};
-use crate::wire::{Item, Left, State, MAX_BODY, MAX_HELD, MAX_ITEMS, MAX_NAME};
+use crate::wire::{Item, RemainingTokens, ResultStatus, MAX_BODY, MAX_ITEMS, MAX_LEASES, MAX_NAME};
 use binrw::binrw;
 use bytes::Bytes;
 use compact_str::CompactString;
@@ -19,15 +19,15 @@
 pub enum Command {
     /// A batch job is taken.
     #[brw(magic = 1u8)]
-    Take(Take),
+    Accept(Take),
     /// Items end, each at the next position of its batch job.
     #[brw(magic = 2u8)]
-    Results {
+    RecordResults {
         /// The head's clock.
         clock: u64,
         /// The results, in the order of their positions.
-        #[br(parse_with = list, args(MAX_HELD))]
-        #[bw(write_with = put_list, args(MAX_HELD))]
+        #[br(parse_with = list, args(MAX_LEASES))]
+        #[bw(write_with = put_list, args(MAX_LEASES))]
         results: Vec<ItemResult>,
     },
     /// A batch job is ended: what is listed stays, the rest is never run.
@@ -42,7 +42,7 @@
     },
     /// A batch job is forgotten.
     #[brw(magic = 4u8)]
-    Forget {
+    Delete {
         /// The head's clock.
         clock: u64,
         /// The batch job's id.
@@ -74,17 +74,17 @@
     },
     /// So many tokens of reservations are still waiting, as the heads of their partitions said.
     #[brw(magic = 7u8)]
-    Left {
+    UpdateReservations {
         /// The head's clock.
         clock: u64,
         /// The batch jobs; one without tokens is reserved no more.
-        #[br(parse_with = list, args(MAX_HELD))]
-        #[bw(write_with = put_list, args(MAX_HELD))]
-        batch_jobs: Vec<Left>,
+        #[br(parse_with = list, args(MAX_LEASES))]
+        #[bw(write_with = put_list, args(MAX_LEASES))]
+        batch_jobs: Vec<RemainingTokens>,
     },
     /// Only the clock goes on.
     #[brw(magic = 5u8)]
-    Clock {
+    AdvanceClock {
         /// The head's clock.
         clock: u64,
     },
@@ -137,7 +137,7 @@
     /// Which item of the batch job.
     pub index: u32,
     /// How it ended.
-    pub state: State,
+    pub state: ResultStatus,
     /// Its text.
     #[br(parse_with = bytes_of, args(MAX_BODY))]
     #[bw(write_with = put_bytes, args(MAX_BODY))]
--- a/crates/batch/batch/src/json.rs
+++ b/crates/batch/batch/src/json.rs
@@ -1,7 +1,9 @@
 //! The JSON of a batch job's calls: reading what a client submits, writing what a read answers.
 
 use crate::codes;
-use crate::wire::{Header, Item, Listed, MAX_BODY, MAX_HEADERS, MAX_ITEMS, MAX_LINE, MAX_NAME};
+use crate::wire::{
+    Header, Item, ResultEntry, MAX_BODY, MAX_HEADERS, MAX_ITEMS, MAX_LINE, MAX_NAME,
+};
 use base64::engine::general_purpose::{GeneralPurpose, GeneralPurposeConfig};
 use base64::engine::DecodePaddingMode;
 use base64::{alphabet, Engine};
@@ -225,7 +227,7 @@
 }
 
 /// Writes the answer to a read.
-pub fn write_read(total: u32, next: u32, results: &[Listed]) -> Vec<u8> {
+pub fn write_read(total: u32, next: u32, results: &[ResultEntry]) -> Vec<u8> {
     let size = results
         .iter()
         .map(|r| r.text.len() + r.text.len() / 8 + r.id.len() + 56)
--- a/crates/batch/batch/src/leases.rs
+++ b/crates/batch/batch/src/leases.rs
@@ -1,6 +1,6 @@
 //! Who holds which item, and since when it was last said so.
 
-use crate::wire::HOLDER_SILENT_MS;
+use crate::wire::LEASE_TIMEOUT_MS;
 use chain_replication::Ms;
 use std::collections::HashMap;
 
@@ -68,7 +68,7 @@
         let mut expired = Vec::new();
         for held in self.holders.values_mut() {
             held.retain(|place, lease| {
-                let keep = now.saturating_sub(lease.renewed) < HOLDER_SILENT_MS;
+                let keep = now.saturating_sub(lease.renewed) < LEASE_TIMEOUT_MS;
                 if !keep {
                     expired.push(*place);
                 }
--- a/crates/batch/batch/src/owner.rs
+++ b/crates/batch/batch/src/owner.rs
@@ -2,7 +2,7 @@
 //! an item failed, and when something is to be given up or forgotten.
 //!
 //! All of it is soft: a new head makes it anew from the table, and what gateways hold they tell it themselves. For
-//! [`OPEN_AFTER_MS`] it gives out nothing, so that they come first; an item given out twice all the same runs
+//! [`TAKEOVER_GRACE_MS`] it gives out nothing, so that they come first; an item given out twice all the same runs
 //! twice at worst, and is listed once.
 
 mod time;
@@ -12,9 +12,10 @@
 use crate::command::{content, Command, ItemResult, Take};
 use crate::leases::{Leases, Place};
 use crate::route_queue::{RouteQueue, Urgency};
-use crate::table::{BatchJob, BatchJobs, ItemState};
+use crate::table::{BatchJob, BatchJobTable, ItemState};
 use crate::wire::{
-    Done, Held, Leased, Outcome, State, SubmitAnswer, SubmitCall, Want, MAX_FETCH_BYTES, MAX_ITEMS,
+    Completion, LeaseRef, LeasedItem, Outcome, ResultStatus, RouteDemand, SubmitRequest,
+    SubmitResponse, MAX_FETCH_BYTES, MAX_ITEMS,
 };
 use bytes::Bytes;
 use chain_replication::{Ms, MOST_COMMAND_BYTES};
@@ -22,7 +23,7 @@
 use std::collections::{BTreeSet, HashMap};
 
 /// A new head gives out no items for so long: gateways say every 500 ms what they hold.
-pub const OPEN_AFTER_MS: u64 = 600;
+pub const TAKEOVER_GRACE_MS: u64 = 600;
 /// Bits of a lease number that count within a view; the view is above them.
 const VIEW_SHIFT: u32 = 32;
 /// Results are put together up to about so many bytes.
@@ -30,31 +31,31 @@
 
 /// What becomes of a submitted batch job.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Submit {
+pub enum SubmitDecision {
     /// To be answered so at once.
-    Answer(SubmitAnswer),
-    /// It is in the table: [`SubmitAnswer::Taken`] once all that the head has received is committed.
+    Answer(SubmitResponse),
+    /// It is in the table: [`SubmitResponse::Accepted`] once all that the head has received is committed.
     Known,
-    /// To be proposed; once it is committed: [`Owner::taken`], then [`SubmitAnswer::Taken`].
+    /// To be proposed; once it is committed: [`PartitionLeader::taken`], then [`SubmitResponse::Accepted`].
     Propose(Bytes),
     /// So many tokens are to be reserved for it at its host's home partition first; then it is to be submitted again.
-    Reserve(SubmitCall, u64),
+    Reserve(SubmitRequest, u64),
 }
 
 /// Who holds a route's `MaxQueued` for a batch job that is submitted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Quota {
+pub enum QuotaState {
     /// This partition: it keeps all batch jobs of the host.
-    Here,
+    Local,
     /// The head of the host's home partition, which has not granted anything yet.
-    ToReserve,
+    Unreserved,
     /// The head of the host's home partition, which has granted the batch job's tokens.
-    Granted,
+    Reserved,
 }
 
 /// What becomes of a call that ends a batch job.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum End {
+pub enum EndDecision {
     /// There is no such batch job.
     Unknown,
     /// It was ended before: answered once all that the head has received is committed.
@@ -70,7 +71,7 @@
 }
 
 /// The most tokens that may wait on a route; without a limit (0) there is none.
-pub fn most_tokens(max_queued: u64, excess_permille: u32) -> u64 {
+pub fn max_queued_tokens(max_queued: u64, excess_permille: u32) -> u64 {
     if max_queued == 0 {
         return u64::MAX;
     }
@@ -107,7 +108,7 @@
 
 /// The soft state of a partition's head.
 #[derive(Debug)]
-pub struct Owner {
+pub struct PartitionLeader {
     poll_ms: u64,
     started: Ms,
     clock_at_start: u64,
@@ -129,9 +130,9 @@
     turn: usize,
 }
 
-impl Owner {
+impl PartitionLeader {
     /// The head's state of a view, made from the table as it stands. `poll_ms` is the users' `PollS`.
-    pub fn new(now: Ms, view: u64, batch_jobs: &BatchJobs, poll_ms: u64) -> Self {
+    pub fn new(now: Ms, view: u64, batch_jobs: &BatchJobTable, poll_ms: u64) -> Self {
         let mut owner = Self {
             poll_ms,
             started: now,
@@ -165,7 +166,7 @@
 
     /// Whether the time is over in which gateways say what they hold.
     pub fn open(&self, now: Ms) -> bool {
-        now.saturating_sub(self.started) >= OPEN_AFTER_MS
+        now.saturating_sub(self.started) >= TAKEOVER_GRACE_MS
     }
 
     /// How many items wait for a gateway.
@@ -228,7 +229,7 @@
         };
         let mut items = Vec::with_capacity(batch_job.items.len());
         for (item, index) in batch_job.items.iter().zip(0u16..) {
-            let waits = matches!(item.state, ItemState::Waiting { .. });
+            let waits = matches!(item.state, ItemState::Pending { .. });
             if let (true, Some(queue)) = (waits, self.routes.get_mut(route)) {
                 queue.push((due, key, index));
             }
@@ -264,19 +265,19 @@
     pub fn submit(
         &mut self,
         now: Ms,
-        batch_jobs: &BatchJobs,
-        call: SubmitCall,
+        batch_jobs: &BatchJobTable,
+        call: SubmitRequest,
         room: bool,
-        quota: Quota,
-    ) -> Submit {
+        quota: QuotaState,
+    ) -> SubmitDecision {
         let digest = content(&call.host.to_ascii_lowercase(), &call.items);
         if let Some(known) = batch_jobs.batch_job(&call.batch_job) {
             if known.content != digest {
-                return Submit::Answer(SubmitAnswer::Bad {
+                return SubmitDecision::Answer(SubmitResponse::Invalid {
                     code: codes::OTHER_CONTENT,
                 });
             }
-            return Submit::Known;
+            return SubmitDecision::Known;
         }
         if call.items.is_empty() || call.items.len() > MAX_ITEMS {
             let code = if call.items.is_empty() {
@@ -284,25 +285,25 @@
             } else {
                 codes::TOO_MANY_ITEMS
             };
-            return Submit::Answer(SubmitAnswer::Bad { code });
+            return SubmitDecision::Answer(SubmitResponse::Invalid { code });
         }
-        if call.max_queued > 0 && quota == Quota::Here {
-            let most = most_tokens(call.max_queued, call.excess_permille);
+        if call.max_queued > 0 && quota == QuotaState::Local {
+            let most = max_queued_tokens(call.max_queued, call.excess_permille);
             if batch_jobs
                 .waiting(&call.host, &call.route)
                 .saturating_add(tokens_of(&call.items))
                 > most
             {
-                return Submit::Answer(SubmitAnswer::Full);
+                return SubmitDecision::Answer(SubmitResponse::QuotaExceeded);
             }
         }
         if !room {
-            return Submit::Answer(SubmitAnswer::Busy);
+            return SubmitDecision::Answer(SubmitResponse::Unavailable);
         }
         // Also without a limit: the next configuration may set one, and what waits then counts.
-        if quota == Quota::ToReserve {
+        if quota == QuotaState::Unreserved {
             let tokens = tokens_of(&call.items);
-            return Submit::Reserve(call, tokens);
+            return SubmitDecision::Reserve(call, tokens);
         }
         let clock = self.clock(now);
         let take = Take {
@@ -317,18 +318,18 @@
             tries: call.tries,
             items: call.items,
         };
-        let command = self.command(&Command::Take(take));
+        let command = self.command(&Command::Accept(take));
         if command.is_empty() || command.len() > MOST_COMMAND_BYTES {
-            return Submit::Answer(SubmitAnswer::Bad {
+            return SubmitDecision::Answer(SubmitResponse::Invalid {
                 code: codes::TOO_LARGE,
             });
         }
-        Submit::Propose(command)
+        SubmitDecision::Propose(command)
     }
 
     /// A batch job's taking is committed: from now on its items are given out. Never before: nothing of a batch job may run
     /// that might still turn out not to be taken.
-    pub fn taken(&mut self, batch_jobs: &BatchJobs, batch_job: &str) {
+    pub fn taken(&mut self, batch_jobs: &BatchJobTable, batch_job: &str) {
         if let Some((id, batch_job)) = batch_jobs
             .batch_job(batch_job)
             .map(|found| (CompactString::from(batch_job), found))
@@ -342,11 +343,11 @@
     pub fn fetch(
         &mut self,
         now: Ms,
-        batch_jobs: &BatchJobs,
+        batch_jobs: &BatchJobTable,
         holder: u64,
-        wants: &[Want],
+        wants: &[RouteDemand],
         share: usize,
-    ) -> Vec<Leased> {
+    ) -> Vec<LeasedItem> {
         let mut leased = Vec::new();
         if !self.open(now) {
             return leased;
@@ -392,10 +393,10 @@
     fn lease_next(
         &mut self,
         now: Ms,
-        batch_jobs: &BatchJobs,
+        batch_jobs: &BatchJobTable,
         holder: u64,
         route: usize,
-    ) -> Option<Leased> {
+    ) -> Option<LeasedItem> {
         let clock = self.clock(now);
         loop {
             let queue = self.routes.get_mut(route)?;
@@ -421,7 +422,7 @@
             };
             self.leases.grant(now, holder, (key, index));
             let give_up = soft.give_up;
-            return Some(Leased {
+            return Some(LeasedItem {
                 host: queue.host.clone(),
                 route: queue.route.clone(),
                 batch_job: soft.id.clone(),
@@ -444,10 +445,10 @@
     pub fn hold(
         &mut self,
         now: Ms,
-        batch_jobs: &BatchJobs,
+        batch_jobs: &BatchJobTable,
         holder: u64,
-        held: &[Held],
-    ) -> Vec<Held> {
+        held: &[LeaseRef],
+    ) -> Vec<LeaseRef> {
         let mut drop = Vec::new();
         for one in held {
             if !self.holds_on(now, batch_jobs, holder, one) {
@@ -457,7 +458,13 @@
         drop
     }
 
-    fn holds_on(&mut self, now: Ms, batch_jobs: &BatchJobs, holder: u64, one: &Held) -> bool {
+    fn holds_on(
+        &mut self,
+        now: Ms,
+        batch_jobs: &BatchJobTable,
+        holder: u64,
+        one: &LeaseRef,
+    ) -> bool {
         let Some((place, soft)) = self.soft(one.batch_job.as_str(), one.index) else {
             // A batch job that is taken and not yet committed has no leases; anything else that isn't known is over.
             return false;
@@ -508,7 +515,7 @@
 
     /// What became of leased items. The commands are to be proposed; the call is answered once they, and all
     /// before them, are committed.
-    pub fn done(&mut self, now: Ms, holder: u64, results: Vec<Done>) -> Vec<Bytes> {
+    pub fn done(&mut self, now: Ms, holder: u64, results: Vec<Completion>) -> Vec<Bytes> {
         let mut listed = Vec::new();
         for done in results {
             if let Some(result) = self.done_one(now, holder, done) {
@@ -518,7 +525,7 @@
         self.results(now, listed)
     }
 
-    fn done_one(&mut self, now: Ms, holder: u64, done: Done) -> Option<ItemResult> {
+    fn done_one(&mut self, now: Ms, holder: u64, done: Completion) -> Option<ItemResult> {
         let (place, soft) = self.soft(&done.batch_job, done.index)?;
         let (tries, due, route) = (soft.tries, soft.due, soft.route);
         let item = soft.items.get_mut(usize::from(place.1))?;
@@ -529,8 +536,8 @@
         };
         let (state, text) = match done.outcome {
             // Whoever holds it now: the output is whole, and need not be made again.
-            Outcome::Complete { text } => (State::Complete, text),
-            Outcome::Impossible => (State::Abandoned, Bytes::new()),
+            Outcome::Complete { text } => (ResultStatus::Complete, text),
+            Outcome::Unprocessable => (ResultStatus::Abandoned, Bytes::new()),
             Outcome::Failed if own => {
                 item.fails = item.fails.saturating_add(1);
                 item.ended = done.lease;
@@ -538,7 +545,7 @@
                     self.put_back(place);
                     return None;
                 }
-                (State::Abandoned, Bytes::new())
+                (ResultStatus::Abandoned, Bytes::new())
             }
             Outcome::Released if own => {
                 item.ended = done.lease;
@@ -637,14 +644,14 @@
             if bytes >= RESULTS_BYTES {
                 bytes = 0;
                 let results = std::mem::take(&mut part);
-                commands.push(self.command(&Command::Results {
+                commands.push(self.command(&Command::RecordResults {
                     clock: self.clock(now),
                     results,
                 }));
             }
         }
         if !part.is_empty() {
-            commands.push(self.command(&Command::Results {
+            commands.push(self.command(&Command::RecordResults {
                 clock: self.clock(now),
                 results: part,
             }));
@@ -655,32 +662,38 @@
     /// A command that changes nothing: once it is committed, so is all that the head had received when it was proposed,
     /// and no head of a later view had begun before.
     pub fn barrier(&mut self, now: Ms) -> Bytes {
-        self.command(&Command::Clock {
+        self.command(&Command::AdvanceClock {
             clock: self.clock(now),
         })
     }
 
     pub(crate) fn command(&mut self, command: &Command) -> Bytes {
         match command {
-            Command::Take(Take { clock, .. })
-            | Command::Results { clock, .. }
+            Command::Accept(Take { clock, .. })
+            | Command::RecordResults { clock, .. }
             | Command::End { clock, .. }
-            | Command::Forget { clock, .. }
+            | Command::Delete { clock, .. }
             | Command::Reserve { clock, .. }
-            | Command::Left { clock, .. }
-            | Command::Clock { clock } => self.clock_said = self.clock_said.max(*clock),
+            | Command::UpdateReservations { clock, .. }
+            | Command::AdvanceClock { clock } => self.clock_said = self.clock_said.max(*clock),
         }
         command.encode()
     }
 
     /// A client ends a batch job. From now on none of its items is given out, and holders are told to drop theirs.
-    pub fn end(&mut self, now: Ms, batch_jobs: &BatchJobs, host: &str, batch_job: &str) -> End {
+    pub fn end(
+        &mut self,
+        now: Ms,
+        batch_jobs: &BatchJobTable,
+        host: &str,
+        batch_job: &str,
+    ) -> EndDecision {
         match batch_jobs
             .batch_job(batch_job)
             .filter(|found| found.host.eq_ignore_ascii_case(host))
         {
-            None => End::Unknown,
-            Some(found) if found.ended => End::Known,
+            None => EndDecision::Unknown,
+            Some(found) if found.ended => EndDecision::Known,
             Some(found) => {
                 let id = CompactString::from(batch_job);
                 self.plan_forgetting(&id, found.taken);
@@ -691,15 +704,15 @@
                     clock: self.clock(now),
                     batch_job: id,
                 };
-                End::Propose(self.command(&command))
+                EndDecision::Propose(self.command(&command))
             }
         }
     }
 
     /// How urgent the most urgent item is of the routes that are wanted; none if no item waits of them.
-    pub fn urgency(&self, now: Ms, wants: &[Want]) -> Option<Urgency> {
+    pub fn urgency(&self, now: Ms, wants: &[RouteDemand]) -> Option<Urgency> {
         let clock = self.clock(now);
-        let queue = |want: &Want| {
+        let queue = |want: &RouteDemand| {
             self.queue_of(&want.host, &want.route)
                 .and_then(|at| self.routes.get(at))
         };
@@ -708,8 +721,8 @@
     }
 
     /// Whether an item waits of a route that is wanted.
-    pub fn has_for(&self, now: Ms, wants: &[Want]) -> bool {
-        let waits = |want: &Want| {
+    pub fn has_for(&self, now: Ms, wants: &[RouteDemand]) -> bool {
+        let waits = |want: &RouteDemand| {
             let queue = self
                 .queue_of(&want.host, &want.route)
                 .and_then(|at| self.routes.get(at));
--- a/crates/batch/batch/src/owner/time.rs
+++ b/crates/batch/batch/src/owner/time.rs
@@ -1,9 +1,9 @@
 //! What time brings to a head: leases that run out, items to be given up, batch jobs to be forgotten.
 
-use super::{Owner, Stand};
+use super::{PartitionLeader, Stand};
 use crate::command::{Command, ItemResult};
-use crate::table::BatchJobs;
-use crate::wire::State;
+use crate::table::BatchJobTable;
+use crate::wire::ResultStatus;
 use bytes::Bytes;
 use chain_replication::Ms;
 use compact_str::CompactString;
@@ -19,8 +19,8 @@
 /// So many batch jobs are forgotten or given up in one turn at most: the rest waits for the next.
 const PER_TURN: usize = 32;
 
-impl Owner {
-    /// A batch job is over: when to look whether it may be forgotten. [`Owner::forget_batch_job`] asks the table again.
+impl PartitionLeader {
+    /// A batch job is over: when to look whether it may be forgotten. [`PartitionLeader::forget_batch_job`] asks the table again.
     pub(super) fn plan_forgetting(&mut self, id: &CompactString, taken: u64) {
         self.forget_at(
             id,
@@ -38,8 +38,8 @@
     }
 
     /// What time brings: leases that ran out, items to be given up, batch jobs to be forgotten. To be called a few times
-    /// a second while not [`Owner::idle`]; the commands are to be proposed.
-    pub fn tick(&mut self, now: Ms, batch_jobs: &BatchJobs) -> Vec<Bytes> {
+    /// a second while not [`PartitionLeader::idle`]; the commands are to be proposed.
+    pub fn tick(&mut self, now: Ms, batch_jobs: &BatchJobTable) -> Vec<Bytes> {
         if now.saturating_sub(self.swept) >= SWEEP_MS {
             self.swept = now;
             for (key, index) in self.leases.expire(now) {
@@ -68,7 +68,7 @@
             }
         }
         if !batch_jobs.is_empty() && clock.saturating_sub(self.clock_said) >= CLOCK_EVERY_MS {
-            commands.push(self.command(&Command::Clock { clock }));
+            commands.push(self.command(&Command::AdvanceClock { clock }));
         }
         commands
     }
@@ -76,7 +76,7 @@
     fn forget_batch_job(
         &mut self,
         clock: u64,
-        batch_jobs: &BatchJobs,
+        batch_jobs: &BatchJobTable,
         id: CompactString,
         commands: &mut Vec<Bytes>,
     ) {
@@ -96,7 +96,7 @@
         if at > clock {
             self.forget_at(&id, at);
         } else {
-            commands.push(self.command(&Command::Forget {
+            commands.push(self.command(&Command::Delete {
                 clock,
                 batch_job: id,
             }));
@@ -122,7 +122,7 @@
                     results.push(ItemResult {
                         batch_job,
                         index,
-                        state: State::Abandoned,
+                        state: ResultStatus::Abandoned,
                         text,
                     });
                 }
--- a/crates/batch/batch/src/quota.rs
+++ b/crates/batch/batch/src/quota.rs
@@ -5,9 +5,9 @@
 //! after the last asking for the batch job: a word that is older, or on an audit of another head or process, changes nothing.
 
 use crate::command::Command;
-use crate::owner::Owner;
-use crate::table::BatchJobs;
-use crate::wire::{AuditCall, AuditLot, Left, LeftWord, ReserveCall};
+use crate::owner::PartitionLeader;
+use crate::table::BatchJobTable;
+use crate::wire::{AuditRequest, AuditResponse, AuditedJob, RemainingTokens, ReserveRequest};
 use bytes::Bytes;
 use chain_replication::Ms;
 use compact_str::CompactString;
@@ -32,13 +32,13 @@
 
 /// What is to be done about an asking.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Decision {
+pub enum ReserveDecision {
     /// To be proposed; once that is committed the tokens are granted.
     Propose(Bytes),
     /// They don't fit, by words that are fresh.
-    Full,
+    Rejected,
     /// They don't fit by words that are not fresh: the partitions are asked, and the caller asks again.
-    Wait,
+    Undecided,
 }
 
 #[derive(Debug, Default)]
@@ -53,7 +53,7 @@
 
 /// The soft state of a home partition's head.
 #[derive(Debug)]
-pub struct QuotaOwner {
+pub struct QuotaLeader {
     home: u16,
     addr: SocketAddr,
     incarnation: u64,
@@ -68,7 +68,7 @@
     most: BTreeMap<(CompactString, CompactString), u64>,
 }
 
-impl QuotaOwner {
+impl QuotaLeader {
     /// That of a partition at a store; `incarnation` is drawn at the start of the process.
     pub fn new(home: u16, addr: SocketAddr, incarnation: u64) -> Self {
         Self {
@@ -116,15 +116,15 @@
     pub fn reserve(
         &mut self,
         now: Ms,
-        batch_jobs: &BatchJobs,
-        owner: &mut Owner,
-        call: &ReserveCall,
-    ) -> Decision {
+        batch_jobs: &BatchJobTable,
+        owner: &mut PartitionLeader,
+        call: &ReserveRequest,
+    ) -> ReserveDecision {
         self.count += 1;
         let again =
             |(_, by, nonce): &(Ms, u64, u64)| (*by, *nonce) == (call.incarnation, call.nonce);
         if self.refused.get(&call.batch_job).is_some_and(again) {
-            return Decision::Full;
+            return ReserveDecision::Rejected;
         }
         self.most
             .insert((call.host.clone(), call.route.clone()), call.most);
@@ -144,7 +144,7 @@
             );
             let (partition, tokens) = (call.partition, call.tokens);
             let clock = owner.clock(now);
-            return Decision::Propose(owner.command(&Command::Reserve {
+            return ReserveDecision::Propose(owner.command(&Command::Reserve {
                 clock,
                 host,
                 route,
@@ -167,15 +167,15 @@
         if fresh {
             self.refused
                 .insert(call.batch_job.clone(), (now, call.incarnation, call.nonce));
-            Decision::Full
+            ReserveDecision::Rejected
         } else {
-            Decision::Wait
+            ReserveDecision::Undecided
         }
     }
 
     /// The audits that are due, of the partitions to which something is promised.
-    pub fn audits(&mut self, now: Ms, batch_jobs: &BatchJobs) -> Vec<AuditCall> {
-        let mut due: BTreeMap<u16, Vec<AuditLot>> = BTreeMap::new();
+    pub fn audits(&mut self, now: Ms, batch_jobs: &BatchJobTable) -> Vec<AuditRequest> {
+        let mut due: BTreeMap<u16, Vec<AuditedJob>> = BTreeMap::new();
         self.refused
             .retain(|_, (at, ..)| now.saturating_sub(*at) < REFUSED_MS);
         self.most
@@ -205,7 +205,7 @@
                 }
                 let list = due.entry(partition).or_default();
                 if list.len() < MOST_BATCH_JOBS {
-                    list.push(AuditLot {
+                    list.push(AuditedJob {
                         host: host.clone(),
                         route: route.clone(),
                         batch_job: batch_job.clone(),
@@ -230,13 +230,13 @@
         audits
     }
 
-    fn audit(&mut self, now: Ms, partition: u16, batch_jobs: Vec<AuditLot>) -> AuditCall {
+    fn audit(&mut self, now: Ms, partition: u16, batch_jobs: Vec<AuditedJob>) -> AuditRequest {
         self.count += 1;
         let asked = self.partitions.entry(partition).or_default();
         asked.audit = Some((self.count, now));
         asked.wanted = false;
         let (home, reply_to, incarnation) = (self.home, self.addr, self.incarnation);
-        AuditCall {
+        AuditRequest {
             home,
             partition,
             reply_to,
@@ -250,9 +250,9 @@
     pub fn left(
         &mut self,
         now: Ms,
-        batch_jobs: &BatchJobs,
-        owner: &mut Owner,
-        word: &LeftWord,
+        batch_jobs: &BatchJobTable,
+        owner: &mut PartitionLeader,
+        word: &AuditResponse,
     ) -> Option<Bytes> {
         let asked = self.partitions.get_mut(&word.partition)?;
         let (audit, sent) = asked.audit?;
@@ -261,7 +261,7 @@
         }
         asked.audit = None;
         asked.answered = Some(sent);
-        let changed = |left: &&Left| {
+        let changed = |left: &&RemainingTokens| {
             let has = batch_jobs
                 .reserved()
                 .of(&left.host, &left.route, &left.batch_job);
@@ -272,10 +272,11 @@
             has.is_some_and(|has| has.partition == word.partition && has.tokens > left.tokens)
                 && !asked_later
         };
-        let changed: Vec<Left> = word.batch_jobs.iter().filter(changed).cloned().collect();
+        let changed: Vec<RemainingTokens> =
+            word.batch_jobs.iter().filter(changed).cloned().collect();
         let clock = owner.clock(now);
         (!changed.is_empty()).then(|| {
-            owner.command(&Command::Left {
+            owner.command(&Command::UpdateReservations {
                 clock,
                 batch_jobs: changed,
             })
--- a/crates/batch/batch/src/table.rs
+++ b/crates/batch/batch/src/table.rs
@@ -5,7 +5,7 @@
 use crate::json::escaped_len;
 use crate::reservations::{Reservation, Reservations};
 use crate::wire::{
-    Header, Item, Listed, State, MAX_BODY, MAX_HEADERS, MAX_ITEMS, MAX_LINE, MAX_NAME,
+    Header, Item, ResultEntry, ResultStatus, MAX_BODY, MAX_HEADERS, MAX_ITEMS, MAX_LINE, MAX_NAME,
 };
 use binrw::binrw;
 use binrw::io::{Cursor, Write};
@@ -37,7 +37,7 @@
 pub enum ItemState {
     /// To be run: all that a runner needs is kept.
     #[brw(magic = 0u8)]
-    Waiting {
+    Pending {
         /// The path to which it is posted.
         #[br(parse_with = text, args(MAX_LINE))]
         #[bw(write_with = put_text, args(MAX_LINE))]
@@ -53,9 +53,9 @@
     },
     /// It has its position.
     #[brw(magic = 1u8)]
-    Listed {
+    Finished {
         /// How it ended.
-        state: State,
+        state: ResultStatus,
         /// Its text.
         #[br(parse_with = bytes_of, args(MAX_BODY))]
         #[bw(write_with = put_bytes, args(MAX_BODY))]
@@ -86,7 +86,7 @@
         ITEM_COST
             + self.id.len()
             + match &self.state {
-                ItemState::Waiting {
+                ItemState::Pending {
                     path,
                     headers,
                     body,
@@ -94,7 +94,7 @@
                     let lines = |h: &Header| HEADER_COST + h.name.len() + h.value.len();
                     path.len() + body.len() + headers.iter().map(lines).sum::<usize>()
                 }
-                ItemState::Listed { text, .. } => text.len(),
+                ItemState::Finished { text, .. } => text.len(),
                 ItemState::Ended => 0,
             }
     }
@@ -102,7 +102,7 @@
     /// The item as it was submitted, while it waits.
     pub fn request(&self) -> Option<Item> {
         match &self.state {
-            ItemState::Waiting {
+            ItemState::Pending {
                 path,
                 headers,
                 body,
@@ -113,7 +113,7 @@
                 body: body.clone(),
                 tokens: self.tokens,
             }),
-            ItemState::Listed { .. } | ItemState::Ended => None,
+            ItemState::Finished { .. } | ItemState::Ended => None,
         }
     }
 }
@@ -165,7 +165,7 @@
 
     /// Whether what was read is a batch job at all: every position names another item that is listed, and no other is.
     fn sound(&self) -> bool {
-        let listed = |item: &BatchItem| matches!(item.state, ItemState::Listed { .. });
+        let listed = |item: &BatchItem| matches!(item.state, ItemState::Finished { .. });
         let mut seen = [false; MAX_ITEMS];
         for index in &self.order {
             let place = seen.get_mut(usize::from(*index));
@@ -182,7 +182,7 @@
         let waiting = self
             .items
             .iter()
-            .filter(|i| matches!(i.state, ItemState::Waiting { .. }));
+            .filter(|i| matches!(i.state, ItemState::Pending { .. }));
         waiting.fold(0, |sum, item| sum.saturating_add(item.tokens))
     }
 
@@ -199,12 +199,12 @@
     /// The position behind the last result.
     pub next: u32,
     /// The results.
-    pub results: Vec<Listed>,
+    pub results: Vec<ResultEntry>,
 }
 
 /// All batch jobs of one partition.
 #[derive(Clone, Debug, Default)]
-pub struct BatchJobs {
+pub struct BatchJobTable {
     clock: u64,
     batch_jobs: BTreeMap<CompactString, BatchJob>,
     /// Waiting tokens a (host, route); those without any are left out. Derived from `batch_jobs`.
@@ -217,7 +217,7 @@
     refused: u64,
 }
 
-impl PartialEq for BatchJobs {
+impl PartialEq for BatchJobTable {
     /// The replicated state alone: what was refused on the way belongs to one store.
     fn eq(&self, other: &Self) -> bool {
         let derived = self.bytes == other.bytes && self.waiting == other.waiting;
@@ -228,9 +228,9 @@
     }
 }
 
-impl Eq for BatchJobs {}
+impl Eq for BatchJobTable {}
 
-impl BatchJobs {
+impl BatchJobTable {
     /// A partition without batch jobs.
     pub fn new() -> Self {
         Self::default()
@@ -320,14 +320,14 @@
             let Some(item) = batch_job.items.get(usize::from(*index)) else {
                 break;
             };
-            let ItemState::Listed { state, text } = &item.state else {
+            let ItemState::Finished { state, text } = &item.state else {
                 break;
             };
             bytes = bytes.saturating_add(escaped_len(text) + escaped_len(item.id.as_bytes()) + 48);
             if bytes > max_bytes && !found.results.is_empty() {
                 break;
             }
-            found.results.push(Listed {
+            found.results.push(ResultEntry {
                 id: item.id.clone(),
                 state: *state,
                 text: text.clone(),
@@ -357,15 +357,15 @@
             .iter()
             .find(|i| i.id == item)
             .and_then(|item| match &item.state {
-                ItemState::Waiting { body, .. } => Some(body.clone()),
-                ItemState::Listed { .. } | ItemState::Ended => None,
+                ItemState::Pending { body, .. } => Some(body.clone()),
+                ItemState::Finished { .. } | ItemState::Ended => None,
             })
     }
 
     fn apply_command(&mut self, command: Command) {
         match command {
-            Command::Take(take) => self.take(take),
-            Command::Results { clock, results } => {
+            Command::Accept(take) => self.take(take),
+            Command::RecordResults { clock, results } => {
                 self.clock = self.clock.max(clock);
                 for result in results {
                     self.list_result(result);
@@ -375,7 +375,7 @@
                 self.clock = self.clock.max(clock);
                 self.end(&batch_job);
             }
-            Command::Forget { clock, batch_job } => {
+            Command::Delete { clock, batch_job } => {
                 self.clock = self.clock.max(clock);
                 if let Some(batch_job) = self.batch_jobs.remove(&batch_job) {
                     self.bytes = self.bytes.saturating_sub(batch_job.cost());
@@ -386,7 +386,7 @@
                     );
                 }
             }
-            Command::Clock { clock } => self.clock = self.clock.max(clock),
+            Command::AdvanceClock { clock } => self.clock = self.clock.max(clock),
             Command::Reserve {
                 clock,
                 host,
@@ -399,7 +399,7 @@
                 self.reserved
                     .reserve(host, route, batch_job, Reservation { partition, tokens });
             }
-            Command::Left { clock, batch_jobs } => {
+            Command::UpdateReservations { clock, batch_jobs } => {
                 self.clock = self.clock.max(clock);
                 for left in batch_jobs {
                     self.reserved
@@ -417,7 +417,7 @@
         let item = |item: Item| BatchItem {
             id: item.id,
             tokens: item.tokens,
-            state: ItemState::Waiting {
+            state: ItemState::Pending {
                 path: item.path,
                 headers: item.headers,
                 body: item.body,
@@ -467,15 +467,15 @@
             self.refused += 1;
             return;
         };
-        if !matches!(item.state, ItemState::Waiting { .. }) {
+        if !matches!(item.state, ItemState::Pending { .. }) {
             return;
         }
         let before = item.cost();
         let text = match result.state {
-            State::Complete => result.text,
-            State::Abandoned => Bytes::new(),
+            ResultStatus::Complete => result.text,
+            ResultStatus::Abandoned => Bytes::new(),
         };
-        item.state = ItemState::Listed {
+        item.state = ItemState::Finished {
             state: result.state,
             text,
         };
@@ -496,7 +496,7 @@
         let (before, tokens) = (batch_job.cost(), batch_job.waiting_tokens());
         batch_job.ended = true;
         for item in &mut batch_job.items {
-            if matches!(item.state, ItemState::Waiting { .. }) {
+            if matches!(item.state, ItemState::Pending { .. }) {
                 item.state = ItemState::Ended;
             }
         }
@@ -525,9 +525,9 @@
         if magic != SNAPSHOT_MAGIC && magic != SNAPSHOT_WITHOUT_RESERVATIONS {
             return Err(wrong("another kind of snapshot"));
         }
-        let mut batch_jobs = BatchJobs {
+        let mut batch_jobs = BatchJobTable {
             clock: u64::read_le(&mut cursor)?,
-            ..BatchJobs::default()
+            ..BatchJobTable::default()
         };
         for _ in 0..u32::read_le(&mut cursor)? {
             let entry = Entry::read(&mut cursor)?;
@@ -578,7 +578,7 @@
     batch_job: BatchJob,
 }
 
-impl Machine for BatchJobs {
+impl Machine for BatchJobTable {
     fn apply(&mut self, _number: u64, command: &[u8]) {
         match Command::decode(command) {
             Ok(command) => self.apply_command(command),
--- a/crates/batch/batch/src/wire.rs
+++ b/crates/batch/batch/src/wire.rs
@@ -16,56 +16,61 @@
 mod quota;
 mod work;
 
-pub use crate::codec::{Message, WireError};
+pub use crate::codec::{DecodeError, Message};
 pub use map::{
-    ChainFrame, Grant, Heartbeat, PartStatus, Placement, StoreInfo, StoreMap, StoreState,
+    ChainFrame, Heartbeat, LeaseGrant, PartitionStatus, Placement, PlacementMap, StoreInfo,
+    StoreState,
+};
+pub use quota::{
+    AuditRequest, AuditResponse, AuditedJob, RemainingTokens, ReserveProgress, ReserveRequest,
+    ReserveResponse,
 };
-pub use quota::{AuditCall, AuditLot, GrantedWord, Left, LeftWord, ReserveCall, ReserveNote};
 pub use work::{
-    Done, DoneAnswer, DoneCall, Elsewhere, FetchAnswer, FetchCall, Held, HeldPart, HoldAnswer,
-    HoldCall, HoldPart, Leased, Outcome, PartAnswer, Want,
+    CompleteRequest, CompleteResponse, Completion, FetchRequest, FetchResponse, LeaseRef,
+    LeasedItem, Outcome, PartitionLeases, PartitionRedirect, PartitionRenewal, RenewOutcome,
+    RenewRequest, RenewResponse, RouteDemand,
 };
 
-/// Call of a gateway to a partition's head: [`SubmitCall`], answered by [`SubmitAnswer`].
+/// Call of a gateway to a partition's head: [`SubmitRequest`], answered by [`SubmitResponse`].
 pub const SUBMIT: u16 = 0x0301;
-/// Call of a gateway to a partition's tail: [`ReadCall`], answered by [`ReadAnswer`].
+/// Call of a gateway to a partition's tail: [`ReadRequest`], answered by [`ReadResponse`].
 pub const READ: u16 = 0x0302;
-/// Call of a gateway to a partition's tail: [`BodyCall`], answered by [`BodyAnswer`].
+/// Call of a gateway to a partition's tail: [`ItemBodyRequest`], answered by [`ItemBodyResponse`].
 pub const BODY: u16 = 0x0303;
-/// Call of a gateway to a partition's head: [`EndCall`], answered by [`EndAnswer`].
+/// Call of a gateway to a partition's head: [`EndRequest`], answered by [`EndResponse`].
 pub const END: u16 = 0x0304;
-/// Call of a gateway to a store that is head of some partitions: [`FetchCall`], answered by [`FetchAnswer`].
+/// Call of a gateway to a store that is head of some partitions: [`FetchRequest`], answered by [`FetchResponse`].
 pub const FETCH: u16 = 0x0305;
-/// Call of a gateway to a partition's head: [`DoneCall`], answered by [`DoneAnswer`].
-pub const DONE: u16 = 0x0306;
-/// Call of a gateway to a store that is head of some partitions: [`HoldCall`], answered by [`HoldAnswer`].
-pub const HOLD: u16 = 0x0307;
+/// Call of a gateway to a partition's head: [`CompleteRequest`], answered by [`CompleteResponse`].
+pub const COMPLETE: u16 = 0x0306;
+/// Call of a gateway to a store that is head of some partitions: [`RenewRequest`], answered by [`RenewResponse`].
+pub const RENEW: u16 = 0x0307;
 /// Tell of a store to the controllers: [`Heartbeat`].
 pub const HEARTBEAT: u16 = 0x0310;
-/// Tell of the controllers' head to a store: [`Grant`].
-pub const GRANT: u16 = 0x0311;
+/// Tell of the controllers' head to a store: [`LeaseGrant`].
+pub const LEASE_GRANT: u16 = 0x0311;
 /// Tell between the stores of one partition: [`ChainFrame`].
 pub const CHAIN: u16 = 0x0312;
 
-/// Tell of a job's head to the head of its host's home partition: [`ReserveCall`], answered by the tell [`GrantedWord`].
+/// Tell of a job's head to the head of its host's home partition: [`ReserveRequest`], answered by the tell [`ReserveResponse`].
 pub const RESERVE: u16 = 0x0313;
-/// Tell of a home partition's head to a job's head: [`GrantedWord`].
-pub const GRANTED: u16 = 0x0314;
-/// Tell of a home partition's head to the heads of the partitions that reserved: [`AuditCall`], answered by [`LeftWord`].
+/// Tell of a home partition's head to a job's head: [`ReserveResponse`].
+pub const RESERVE_RESPONSE: u16 = 0x0314;
+/// Tell of a home partition's head to the heads of the partitions that reserved: [`AuditRequest`], answered by [`AuditResponse`].
 pub const AUDIT: u16 = 0x0315;
-/// Tell of a partition's head to the home partition's head: [`LeftWord`].
-pub const LEFT: u16 = 0x0316;
+/// Tell of a partition's head to the home partition's head: [`AuditResponse`].
+pub const AUDIT_RESPONSE: u16 = 0x0316;
 
-/// Tell of a home partition's head to a job's head: [`ReserveNote`].
-pub const RESERVE_NOTE: u16 = 0x0317;
+/// Tell of a home partition's head to a job's head: [`ReserveProgress`].
+pub const RESERVE_PROGRESS: u16 = 0x0317;
 
 /// The most partitions of a map, each with a chain of stores of its own: a bound for readers. How many there are, the
 /// controllers choose when they make the first map.
-pub const MOST_PARTITIONS: usize = 512;
+pub const MAX_PARTITIONS: usize = 512;
 /// How often a gateway says what it holds.
-pub const HOLD_EVERY_MS: u64 = 500;
+pub const LEASE_RENEWAL_INTERVAL_MS: u64 = 500;
 /// A holder that was silent for so long loses its leases.
-pub const HOLDER_SILENT_MS: u64 = 2_500;
+pub const LEASE_TIMEOUT_MS: u64 = 2_500;
 /// How often a store says to the controllers how it stands.
 pub const HEARTBEAT_INTERVAL_MS: u64 = 300;
 /// The longest time for which a call may be held until there is something to say.
@@ -88,7 +93,7 @@
 /// The most routes in one fetch, partitions in one list, or stores in the map.
 pub const MAX_LIST: usize = 4_096;
 /// The most holdings of one holder, results in one batch or items in one answer.
-pub const MAX_HELD: usize = 65_536;
+pub const MAX_LEASES: usize = 65_536;
 
 /// FNV-1a: the same on every machine and in every build.
 const FNV_START: u64 = 0xcbf2_9ce4_8422_2325;
@@ -107,7 +112,7 @@
 }
 
 /// The home partition of a host among so many: its head owns the quotas of all routes of the host.
-pub fn home_of(host: &str, partitions: usize) -> usize {
+pub fn home_partition(host: &str, partitions: usize) -> usize {
     place(hash_of_host(host), partitions)
 }
 
@@ -165,7 +170,7 @@
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SubmitCall {
+pub struct SubmitRequest {
     /// The route's host.
     #[br(parse_with = text, args(MAX_NAME))]
     #[bw(write_with = put_text, args(MAX_NAME))]
@@ -201,19 +206,19 @@
 #[brw(little)]
 #[br(return_unexpected_error)]
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum SubmitAnswer {
+pub enum SubmitResponse {
     /// It is kept on the disks of its chain: 202.
     #[brw(magic = 0u8)]
-    Taken,
+    Accepted,
     /// It does not fit into the route's quota: 429, none of it will run.
     #[brw(magic = 1u8)]
-    Full,
+    QuotaExceeded,
     /// It is certainly not taken, and never will be by this call: 503.
     #[brw(magic = 2u8)]
-    Busy,
+    Unavailable,
     /// Not taken here: another store is the partition's head.
     #[brw(magic = 3u8)]
-    Moved {
+    Redirect {
         /// The head's peer address.
         #[br(parse_with = socket_address)]
         #[bw(write_with = put_address)]
@@ -221,20 +226,20 @@
     },
     /// It can't be taken at all; the code is one of [`crate::codes::CODES`].
     #[brw(magic = 4u8)]
-    Bad {
+    Invalid {
         /// Why.
         code: u16,
     },
     /// It may have been taken or not (the chain changed meanwhile): no promise; ask again. 502 rather than 503.
     #[brw(magic = 5u8)]
-    Unsure,
+    Indeterminate,
 }
 
 /// Asks for results.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ReadCall {
+pub struct ReadRequest {
     /// The route's host.
     #[br(parse_with = text, args(MAX_NAME))]
     #[bw(write_with = put_text, args(MAX_NAME))]
@@ -253,19 +258,19 @@
 #[binrw]
 #[brw(little, repr = u8)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
+pub enum ResultStatus {
     /// It ran; the text is its whole output.
     Complete = 0,
     /// It was given up.
     Abandoned = 1,
 }
 
-impl State {
+impl ResultStatus {
     /// As the answer to a client says it.
     pub const fn name(self) -> &'static str {
         match self {
-            State::Complete => "complete",
-            State::Abandoned => "abandoned",
+            ResultStatus::Complete => "complete",
+            ResultStatus::Abandoned => "abandoned",
         }
     }
 }
@@ -274,13 +279,13 @@
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Listed {
+pub struct ResultEntry {
     /// The item's id.
     #[br(parse_with = text, args(MAX_NAME))]
     #[bw(write_with = put_text, args(MAX_NAME))]
     pub id: CompactString,
     /// How it ended.
-    pub state: State,
+    pub state: ResultStatus,
     /// The data of all its events, separated by line feeds (UTF-8; empty when abandoned).
     #[br(parse_with = bytes_of, args(MAX_BODY))]
     #[bw(write_with = put_bytes, args(MAX_BODY))]
@@ -292,7 +297,7 @@
 #[brw(little)]
 #[br(return_unexpected_error)]
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ReadAnswer {
+pub enum ReadResponse {
     /// The results from the position asked for.
     #[brw(magic = 0u8)]
     Found {
@@ -303,17 +308,17 @@
         /// The results, perhaps none.
         #[br(parse_with = list, args(MAX_ITEMS))]
         #[bw(write_with = put_list, args(MAX_ITEMS))]
-        results: Vec<Listed>,
+        results: Vec<ResultEntry>,
     },
     /// There is certainly no such batch job: 404.
     #[brw(magic = 1u8)]
-    Unknown,
+    NotFound,
     /// The store can't be sure: 503.
     #[brw(magic = 2u8)]
-    Unsure,
+    Unavailable,
     /// Another store is the partition's tail.
     #[brw(magic = 3u8)]
-    Moved {
+    Redirect {
         /// The tail's peer address.
         #[br(parse_with = socket_address)]
         #[bw(write_with = put_address)]
@@ -325,7 +330,7 @@
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct BodyCall {
+pub struct ItemBodyRequest {
     /// The route's host.
     #[br(parse_with = text, args(MAX_NAME))]
     #[bw(write_with = put_text, args(MAX_NAME))]
@@ -345,7 +350,7 @@
 #[brw(little)]
 #[br(return_unexpected_error)]
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum BodyAnswer {
+pub enum ItemBodyResponse {
     /// The decoded body.
     #[brw(magic = 0u8)]
     Found {
@@ -356,13 +361,13 @@
     },
     /// No such batch job or item, or it is listed, or the batch job was ended: 404.
     #[brw(magic = 1u8)]
-    Unknown,
+    NotFound,
     /// The store can't be sure: 503.
     #[brw(magic = 2u8)]
-    Unsure,
+    Unavailable,
     /// Another store is the partition's tail.
     #[brw(magic = 3u8)]
-    Moved {
+    Redirect {
         /// The tail's peer address.
         #[br(parse_with = socket_address)]
         #[bw(write_with = put_address)]
@@ -374,7 +379,7 @@
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct EndCall {
+pub struct EndRequest {
     /// The route's host.
     #[br(parse_with = text, args(MAX_NAME))]
     #[bw(write_with = put_text, args(MAX_NAME))]
@@ -390,19 +395,19 @@
 #[brw(little)]
 #[br(return_unexpected_error)]
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum EndAnswer {
+pub enum EndResponse {
     /// It is ended, now or before: 200.
     #[brw(magic = 0u8)]
     Ended,
     /// There is no such batch job.
     #[brw(magic = 1u8)]
-    Unknown,
+    NotFound,
     /// It may be ended or not: 503; ask again.
     #[brw(magic = 2u8)]
-    Unsure,
+    Indeterminate,
     /// Another store is the partition's head.
     #[brw(magic = 3u8)]
-    Moved {
+    Redirect {
         /// The head's peer address.
         #[br(parse_with = socket_address)]
         #[bw(write_with = put_address)]
--- a/crates/batch/batch/src/wire/map.rs
+++ b/crates/batch/batch/src/wire/map.rs
@@ -1,6 +1,6 @@
 //! Which stores keep what, and what stores, controllers and the stores of one chain tell each other.
 
-use super::{home_of, partition_of, MAX_LIST, MAX_NAME, MOST_PARTITIONS};
+use super::{home_partition, partition_of, MAX_LIST, MAX_NAME, MAX_PARTITIONS};
 use crate::codec::{
     bytes as bytes_of, list, put_address, put_bytes, put_list, put_text, socket_address, text,
 };
@@ -83,7 +83,7 @@
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct StoreMap {
+pub struct PlacementMap {
     #[br(temp)]
     #[bw(calc = number & !BY_JOB | placement.bit())]
     first: u64,
@@ -92,8 +92,8 @@
     #[bw(ignore)]
     pub number: u64,
     /// The chain of each partition (none before the first map).
-    #[br(parse_with = list, args(MOST_PARTITIONS))]
-    #[bw(write_with = put_list, args(MOST_PARTITIONS))]
+    #[br(parse_with = list, args(MAX_PARTITIONS))]
+    #[bw(write_with = put_list, args(MAX_PARTITIONS))]
     pub partitions: Vec<View>,
     /// All stores that were ever seen, unless forgotten.
     #[br(parse_with = list, args(MAX_LIST))]
@@ -105,16 +105,16 @@
     pub placement: Placement,
 }
 
-impl StoreMap {
+impl PlacementMap {
     /// The home partition of a host: its head owns the quotas of the host's routes.
-    pub fn home_of(&self, host: &str) -> usize {
-        home_of(host, self.partitions.len())
+    pub fn home_partition(&self, host: &str) -> usize {
+        home_partition(host, self.partitions.len())
     }
 
     /// The partition that keeps a batch job.
     pub fn partition_of(&self, host: &str, batch_job: &str) -> usize {
         match self.placement {
-            Placement::ByHost => self.home_of(host),
+            Placement::ByHost => self.home_partition(host),
             Placement::ByJob => partition_of(host, batch_job, self.partitions.len()),
         }
     }
@@ -122,7 +122,7 @@
     /// Whether a partition may keep batch jobs of a host.
     pub fn may_keep(&self, partition: usize, host: &str) -> bool {
         match self.placement {
-            Placement::ByHost => self.home_of(host) == partition,
+            Placement::ByHost => self.home_partition(host) == partition,
             Placement::ByJob => partition < self.partitions.len(),
         }
     }
@@ -169,7 +169,7 @@
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq)]
-pub struct PartStatus {
+pub struct PartitionStatus {
     /// The partition.
     pub partition: u16,
     /// Its chain's status.
@@ -199,14 +199,14 @@
     #[br(parse_with = text, args(MAX_NAME))]
     #[bw(write_with = put_text, args(MAX_NAME))]
     pub zone: CompactString,
-    /// When it was sent, on the store's own steady clock: comes back in [`Grant`].
+    /// When it was sent, on the store's own steady clock: comes back in [`LeaseGrant`].
     pub sent_ms: u64,
     /// The number of the map that it knows (0: none).
     pub map: u64,
     /// The partitions of which it is a member or joiner.
-    #[br(parse_with = list, args(MOST_PARTITIONS))]
-    #[bw(write_with = put_list, args(MOST_PARTITIONS))]
-    pub statuses: Vec<PartStatus>,
+    #[br(parse_with = list, args(MAX_PARTITIONS))]
+    #[bw(write_with = put_list, args(MAX_PARTITIONS))]
+    pub statuses: Vec<PartitionStatus>,
     /// Bytes of its disk in use.
     pub disk_used: u64,
     /// Bytes of its disk in all.
@@ -229,7 +229,7 @@
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Grant {
+pub struct LeaseGrant {
     /// The heartbeat's `sent_ms`.
     pub sent_ms: u64,
     /// For how long from then.
--- a/crates/batch/batch/src/wire/quota.rs
+++ b/crates/batch/batch/src/wire/quota.rs
@@ -2,7 +2,7 @@
 //!
 //! All are tells whose first byte is their version (1), and may be lost, doubled or late: a job's head asks again until it has a word.
 
-use super::{MAX_HELD, MAX_NAME};
+use super::{MAX_LEASES, MAX_NAME};
 use crate::codec::{list, put_address, put_list, put_text, socket_address, text};
 use binrw::binrw;
 use compact_str::CompactString;
@@ -12,7 +12,7 @@
 #[binrw]
 #[brw(little, magic = 1u8)]
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ReserveCall {
+pub struct ReserveRequest {
     /// The route's host, whose home partition is asked.
     #[br(parse_with = text, args(MAX_NAME))]
     #[bw(write_with = put_text, args(MAX_NAME))]
@@ -41,11 +41,11 @@
     pub most: u64,
 }
 
-/// The word on a [`ReserveCall`].
+/// The word on a [`ReserveRequest`].
 #[binrw]
 #[brw(little, magic = 1u8)]
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct GrantedWord {
+pub struct ReserveResponse {
     /// The partition that asked.
     pub partition: u16,
     /// The batch job's id.
@@ -62,11 +62,11 @@
     pub granted: bool,
 }
 
-/// What a home partition's head says at once on a [`ReserveCall`] that it can neither grant nor refuse yet.
+/// What a home partition's head says at once on a [`ReserveRequest`] that it can neither grant nor refuse yet.
 #[binrw]
 #[brw(little, magic = 1u8)]
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ReserveNote {
+pub struct ReserveProgress {
     /// The partition that asked.
     pub partition: u16,
     /// The batch job's id.
@@ -87,7 +87,7 @@
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct AuditLot {
+pub struct AuditedJob {
     /// The route's host.
     #[br(parse_with = text, args(MAX_NAME))]
     #[bw(write_with = put_text, args(MAX_NAME))]
@@ -106,7 +106,7 @@
 #[binrw]
 #[brw(little, magic = 1u8)]
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct AuditCall {
+pub struct AuditRequest {
     /// The home partition that asks.
     pub home: u16,
     /// The partition that is asked.
@@ -120,16 +120,16 @@
     /// Which asking of that process.
     pub audit: u64,
     /// The batch jobs.
-    #[br(parse_with = list, args(MAX_HELD))]
-    #[bw(write_with = put_list, args(MAX_HELD))]
-    pub batch_jobs: Vec<AuditLot>,
+    #[br(parse_with = list, args(MAX_LEASES))]
+    #[bw(write_with = put_list, args(MAX_LEASES))]
+    pub batch_jobs: Vec<AuditedJob>,
 }
 
 /// How many tokens of one batch job still wait.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Left {
+pub struct RemainingTokens {
     /// The route's host.
     #[br(parse_with = text, args(MAX_NAME))]
     #[bw(write_with = put_text, args(MAX_NAME))]
@@ -146,11 +146,11 @@
     pub tokens: u64,
 }
 
-/// Answer to an [`AuditCall`]: how it stood when the call came, said once all of that was committed.
+/// Answer to an [`AuditRequest`]: how it stood when the call came, said once all of that was committed.
 #[binrw]
 #[brw(little, magic = 1u8)]
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct LeftWord {
+pub struct AuditResponse {
     /// The home partition that asked.
     pub home: u16,
     /// The partition that answers.
@@ -160,7 +160,7 @@
     /// As in the call.
     pub audit: u64,
     /// The batch jobs that were asked about, without those that are being taken just now.
-    #[br(parse_with = list, args(MAX_HELD))]
-    #[bw(write_with = put_list, args(MAX_HELD))]
-    pub batch_jobs: Vec<Left>,
+    #[br(parse_with = list, args(MAX_LEASES))]
+    #[bw(write_with = put_list, args(MAX_LEASES))]
+    pub batch_jobs: Vec<RemainingTokens>,
 }
--- a/crates/batch/batch/src/wire/work.rs
+++ b/crates/batch/batch/src/wire/work.rs
@@ -1,6 +1,6 @@
 //! How gateways get items, say what they hold, and hand over what became of it.
 
-use super::{Item, MAX_BODY, MAX_HELD, MAX_LIST, MAX_NAME, MOST_PARTITIONS};
+use super::{Item, MAX_BODY, MAX_LEASES, MAX_LIST, MAX_NAME, MAX_PARTITIONS};
 use crate::codec::{
     bytes as bytes_of, list, put_address, put_bytes, put_list, put_text, socket_address, text,
 };
@@ -13,7 +13,7 @@
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Want {
+pub struct RouteDemand {
     /// The route's host.
     #[br(parse_with = text, args(MAX_NAME))]
     #[bw(write_with = put_text, args(MAX_NAME))]
@@ -30,7 +30,7 @@
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct FetchCall {
+pub struct FetchRequest {
     /// Who asks: the id of the gateway's process.
     pub holder: u64,
     /// How long the answer may be held until there is an item (at most [`MAX_WAIT_MS`](super::MAX_WAIT_MS)).
@@ -38,14 +38,14 @@
     /// What it can run.
     #[br(parse_with = list, args(MAX_LIST))]
     #[bw(write_with = put_list, args(MAX_LIST))]
-    pub wants: Vec<Want>,
+    pub wants: Vec<RouteDemand>,
 }
 
 /// An item that a gateway holds from now on.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Leased {
+pub struct LeasedItem {
     /// The route's host.
     #[br(parse_with = text, args(MAX_NAME))]
     #[bw(write_with = put_text, args(MAX_NAME))]
@@ -76,7 +76,7 @@
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Elsewhere {
+pub struct PartitionRedirect {
     /// The partition.
     pub partition: u16,
     /// Its head as this store knows it.
@@ -89,15 +89,15 @@
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct FetchAnswer {
+pub struct FetchResponse {
     /// The items, oldest due first.
-    #[br(parse_with = list, args(MAX_HELD))]
-    #[bw(write_with = put_list, args(MAX_HELD))]
-    pub items: Vec<Leased>,
+    #[br(parse_with = list, args(MAX_LEASES))]
+    #[bw(write_with = put_list, args(MAX_LEASES))]
+    pub items: Vec<LeasedItem>,
     /// Where a host's batch jobs are in one partition alone: those among the wants that have another head.
     #[br(parse_with = list, args(MAX_LIST))]
     #[bw(write_with = put_list, args(MAX_LIST))]
-    pub elsewhere: Vec<Elsewhere>,
+    pub elsewhere: Vec<PartitionRedirect>,
 }
 
 /// How a gateway's holding of an item ended.
@@ -119,7 +119,7 @@
     Failed,
     /// A runner answered 422: it can never be done.
     #[brw(magic = 2u8)]
-    Impossible,
+    Unprocessable,
     /// Not done, no failure counted: to be given to another.
     #[brw(magic = 3u8)]
     Released,
@@ -129,7 +129,7 @@
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Done {
+pub struct Completion {
     /// The batch job's id.
     #[br(parse_with = text, args(MAX_NAME))]
     #[bw(write_with = put_text, args(MAX_NAME))]
@@ -146,32 +146,32 @@
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct DoneCall {
+pub struct CompleteRequest {
     /// Who held them.
     pub holder: u64,
     /// The partition.
     pub partition: u16,
     /// The items.
-    #[br(parse_with = list, args(MAX_HELD))]
-    #[bw(write_with = put_list, args(MAX_HELD))]
-    pub results: Vec<Done>,
+    #[br(parse_with = list, args(MAX_LEASES))]
+    #[bw(write_with = put_list, args(MAX_LEASES))]
+    pub results: Vec<Completion>,
 }
 
-/// Answer to [`DoneCall`].
+/// Answer to [`CompleteRequest`].
 #[binrw]
 #[brw(little)]
 #[br(return_unexpected_error)]
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum DoneAnswer {
+pub enum CompleteResponse {
     /// All of them are kept on the disks of the chain, or need not be: the gateway may forget them.
     #[brw(magic = 0u8)]
     Accepted,
     /// They may be kept or not: to be said again.
     #[brw(magic = 1u8)]
-    Unsure,
+    Indeterminate,
     /// Another store is the partition's head: to be said there.
     #[brw(magic = 2u8)]
-    Moved {
+    Redirect {
         /// The head's peer address.
         #[br(parse_with = socket_address)]
         #[bw(write_with = put_address)]
@@ -183,7 +183,7 @@
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Held {
+pub struct LeaseRef {
     /// The batch job's id.
     #[br(parse_with = text, args(MAX_NAME))]
     #[bw(write_with = put_text, args(MAX_NAME))]
@@ -198,48 +198,48 @@
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct HeldPart {
+pub struct PartitionLeases {
     /// The partition.
     pub partition: u16,
     /// Its items.
-    #[br(parse_with = list, args(MAX_HELD))]
-    #[bw(write_with = put_list, args(MAX_HELD))]
-    pub held: Vec<Held>,
+    #[br(parse_with = list, args(MAX_LEASES))]
+    #[bw(write_with = put_list, args(MAX_LEASES))]
+    pub held: Vec<LeaseRef>,
 }
 
-/// All that a gateway holds of the partitions of which the called store is head, every [`HOLD_EVERY_MS`](super::HOLD_EVERY_MS).
+/// All that a gateway holds of the partitions of which the called store is head, every [`LEASE_RENEWAL_INTERVAL_MS`](super::LEASE_RENEWAL_INTERVAL_MS).
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct HoldCall {
+pub struct RenewRequest {
     /// Who holds it.
     pub holder: u64,
     /// What, by partition.
-    #[br(parse_with = list, args(MOST_PARTITIONS))]
-    #[bw(write_with = put_list, args(MOST_PARTITIONS))]
-    pub parts: Vec<HeldPart>,
+    #[br(parse_with = list, args(MAX_PARTITIONS))]
+    #[bw(write_with = put_list, args(MAX_PARTITIONS))]
+    pub parts: Vec<PartitionLeases>,
 }
 
-/// Answer for one partition of a [`HoldCall`].
+/// Answer for one partition of a [`RenewRequest`].
 #[binrw]
 #[brw(little)]
 #[br(return_unexpected_error)]
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum PartAnswer {
+pub enum RenewOutcome {
     /// These must be dropped (the batch job ended, the item is listed or held by another); the others are held on.
     #[brw(magic = 0u8)]
-    Drop {
+    Revoke {
         /// Those to drop.
-        #[br(parse_with = list, args(MAX_HELD))]
-        #[bw(write_with = put_list, args(MAX_HELD))]
-        drop: Vec<Held>,
+        #[br(parse_with = list, args(MAX_LEASES))]
+        #[bw(write_with = put_list, args(MAX_LEASES))]
+        leases: Vec<LeaseRef>,
     },
     /// The store can't say: hold on and ask again.
     #[brw(magic = 1u8)]
-    Unsure,
+    Unavailable,
     /// Another store is the partition's head: to be said there.
     #[brw(magic = 2u8)]
-    Moved {
+    Redirect {
         /// The head's peer address.
         #[br(parse_with = socket_address)]
         #[bw(write_with = put_address)]
@@ -247,24 +247,24 @@
     },
 }
 
-/// One partition's part of a [`HoldAnswer`].
+/// One partition's part of a [`RenewResponse`].
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct HoldPart {
+pub struct PartitionRenewal {
     /// The partition.
     pub partition: u16,
     /// Its answer.
-    pub answer: PartAnswer,
+    pub answer: RenewOutcome,
 }
 
-/// Answer to [`HoldCall`].
+/// Answer to [`RenewRequest`].
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct HoldAnswer {
+pub struct RenewResponse {
     /// One for each partition that was named.
-    #[br(parse_with = list, args(MOST_PARTITIONS))]
-    #[bw(write_with = put_list, args(MOST_PARTITIONS))]
-    pub parts: Vec<HoldPart>,
+    #[br(parse_with = list, args(MAX_PARTITIONS))]
+    #[bw(write_with = put_list, args(MAX_PARTITIONS))]
+    pub parts: Vec<PartitionRenewal>,
 }
