--- a/crates/batch/batch/tests/frame_bytes.rs
+++ b/crates/batch/batch/tests/frame_bytes.rs
@@ -6,7 +6,7 @@
 
 use batch::command::{content, Command, ItemResult, Take};
 use batch::wire::*;
-use batch::{BatchJobs, ItemState};
+use batch::{BatchJobTable, ItemState};
 use bytes::Bytes;
 use chain_replication::{Machine, Member, Status, View};
 use std::collections::BTreeMap;
@@ -113,7 +113,7 @@
 #[test]
 fn client_calls_and_their_answers_keep_their_bytes() {
     let mut recorded = Recorded::new();
-    let submit = SubmitCall {
+    let submit = SubmitRequest {
         host: "h.example".into(),
         route: "r".into(),
         batch_job: "job-1".into(),
@@ -126,19 +126,22 @@
         items: vec![item("a", b"body"), item("b", b"")],
     };
     recorded.message("gateway submit call", &submit);
-    recorded.message("gateway submit answer taken", &SubmitAnswer::Taken);
-    recorded.message("gateway submit answer full", &SubmitAnswer::Full);
-    recorded.message("gateway submit answer busy", &SubmitAnswer::Busy);
+    recorded.message("gateway submit answer taken", &SubmitResponse::Accepted);
+    recorded.message("gateway submit answer full", &SubmitResponse::QuotaExceeded);
+    recorded.message("gateway submit answer busy", &SubmitResponse::Unavailable);
     recorded.message(
         "gateway submit answer moved",
-        &SubmitAnswer::Moved { to: v4() },
+        &SubmitResponse::Redirect { to: v4() },
     );
     recorded.message(
         "gateway submit answer bad",
-        &SubmitAnswer::Bad { code: 712 },
+        &SubmitResponse::Invalid { code: 712 },
     );
-    recorded.message("gateway submit answer unsure", &SubmitAnswer::Unsure);
-    let call = ReadCall {
+    recorded.message(
+        "gateway submit answer unsure",
+        &SubmitResponse::Indeterminate,
+    );
+    let call = ReadRequest {
         host: "h".into(),
         batch_job: "l".into(),
         start_after: 3,
@@ -146,52 +149,61 @@
     };
     recorded.message("gateway read call", &call);
     let results = vec![
-        Listed {
+        ResultEntry {
             id: "a".into(),
-            state: State::Complete,
+            state: ResultStatus::Complete,
             text: Bytes::from_static(b"x\ny"),
         },
-        Listed {
+        ResultEntry {
             id: "b".into(),
-            state: State::Abandoned,
+            state: ResultStatus::Abandoned,
             text: Bytes::new(),
         },
     ];
     recorded.message(
         "gateway read answer found",
-        &ReadAnswer::Found {
+        &ReadResponse::Found {
             total: 7,
             next: 2,
             results,
         },
     );
-    recorded.message("gateway read answer unknown", &ReadAnswer::Unknown);
-    recorded.message("gateway read answer unsure", &ReadAnswer::Unsure);
-    recorded.message("gateway read answer moved", &ReadAnswer::Moved { to: v6() });
-    let call = BodyCall {
+    recorded.message("gateway read answer unknown", &ReadResponse::NotFound);
+    recorded.message("gateway read answer unsure", &ReadResponse::Unavailable);
+    recorded.message(
+        "gateway read answer moved",
+        &ReadResponse::Redirect { to: v6() },
+    );
+    let call = ItemBodyRequest {
         host: "h".into(),
         batch_job: "l".into(),
         item: "i".into(),
     };
     recorded.message("gateway body call", &call);
-    let found = BodyAnswer::Found {
+    let found = ItemBodyResponse::Found {
         body: Bytes::from_static(b"\x00\xff"),
     };
     recorded.message("gateway body answer found", &found);
-    recorded.message("gateway body answer unknown", &BodyAnswer::Unknown);
-    recorded.message("gateway body answer unsure", &BodyAnswer::Unsure);
-    recorded.message("gateway body answer moved", &BodyAnswer::Moved { to: v4() });
+    recorded.message("gateway body answer unknown", &ItemBodyResponse::NotFound);
+    recorded.message("gateway body answer unsure", &ItemBodyResponse::Unavailable);
+    recorded.message(
+        "gateway body answer moved",
+        &ItemBodyResponse::Redirect { to: v4() },
+    );
     recorded.message(
         "gateway end call",
-        &EndCall {
+        &EndRequest {
             host: "h".into(),
             batch_job: "l".into(),
         },
     );
-    recorded.message("gateway end answer ended", &EndAnswer::Ended);
-    recorded.message("gateway end answer unknown", &EndAnswer::Unknown);
-    recorded.message("gateway end answer unsure", &EndAnswer::Unsure);
-    recorded.message("gateway end answer moved", &EndAnswer::Moved { to: v6() });
+    recorded.message("gateway end answer ended", &EndResponse::Ended);
+    recorded.message("gateway end answer unknown", &EndResponse::NotFound);
+    recorded.message("gateway end answer unsure", &EndResponse::Indeterminate);
+    recorded.message(
+        "gateway end answer moved",
+        &EndResponse::Redirect { to: v6() },
+    );
     recorded.finish("gateway ");
 }
 
@@ -199,12 +211,12 @@
 fn item_calls_and_their_answers_keep_their_bytes() {
     let mut recorded = Recorded::new();
     let wants = vec![
-        Want {
+        RouteDemand {
             host: "h".into(),
             route: "r".into(),
             want: 3,
         },
-        Want {
+        RouteDemand {
             host: "i".into(),
             route: "s".into(),
             want: 0,
@@ -212,13 +224,13 @@
     ];
     recorded.message(
         "items fetch call",
-        &FetchCall {
+        &FetchRequest {
             holder: 9,
             wait_ms: 500,
             wants,
         },
     );
-    let leased = Leased {
+    let leased = LeasedItem {
         host: "h".into(),
         route: "r".into(),
         batch_job: "l".into(),
@@ -230,23 +242,23 @@
         item: item("a", b"body"),
     };
     let elsewhere = vec![
-        Elsewhere {
+        PartitionRedirect {
             partition: 4,
             to: v4(),
         },
-        Elsewhere {
+        PartitionRedirect {
             partition: 511,
             to: v6(),
         },
     ];
     recorded.message(
         "items fetch answer",
-        &FetchAnswer {
+        &FetchResponse {
             items: vec![leased],
             elsewhere,
         },
     );
-    let result = |outcome| Done {
+    let result = |outcome| Completion {
         batch_job: "l".into(),
         index: 1,
         lease: 2,
@@ -257,58 +269,61 @@
             text: Bytes::from_static(b"t"),
         }),
         result(Outcome::Failed),
-        result(Outcome::Impossible),
+        result(Outcome::Unprocessable),
         result(Outcome::Released),
     ];
     recorded.message(
         "items done call",
-        &DoneCall {
+        &CompleteRequest {
             holder: 1,
             partition: 2,
             results,
         },
     );
-    recorded.message("items done answer accepted", &DoneAnswer::Accepted);
-    recorded.message("items done answer unsure", &DoneAnswer::Unsure);
-    recorded.message("items done answer moved", &DoneAnswer::Moved { to: v4() });
-    let held = vec![Held {
+    recorded.message("items done answer accepted", &CompleteResponse::Accepted);
+    recorded.message("items done answer unsure", &CompleteResponse::Indeterminate);
+    recorded.message(
+        "items done answer moved",
+        &CompleteResponse::Redirect { to: v4() },
+    );
+    let held = vec![LeaseRef {
         batch_job: "l".into(),
         index: 1,
         lease: 2,
     }];
     let parts = vec![
-        HeldPart {
+        PartitionLeases {
             partition: 2,
             held: held.clone(),
         },
-        HeldPart {
+        PartitionLeases {
             partition: 3,
             held: Vec::new(),
         },
     ];
-    recorded.message("items hold call", &HoldCall { holder: 1, parts });
+    recorded.message("items hold call", &RenewRequest { holder: 1, parts });
     let parts = vec![
-        HoldPart {
+        PartitionRenewal {
             partition: 1,
-            answer: PartAnswer::Drop { drop: held },
+            answer: RenewOutcome::Revoke { leases: held },
         },
-        HoldPart {
+        PartitionRenewal {
             partition: 2,
-            answer: PartAnswer::Unsure,
+            answer: RenewOutcome::Unavailable,
         },
-        HoldPart {
+        PartitionRenewal {
             partition: 3,
-            answer: PartAnswer::Moved { to: v6() },
+            answer: RenewOutcome::Redirect { to: v6() },
         },
     ];
-    recorded.message("items hold answer", &HoldAnswer { parts });
+    recorded.message("items hold answer", &RenewResponse { parts });
     recorded.finish("items ");
 }
 
 #[test]
 fn quota_messages_keep_their_bytes() {
     let mut recorded = Recorded::new();
-    let call = ReserveCall {
+    let call = ReserveRequest {
         host: "h".into(),
         route: "r".into(),
         batch_job: "l".into(),
@@ -324,7 +339,7 @@
         ("quota reserve note soon", true),
         ("quota reserve note late", false),
     ] {
-        let note = ReserveNote {
+        let note = ReserveProgress {
             partition: 3,
             batch_job: "l".into(),
             incarnation: 4,
@@ -334,7 +349,7 @@
         recorded.message(label, &note);
     }
     for (label, granted) in [("quota granted", true), ("quota refused", false)] {
-        let word = GrantedWord {
+        let word = ReserveResponse {
             partition: 3,
             batch_job: "l".into(),
             incarnation: 4,
@@ -343,12 +358,12 @@
         };
         recorded.message(label, &word);
     }
-    let batch_jobs = vec![AuditLot {
+    let batch_jobs = vec![AuditedJob {
         host: "h".into(),
         route: "r".into(),
         batch_job: "l".into(),
     }];
-    let audit = AuditCall {
+    let audit = AuditRequest {
         home: 1,
         partition: 2,
         reply_to: v6(),
@@ -358,20 +373,20 @@
     };
     recorded.message("quota audit", &audit);
     let batch_jobs = vec![
-        Left {
+        RemainingTokens {
             host: "h".into(),
             route: "r".into(),
             batch_job: "l".into(),
             tokens: 9,
         },
-        Left {
+        RemainingTokens {
             host: "h".into(),
             route: "r".into(),
             batch_job: "m".into(),
             tokens: 0,
         },
     ];
-    let left = LeftWord {
+    let left = AuditResponse {
         home: 1,
         partition: 2,
         incarnation: 3,
@@ -405,7 +420,7 @@
         zone: "z".into(),
         state,
     };
-    let map = StoreMap {
+    let map = PlacementMap {
         number: 5,
         partitions: views,
         stores: vec![
@@ -419,7 +434,7 @@
     recorded.message("stores map by job", &map);
     recorded.message(
         "stores map by host",
-        &StoreMap {
+        &PlacementMap {
             placement: Placement::ByHost,
             ..map
         },
@@ -438,7 +453,7 @@
         zone: "z".into(),
         sent_ms: 2,
         map: 3,
-        statuses: vec![PartStatus {
+        statuses: vec![PartitionStatus {
             partition: 1,
             status,
             batch_jobs: 4,
@@ -461,7 +476,7 @@
     recorded.message("stores heartbeat stalled", &stalled);
     recorded.message(
         "stores lease",
-        &Grant {
+        &LeaseGrant {
             sent_ms: 1,
             lease_ms: 700,
             map: 3,
@@ -511,7 +526,7 @@
     }
 }
 
-fn result(index: u32, state: State, text: &'static [u8]) -> ItemResult {
+fn result(index: u32, state: ResultStatus, text: &'static [u8]) -> ItemResult {
     ItemResult {
         batch_job: "job-1".into(),
         index,
@@ -523,12 +538,15 @@
 #[test]
 fn commands_keep_their_bytes() {
     let mut recorded = Recorded::new();
-    recorded.message("command take", &Command::Take(take()));
+    recorded.message("command take", &Command::Accept(take()));
     let results = vec![
-        result(2, State::Complete, b"out\nput"),
-        result(0, State::Abandoned, b""),
+        result(2, ResultStatus::Complete, b"out\nput"),
+        result(0, ResultStatus::Abandoned, b""),
     ];
-    recorded.message("command results", &Command::Results { clock: 7, results });
+    recorded.message(
+        "command results",
+        &Command::RecordResults { clock: 7, results },
+    );
     recorded.message(
         "command end",
         &Command::End {
@@ -538,16 +556,16 @@
     );
     recorded.message(
         "command forget",
-        &Command::Forget {
+        &Command::Delete {
             clock: 9,
             batch_job: "job-1".into(),
         },
     );
-    recorded.message("command clock", &Command::Clock { clock: 10 });
+    recorded.message("command clock", &Command::AdvanceClock { clock: 10 });
     recorded.message("command reserve", &reserve("job-1", 3, 14));
     let left = |batch_job: &str, tokens| {
         let (host, route) = ("h.example".into(), "r".into());
-        Left {
+        RemainingTokens {
             host,
             route,
             batch_job: batch_job.into(),
@@ -557,7 +575,7 @@
     let batch_jobs = vec![left("job-1", 5), left("job-2", 0)];
     recorded.message(
         "command left",
-        &Command::Left {
+        &Command::UpdateReservations {
             clock: 11,
             batch_jobs,
         },
@@ -568,20 +586,20 @@
 #[test]
 fn snapshots_keep_their_bytes() {
     let mut recorded = Recorded::new();
-    let mut table = BatchJobs::new();
+    let mut table = BatchJobTable::new();
     recorded.bytes("snapshot empty", &table.snapshot());
     let results = vec![
-        result(2, State::Complete, b"out\nput"),
-        result(0, State::Abandoned, b""),
+        result(2, ResultStatus::Complete, b"out\nput"),
+        result(0, ResultStatus::Abandoned, b""),
     ];
     let ended = Take {
         batch_job: "job-2".into(),
         ..take()
     };
     let commands = [
-        Command::Take(take()),
-        Command::Results { clock: 7, results },
-        Command::Take(ended),
+        Command::Accept(take()),
+        Command::RecordResults { clock: 7, results },
+        Command::Accept(ended),
         Command::End {
             clock: 0x0a0c,
             batch_job: "job-2".into(),
@@ -596,7 +614,7 @@
     recorded.bytes("snapshot with reservations", &table.snapshot());
     recorded.finish("snapshot ");
     // And back, from the recorded bytes.
-    let mut read = BatchJobs::new();
+    let mut read = BatchJobTable::new();
     read.restore(&from_hex(
         &Recorded::new().lines["snapshot with reservations"],
     ))
@@ -609,10 +627,10 @@
         (&[2, 0][..], false, 6)
     );
     assert!(
-        matches!(&job.items[1].state, ItemState::Waiting { path, .. } if path == "/v1/complete?x=1")
+        matches!(&job.items[1].state, ItemState::Pending { path, .. } if path == "/v1/complete?x=1")
     );
-    let listed = ItemState::Listed {
-        state: State::Complete,
+    let listed = ItemState::Finished {
+        state: ResultStatus::Complete,
         text: Bytes::from_static(b"out\nput"),
     };
     assert_eq!(job.items[2].state, listed);
@@ -632,7 +650,7 @@
     );
     let job = read.reserved().of("h.example", "r", "job-3");
     assert_eq!(job.map(|r| (r.partition, r.tokens)), Some((511, u64::MAX)));
-    let mut read = BatchJobs::new();
+    let mut read = BatchJobTable::new();
     read.restore(&from_hex(&Recorded::new().lines["snapshot of jobs"]))
         .unwrap();
     assert!(read.reserved().is_empty());
@@ -661,16 +679,16 @@
         ("body", BODY),
         ("end", END),
         ("fetch", FETCH),
-        ("done", DONE),
-        ("hold", HOLD),
+        ("done", COMPLETE),
+        ("hold", RENEW),
         ("heartbeat", HEARTBEAT),
-        ("grant", GRANT),
+        ("grant", LEASE_GRANT),
         ("chain", CHAIN),
         ("reserve", RESERVE),
-        ("granted", GRANTED),
+        ("granted", RESERVE_RESPONSE),
         ("audit", AUDIT),
-        ("left", LEFT),
-        ("reserve note", RESERVE_NOTE),
+        ("left", AUDIT_RESPONSE),
+        ("reserve note", RESERVE_PROGRESS),
     ];
     let mut said = String::new();
     for (name, kind) in kinds {
@@ -694,7 +712,7 @@
     0x0317 reserve note
     "#);
     let sizes = [
-        MOST_PARTITIONS,
+        MAX_PARTITIONS,
         MAX_READ_BYTES,
         MAX_FETCH_BYTES,
         MAX_ITEMS,
@@ -703,12 +721,12 @@
     ];
     assert_eq!(sizes, [512, 900_000, 1_048_576, 200, 64, 256]);
     assert_eq!(
-        [MAX_LINE, MAX_BODY, MAX_LIST, MAX_HELD],
+        [MAX_LINE, MAX_BODY, MAX_LIST, MAX_LEASES],
         [16_384, 4_194_304, 4_096, 65_536]
     );
     let times = [
-        HOLD_EVERY_MS,
-        HOLDER_SILENT_MS,
+        LEASE_RENEWAL_INTERVAL_MS,
+        LEASE_TIMEOUT_MS,
         HEARTBEAT_INTERVAL_MS,
         u64::from(MAX_WAIT_MS),
     ];
--- a/crates/batch/batch/tests/json.rs
+++ b/crates/batch/batch/tests/json.rs
@@ -4,7 +4,7 @@
 
 use batch::codes;
 use batch::json::{check_batch_job_id, escaped_len, read_submit, write_read};
-use batch::wire::{Listed, State, MAX_HEADERS};
+use batch::wire::{ResultEntry, ResultStatus, MAX_HEADERS};
 use bytes::Bytes;
 use proptest::prelude::*;
 use std::fmt::Write;
@@ -178,14 +178,14 @@
 fn an_answer_is_json_whatever_the_text() {
     let text = "a\nb\"c\\d\r\té\u{1}".to_owned();
     let results = vec![
-        Listed {
+        ResultEntry {
             id: "a".into(),
-            state: State::Complete,
+            state: ResultStatus::Complete,
             text: Bytes::from(text.clone()),
         },
-        Listed {
+        ResultEntry {
             id: "b".into(),
-            state: State::Abandoned,
+            state: ResultStatus::Abandoned,
             text: Bytes::new(),
         },
     ];
@@ -232,12 +232,12 @@
 
     #[test]
     fn every_text_comes_through(text in any::<String>(), id in any::<String>()) {
-        let listed = Listed { id: id.clone().into(), state: State::Complete, text: Bytes::from(text.clone()) };
+        let listed = ResultEntry { id: id.clone().into(), state: ResultStatus::Complete, text: Bytes::from(text.clone()) };
         let json = write_read(1, 1, &[listed]);
         let value: serde_json::Value = serde_json::from_slice(&json).unwrap();
         prop_assert_eq!(value["Results"][0]["Message"].as_str(), Some(text.as_str()));
         prop_assert_eq!(value["Results"][0]["Id"].as_str(), Some(id.as_str()));
-        let around = write_read(1, 1, &[Listed { id: "".into(), state: State::Complete, text: Bytes::new() }]).len();
+        let around = write_read(1, 1, &[ResultEntry { id: "".into(), state: ResultStatus::Complete, text: Bytes::new() }]).len();
         prop_assert_eq!(json.len(), around + escaped_len(text.as_bytes()) + escaped_len(id.as_bytes()));
     }
 }
--- a/crates/batch/batch/tests/owner.rs
+++ b/crates/batch/batch/tests/owner.rs
@@ -5,7 +5,10 @@
 
 use batch::command::Command;
 use batch::wire::*;
-use batch::{BatchJobs, End, ItemState, Owner, Quota, Submit, OPEN_AFTER_MS};
+use batch::{
+    BatchJobTable, EndDecision, ItemState, PartitionLeader, QuotaState, SubmitDecision,
+    TAKEOVER_GRACE_MS,
+};
 use bytes::Bytes;
 use chain_replication::Machine;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
@@ -24,8 +27,8 @@
     }
 }
 
-fn call(batch_job: &str, items: usize) -> SubmitCall {
-    SubmitCall {
+fn call(batch_job: &str, items: usize) -> SubmitRequest {
+    SubmitRequest {
         host: "h.example".into(),
         route: "r".into(),
         batch_job: batch_job.into(),
@@ -41,8 +44,8 @@
     }
 }
 
-fn wants(want: u32) -> Vec<Want> {
-    vec![Want {
+fn wants(want: u32) -> Vec<RouteDemand> {
+    vec![RouteDemand {
         host: "h.example".into(),
         route: "r".into(),
         want,
@@ -51,15 +54,15 @@
 
 /// One head on its own: what it proposes is committed at once.
 struct Alone {
-    batch_jobs: BatchJobs,
-    owner: Owner,
+    batch_jobs: BatchJobTable,
+    owner: PartitionLeader,
     number: u64,
 }
 
 impl Alone {
     fn new(now: u64) -> Self {
-        let batch_jobs = BatchJobs::new();
-        let owner = Owner::new(now, 1, &batch_jobs, POLL);
+        let batch_jobs = BatchJobTable::new();
+        let owner = PartitionLeader::new(now, 1, &batch_jobs, POLL);
         Self {
             batch_jobs,
             owner,
@@ -72,16 +75,16 @@
         self.batch_jobs.apply(self.number, command);
     }
 
-    fn submit(&mut self, now: u64, call: SubmitCall) -> Option<SubmitAnswer> {
+    fn submit(&mut self, now: u64, call: SubmitRequest) -> Option<SubmitResponse> {
         let batch_job = call.batch_job.clone();
         match self
             .owner
-            .submit(now, &self.batch_jobs, call, true, Quota::Here)
+            .submit(now, &self.batch_jobs, call, true, QuotaState::Local)
         {
-            Submit::Answer(answer) => Some(answer),
-            Submit::Known => Some(SubmitAnswer::Taken),
-            Submit::Reserve(..) => panic!("the quota is held here"),
-            Submit::Propose(command) => {
+            SubmitDecision::Answer(answer) => Some(answer),
+            SubmitDecision::Known => Some(SubmitResponse::Accepted),
+            SubmitDecision::Reserve(..) => panic!("the quota is held here"),
+            SubmitDecision::Propose(command) => {
                 self.apply(&command);
                 self.owner.taken(&self.batch_jobs, &batch_job);
                 None
@@ -89,13 +92,13 @@
         }
     }
 
-    fn fetch(&mut self, now: u64, holder: u64, want: u32) -> Vec<Leased> {
+    fn fetch(&mut self, now: u64, holder: u64, want: u32) -> Vec<LeasedItem> {
         self.owner
             .fetch(now, &self.batch_jobs, holder, &wants(want), usize::MAX)
     }
 
-    fn done(&mut self, now: u64, holder: u64, of: &Leased, outcome: Outcome) {
-        let done = Done {
+    fn done(&mut self, now: u64, holder: u64, of: &LeasedItem, outcome: Outcome) {
+        let done = Completion {
             batch_job: of.batch_job.clone(),
             index: of.index,
             lease: of.lease,
@@ -111,12 +114,12 @@
             .owner
             .end(now, &self.batch_jobs, "h.example", batch_job)
         {
-            End::Propose(command) => {
+            EndDecision::Propose(command) => {
                 self.apply(&command);
                 true
             }
-            End::Known => true,
-            End::Unknown => false,
+            EndDecision::Known => true,
+            EndDecision::Unknown => false,
         }
     }
 
@@ -126,7 +129,7 @@
         }
     }
 
-    fn read(&self, batch_job: &str) -> Vec<(String, State)> {
+    fn read(&self, batch_job: &str) -> Vec<(String, ResultStatus)> {
         let found = self
             .batch_jobs
             .read("h.example", batch_job, 0, MAX_READ_BYTES)
@@ -139,8 +142,8 @@
     }
 }
 
-fn held(of: &Leased) -> Held {
-    Held {
+fn held(of: &LeasedItem) -> LeaseRef {
+    LeaseRef {
         batch_job: of.batch_job.clone(),
         index: of.index,
         lease: of.lease,
@@ -157,28 +160,28 @@
 fn a_batch_job_is_taken_once_and_another_content_is_refused() {
     let mut head = Alone::new(0);
     assert_eq!(head.submit(0, call("a", 2)), None);
-    assert_eq!(head.submit(1, call("a", 2)), Some(SubmitAnswer::Taken));
-    let bad = Some(SubmitAnswer::Bad {
+    assert_eq!(head.submit(1, call("a", 2)), Some(SubmitResponse::Accepted));
+    let bad = Some(SubmitResponse::Invalid {
         code: batch::codes::OTHER_CONTENT,
     });
     assert_eq!(head.submit(1, call("a", 3)), bad);
     assert!(head.end(2, "a") && head.end(3, "a") && !head.end(3, "b"));
     assert_eq!(
         head.submit(4, call("a", 2)),
-        Some(SubmitAnswer::Taken),
+        Some(SubmitResponse::Accepted),
         "also after its end"
     );
     assert_eq!(head.submit(4, call("a", 3)), bad);
     let busy = head
         .owner
-        .submit(4, &head.batch_jobs, call("b", 1), false, Quota::Here);
-    assert_eq!(busy, Submit::Answer(SubmitAnswer::Busy));
+        .submit(4, &head.batch_jobs, call("b", 1), false, QuotaState::Local);
+    assert_eq!(busy, SubmitDecision::Answer(SubmitResponse::Unavailable));
 }
 
 #[test]
 fn the_quota_counts_what_waits_and_no_more() {
     let mut head = Alone::new(0);
-    let of = |batch_job: &str, items, max_queued| SubmitCall {
+    let of = |batch_job: &str, items, max_queued| SubmitRequest {
         max_queued,
         ..call(batch_job, items)
     };
@@ -188,43 +191,55 @@
         None,
         "exactly as much as may wait"
     );
-    assert_eq!(head.submit(0, of("c", 1, 100)), Some(SubmitAnswer::Full));
+    assert_eq!(
+        head.submit(0, of("c", 1, 100)),
+        Some(SubmitResponse::QuotaExceeded)
+    );
     assert_eq!(
         head.submit(
             0,
-            SubmitCall {
+            SubmitRequest {
                 items: vec![item("c-0", 1)],
                 ..of("c", 1, 100)
             }
         ),
-        Some(SubmitAnswer::Full)
+        Some(SubmitResponse::QuotaExceeded)
     );
     assert_eq!(
         head.submit(
             0,
-            SubmitCall {
+            SubmitRequest {
                 excess_permille: 100,
                 ..of("c", 1, 100)
             }
         ),
         None
     );
-    assert_eq!(head.submit(0, of("d", 1, 100)), Some(SubmitAnswer::Full));
-    let leased = head.fetch(OPEN_AFTER_MS, 1, 1);
     assert_eq!(
         head.submit(0, of("d", 1, 100)),
-        Some(SubmitAnswer::Full),
+        Some(SubmitResponse::QuotaExceeded)
+    );
+    let leased = head.fetch(TAKEOVER_GRACE_MS, 1, 1);
+    assert_eq!(
+        head.submit(0, of("d", 1, 100)),
+        Some(SubmitResponse::QuotaExceeded),
         "a held one still waits"
     );
     head.done(700, 1, &leased[0], complete("x"));
-    assert_eq!(head.submit(700, of("d", 1, 100)), Some(SubmitAnswer::Full));
+    assert_eq!(
+        head.submit(700, of("d", 1, 100)),
+        Some(SubmitResponse::QuotaExceeded)
+    );
     head.end(700, "b");
     assert_eq!(
         head.submit(700, of("d", 4, 100)),
         None,
         "what is listed or ended does not wait"
     );
-    assert_eq!(head.submit(700, of("e", 1, 100)), Some(SubmitAnswer::Full));
+    assert_eq!(
+        head.submit(700, of("e", 1, 100)),
+        Some(SubmitResponse::QuotaExceeded)
+    );
     assert_eq!(head.submit(700, of("e", 100, 0)), None, "0 is no limit");
     assert_eq!(
         head.batch_jobs.waiting("h.example", "r"),
@@ -237,28 +252,28 @@
     let mut head = Alone::new(0);
     head.submit(
         0,
-        SubmitCall {
+        SubmitRequest {
             due_ms: 9_000,
             ..call("later", 1)
         },
     );
     head.submit(
         10,
-        SubmitCall {
+        SubmitRequest {
             due_ms: 2_000,
             ..call("soon", 1)
         },
     );
     head.submit(
         20,
-        SubmitCall {
+        SubmitRequest {
             due_ms: 100,
             ..call("late", 1)
         },
     );
     head.submit(
         30,
-        SubmitCall {
+        SubmitRequest {
             due_ms: 50,
             ..call("latest", 1)
         },
@@ -286,12 +301,12 @@
     head.submit(0, call("a", 20));
     head.submit(
         0,
-        SubmitCall {
+        SubmitRequest {
             route: "q".into(),
             ..call("b", 20)
         },
     );
-    let want = |route: &str, want| Want {
+    let want = |route: &str, want| RouteDemand {
         host: "h.example".into(),
         route: route.into(),
         want,
@@ -328,7 +343,7 @@
     let mut head = Alone::new(0);
     head.submit(
         0,
-        SubmitCall {
+        SubmitRequest {
             tries: 3,
             ..call("a", 1)
         },
@@ -347,7 +362,10 @@
     let fourth = head.fetch(708, 1, 1).remove(0);
     assert_eq!(head.read("a"), []);
     head.done(709, 1, &fourth, Outcome::Failed);
-    assert_eq!(head.read("a"), [("a-0".to_owned(), State::Abandoned)]);
+    assert_eq!(
+        head.read("a"),
+        [("a-0".to_owned(), ResultStatus::Abandoned)]
+    );
 }
 
 /// Its answer may be lost, and its holder then still says that it holds the item.
@@ -377,10 +395,13 @@
     let mut head = Alone::new(0);
     head.submit(0, call("a", 2));
     let leased = head.fetch(700, 1, 2);
-    head.done(701, 1, &leased[0], Outcome::Impossible);
+    head.done(701, 1, &leased[0], Outcome::Unprocessable);
     head.done(702, 1, &leased[0], complete("too late"));
     head.done(703, 1, &leased[1], complete("text"));
-    let expected = [("a-0", State::Abandoned), ("a-1", State::Complete)];
+    let expected = [
+        ("a-0", ResultStatus::Abandoned),
+        ("a-1", ResultStatus::Complete),
+    ];
     assert_eq!(
         head.read("a"),
         expected.map(|(id, state)| (id.to_owned(), state))
@@ -446,7 +467,7 @@
     head.submit(0, call("a", 2));
     head.submit(
         0,
-        SubmitCall {
+        SubmitRequest {
             retain_ms: 0,
             ..call("b", 1)
         },
@@ -490,7 +511,7 @@
     head.tick(1_006_000);
     assert_eq!(head.batch_jobs.clock(), 6_000);
     // The next head's steady clock is its own.
-    let owner = Owner::new(77, 2, &head.batch_jobs, POLL);
+    let owner = PartitionLeader::new(77, 2, &head.batch_jobs, POLL);
     assert_eq!(owner.clock(77 + 500), 6_500);
     head.owner = owner;
     head.tick(77 + 13_000);
@@ -504,8 +525,8 @@
     let mut head = Alone::new(0);
     head.submit(0, call("a", 4));
     let leased = head.fetch(1_000, 1, 2);
-    head.owner = Owner::new(50_000, 2, &head.batch_jobs, POLL);
-    assert!(head.fetch(50_000 + OPEN_AFTER_MS - 1, 2, 9).is_empty());
+    head.owner = PartitionLeader::new(50_000, 2, &head.batch_jobs, POLL);
+    assert!(head.fetch(50_000 + TAKEOVER_GRACE_MS - 1, 2, 9).is_empty());
     assert!(!head.owner.has_for(50_000, &wants(9)));
     let all: Vec<_> = leased.iter().map(held).collect();
     assert_eq!(head.owner.hold(50_400, &head.batch_jobs, 1, &all), []);
@@ -536,10 +557,10 @@
     let mut head = Alone::new(0);
     head.submit(0, call("a", 6));
     let leased = head.fetch(1_000, 1, 3);
-    head.owner = Owner::new(2_000, 1, &head.batch_jobs, POLL);
+    head.owner = PartitionLeader::new(2_000, 1, &head.batch_jobs, POLL);
     let all: Vec<_> = leased.iter().map(held).collect();
     assert_eq!(head.owner.hold(2_100, &head.batch_jobs, 1, &all), []);
-    let rest = head.fetch(2_000 + OPEN_AFTER_MS, 1, 9);
+    let rest = head.fetch(2_000 + TAKEOVER_GRACE_MS, 1, 9);
     assert_eq!(rest.len(), 3);
     let numbers: BTreeSet<u64> = leased.iter().chain(&rest).map(|of| of.lease).collect();
     assert_eq!(numbers.len(), 6, "{numbers:?}");
@@ -550,7 +571,7 @@
 fn a_lease_number_of_another_view_does_not_move_the_count() {
     let mut head = Alone::new(0);
     head.submit(0, call("a", 2));
-    let odd = Held {
+    let odd = LeaseRef {
         batch_job: "a".into(),
         index: 0,
         lease: u64::MAX,
@@ -569,7 +590,7 @@
     head.submit(0, call("a", 6));
     let leased = head.fetch(700, 1, 6);
     let text = Bytes::from(vec![b'x'; 600_000]);
-    let done = |l: &Leased| Done {
+    let done = |l: &LeasedItem| Completion {
         batch_job: l.batch_job.clone(),
         index: l.index,
         lease: l.lease,
@@ -586,7 +607,7 @@
     }
     assert_eq!(
         head.submit(702, huge),
-        Some(SubmitAnswer::Bad {
+        Some(SubmitResponse::Invalid {
             code: batch::codes::TOO_LARGE
         })
     );
@@ -600,21 +621,21 @@
     time: u64,
     offset: u64,
     view: u64,
-    committed: BatchJobs,
-    head: BatchJobs,
-    owner: Owner,
+    committed: BatchJobTable,
+    head: BatchJobTable,
+    owner: PartitionLeader,
     number: u64,
     /// Proposed and not committed: the command, and what its commit brings.
     proposed: Vec<(Bytes, Option<String>)>,
     /// Holder, what it holds, and results that it has not handed over.
-    holders: BTreeMap<u64, BTreeMap<(String, u32), Leased>>,
+    holders: BTreeMap<u64, BTreeMap<(String, u32), LeasedItem>>,
     /// Batch jobs that were answered with Taken, and ended ones.
     taken: BTreeSet<String>,
     ended: BTreeSet<String>,
     /// Failures that were told, and items that can't be done.
     fails: BTreeMap<(String, u32), u32>,
     impossible: BTreeSet<(String, u32)>,
-    seen: BTreeMap<String, Vec<Listed>>,
+    seen: BTreeMap<String, Vec<ResultEntry>>,
     next: u32,
 }
 
@@ -622,8 +643,8 @@
 
 impl Play {
     fn new(seed: u64) -> Self {
-        let batch_jobs = BatchJobs::new();
-        let owner = Owner::new(1_000, 1, &batch_jobs, POLL);
+        let batch_jobs = BatchJobTable::new();
+        let owner = PartitionLeader::new(1_000, 1, &batch_jobs, POLL);
         Play {
             random: Pcg64::seed_from_u64(seed),
             time: 0,
@@ -697,12 +718,12 @@
         let kept: Vec<_> = self.proposed.drain(..).take(kept).collect();
         self.view += 1;
         self.offset = 1_000 + self.below(1 << 40);
-        self.head = BatchJobs::new();
+        self.head = BatchJobTable::new();
         self.head.restore(&self.committed.snapshot()).unwrap();
         for (command, _) in &kept {
             self.head.apply(1, command);
         }
-        self.owner = Owner::new(self.now(), self.view, &self.head, POLL);
+        self.owner = PartitionLeader::new(self.now(), self.view, &self.head, POLL);
         // What it has is committed before it gives anything out.
         for (command, _) in &kept {
             self.committed.apply(1, command);
@@ -718,20 +739,23 @@
                 let name = format!("lot{}", self.below(u64::from(self.next) + 1));
                 self.next = self.next.max(name[3..].parse::<u32>().unwrap() + 1);
                 let items = name.len() + name.as_bytes()[name.len() - 1] as usize % 5;
-                let call = SubmitCall {
+                let call = SubmitRequest {
                     max_queued: QUOTA,
                     ..call(&name, items)
                 };
                 let fresh = self.head.batch_job(&name).is_none();
-                match self.owner.submit(now, &self.head, call, true, Quota::Here) {
-                    Submit::Propose(command) => {
+                match self
+                    .owner
+                    .submit(now, &self.head, call, true, QuotaState::Local)
+                {
+                    SubmitDecision::Propose(command) => {
                         assert!(fresh);
                         self.propose(command, Some(name));
                     }
-                    Submit::Known => assert!(!fresh),
-                    Submit::Reserve(..) => panic!("the quota is held here"),
-                    Submit::Answer(answer) => {
-                        assert_eq!((answer, fresh), (SubmitAnswer::Full, true))
+                    SubmitDecision::Known => assert!(!fresh),
+                    SubmitDecision::Reserve(..) => panic!("the quota is held here"),
+                    SubmitDecision::Answer(answer) => {
+                        assert_eq!((answer, fresh), (SubmitResponse::QuotaExceeded, true))
                     }
                 }
             }
@@ -752,7 +776,7 @@
                     let batch_job = self.head.batch_job(&leased.batch_job).unwrap();
                     let waits = matches!(
                         batch_job.items[leased.index as usize].state,
-                        ItemState::Waiting { .. }
+                        ItemState::Pending { .. }
                     );
                     assert!(waits, "given out after its result");
                     if !lost {
@@ -764,26 +788,26 @@
                 let holder = self.below(3);
                 let count = self.below(4) as usize + 1;
                 let held = self.holders.entry(holder).or_default();
-                let some: Vec<Leased> = held.values().take(count).cloned().collect();
+                let some: Vec<LeasedItem> = held.values().take(count).cloned().collect();
                 let mut results = Vec::new();
                 for leased in some {
                     let key = (leased.batch_job.to_string(), leased.index);
                     let outcome = match self.below(10) {
                         0..=5 => complete(&format!("{}/{}", key.0, key.1)),
                         6..=7 => Outcome::Failed,
-                        8 => Outcome::Impossible,
+                        8 => Outcome::Unprocessable,
                         _ => Outcome::Released,
                     };
                     match outcome {
                         Outcome::Failed => *self.fails.entry(key.clone()).or_default() += 1,
-                        Outcome::Impossible => {
+                        Outcome::Unprocessable => {
                             self.impossible.insert(key.clone());
                         }
                         _ => {}
                     }
                     let (batch_job, index, lease) =
                         (leased.batch_job.clone(), leased.index, leased.lease);
-                    results.push(Done {
+                    results.push(Completion {
                         batch_job,
                         index,
                         lease,
@@ -800,7 +824,7 @@
             }
             65..=74 => {
                 let holder = self.below(3);
-                let held: Vec<Held> = self
+                let held: Vec<LeaseRef> = self
                     .holders
                     .entry(holder)
                     .or_default()
@@ -819,7 +843,9 @@
             }
             75..=78 => {
                 let id = format!("lot{}", self.below(u64::from(self.next) + 1));
-                if let End::Propose(command) = self.owner.end(now, &self.head, "h.example", &id) {
+                if let EndDecision::Propose(command) =
+                    self.owner.end(now, &self.head, "h.example", &id)
+                {
                     self.propose(command, None);
                     let all = self.proposed.len();
                     self.commit(all);
@@ -846,8 +872,8 @@
         for (id, batch_job) in self.committed.iter() {
             for (item, index) in batch_job.items.iter().zip(0u32..) {
                 let key = (id.to_string(), index);
-                if let ItemState::Listed {
-                    state: State::Abandoned,
+                if let ItemState::Finished {
+                    state: ResultStatus::Abandoned,
                     ..
                 } = item.state
                 {
@@ -861,8 +887,8 @@
                         "{key:?} given up for nothing"
                     );
                 }
-                if let ItemState::Listed {
-                    state: State::Complete,
+                if let ItemState::Finished {
+                    state: ResultStatus::Complete,
                     text,
                 } = &item.state
                 {
@@ -919,13 +945,13 @@
     let mut head = Alone::new(0);
     let call = call("a", 2);
     let items = call.items.clone();
-    let Submit::Propose(command) = head
-        .owner
-        .submit(5, &head.batch_jobs, call, true, Quota::Here)
+    let SubmitDecision::Propose(command) =
+        head.owner
+            .submit(5, &head.batch_jobs, call, true, QuotaState::Local)
     else {
         panic!("not taken")
     };
-    let Ok(Command::Take(take)) = Command::decode(&command) else {
+    let Ok(Command::Accept(take)) = Command::decode(&command) else {
         panic!("no taking")
     };
     assert_eq!(
--- a/crates/batch/batch/tests/quota.rs
+++ b/crates/batch/batch/tests/quota.rs
@@ -2,7 +2,7 @@
 
 use batch::command::{Command, Take};
 use batch::wire::*;
-use batch::{BatchJobs, Decision, Owner, QuotaOwner};
+use batch::{BatchJobTable, PartitionLeader, QuotaLeader, ReserveDecision};
 use bytes::Bytes;
 use chain_replication::Machine;
 use std::net::SocketAddr;
@@ -15,20 +15,20 @@
 
 /// The head of a home partition whose commands are committed at once.
 struct Home {
-    batch_jobs: BatchJobs,
-    owner: Owner,
-    quota: QuotaOwner,
+    batch_jobs: BatchJobTable,
+    owner: PartitionLeader,
+    quota: QuotaLeader,
     number: u64,
 }
 
 impl Home {
     fn new() -> Home {
-        let batch_jobs = BatchJobs::new();
-        let owner = Owner::new(0, 1, &batch_jobs, 120_000);
+        let batch_jobs = BatchJobTable::new();
+        let owner = PartitionLeader::new(0, 1, &batch_jobs, 120_000);
         Home {
             batch_jobs,
             owner,
-            quota: QuotaOwner::new(4, addr(), 9),
+            quota: QuotaLeader::new(4, addr(), 9),
             number: 0,
         }
     }
@@ -38,8 +38,8 @@
         self.batch_jobs.apply(self.number, command);
     }
 
-    fn ask(&mut self, now: u64, batch_job: &str, nonce: u64, tokens: u64) -> Decision {
-        let call = ReserveCall {
+    fn ask(&mut self, now: u64, batch_job: &str, nonce: u64, tokens: u64) -> ReserveDecision {
+        let call = ReserveRequest {
             host: HOST.into(),
             route: "r".into(),
             batch_job: batch_job.into(),
@@ -53,7 +53,7 @@
         let decision = self
             .quota
             .reserve(now, &self.batch_jobs, &mut self.owner, &call);
-        if let Decision::Propose(command) = &decision {
+        if let ReserveDecision::Propose(command) = &decision {
             self.apply(command);
         }
         decision
@@ -62,31 +62,31 @@
     fn is_granted(&mut self, now: u64, batch_job: &str, nonce: u64, tokens: u64) -> bool {
         matches!(
             self.ask(now, batch_job, nonce, tokens),
-            Decision::Propose(_)
+            ReserveDecision::Propose(_)
         )
     }
 
-    fn audit(&mut self, now: u64) -> AuditCall {
+    fn audit(&mut self, now: u64) -> AuditRequest {
         let mut audits = self.quota.audits(now, &self.batch_jobs);
         assert_eq!(audits.len(), 1, "all is on one partition");
         audits.remove(0)
     }
 
-    fn word(&mut self, now: u64, audit: &AuditCall, left: &[(&str, u64)]) {
-        let batch_jobs = left.iter().map(|(batch_job, tokens)| Left {
+    fn word(&mut self, now: u64, audit: &AuditRequest, left: &[(&str, u64)]) {
+        let batch_jobs = left.iter().map(|(batch_job, tokens)| RemainingTokens {
             host: HOST.into(),
             route: "r".into(),
             batch_job: (*batch_job).into(),
             tokens: *tokens,
         });
-        let AuditCall {
+        let AuditRequest {
             home,
             partition,
             incarnation,
             audit,
             ..
         } = audit.clone();
-        let word = LeftWord {
+        let word = AuditResponse {
             home,
             partition,
             incarnation,
@@ -118,7 +118,7 @@
     assert_eq!(home.sum(), 1_000);
     assert_eq!(
         home.ask(2, "c", 4, 1),
-        Decision::Wait,
+        ReserveDecision::Undecided,
         "nobody has said yet what is left"
     );
     let audit = home.audit(2);
@@ -127,15 +127,19 @@
         (4, 7, 2)
     );
     home.word(10, &audit, &[("a", 600), ("b", 400)]);
-    assert_eq!(home.ask(11, "c", 4, 1), Decision::Full);
-    assert_eq!(home.ask(600, "d", 5, 1), Decision::Wait, "the word is old");
+    assert_eq!(home.ask(11, "c", 4, 1), ReserveDecision::Rejected);
+    assert_eq!(
+        home.ask(600, "d", 5, 1),
+        ReserveDecision::Undecided,
+        "the word is old"
+    );
     let audit = home.audit(600);
     home.word(610, &audit, &[("a", 500), ("b", 0)]);
     assert_eq!(home.sum(), 500);
     assert!(home.is_granted(611, "d", 5, 500));
     assert_eq!(
         home.ask(612, "c", 4, 1),
-        Decision::Full,
+        ReserveDecision::Rejected,
         "an asking that was refused stays so"
     );
     // A lower limit takes nothing back.
@@ -165,7 +169,7 @@
     let audit = home.audit(1);
     home.word(
         2,
-        &AuditCall {
+        &AuditRequest {
             incarnation: 8,
             ..audit.clone()
         },
@@ -211,7 +215,7 @@
         tries: 1,
         items: vec![item],
     };
-    Command::Take(take).encode()
+    Command::Accept(take).encode()
 }
 
 #[test]
@@ -221,7 +225,7 @@
     let without = home.batch_jobs.snapshot();
     assert!(home.is_granted(0, "a", 1, 600));
     assert!(home.is_granted(0, "b", 2, 300));
-    let mut back = BatchJobs::new();
+    let mut back = BatchJobTable::new();
     back.restore(&home.batch_jobs.snapshot()).unwrap();
     assert_eq!(back, home.batch_jobs);
     assert_eq!(
@@ -230,16 +234,16 @@
     );
     // Without reservations it is as the version before wrote it: another number in its first bytes, nothing behind its batch jobs.
     assert_eq!(without[..4], 0x4c4f_5401u32.to_le_bytes());
-    let mut read = BatchJobs::new();
+    let mut read = BatchJobTable::new();
     read.restore(&without).unwrap();
     assert!(read.batch_job("l").is_some() && read.reserved().is_empty());
     // Not a mixture of both.
     let mut longer = home.batch_jobs.snapshot();
     longer[..4].copy_from_slice(&0x4c4f_5401u32.to_le_bytes());
-    assert!(BatchJobs::new().restore(&longer).is_err());
+    assert!(BatchJobTable::new().restore(&longer).is_err());
     let mut shorter = without;
     shorter[..4].copy_from_slice(&0x4c4f_5402u32.to_le_bytes());
-    assert!(BatchJobs::new().restore(&shorter).is_err());
+    assert!(BatchJobTable::new().restore(&shorter).is_err());
 }
 
 /// A partition that does not answer keeps the home partition from knowing what fits; one whose head is another now is asked at once.
@@ -262,7 +266,7 @@
     home.quota.ask_again(&[7]);
     let second = home.audit(220);
     assert!(second.audit > first.audit);
-    let word = LeftWord {
+    let word = AuditResponse {
         home: 4,
         partition: 7,
         incarnation: 9,
--- a/crates/batch/batch/tests/table.rs
+++ b/crates/batch/batch/tests/table.rs
@@ -4,8 +4,8 @@
 #![expect(clippy::too_many_lines, reason = "not revised yet")]
 
 use batch::command::{Command, ItemResult, Take};
-use batch::wire::{Item, Listed, Message, State, MAX_READ_BYTES};
-use batch::{BatchJobs, ItemState};
+use batch::wire::{Item, Message, ResultEntry, ResultStatus, MAX_READ_BYTES};
+use batch::{BatchJobTable, ItemState};
 use bytes::Bytes;
 use chain_replication::Machine;
 use proptest::prelude::*;
@@ -25,7 +25,7 @@
         body: Bytes::from(vec![at; usize::from(at)]),
         tokens: u64::from(at) * 10,
     };
-    Command::Take(Take {
+    Command::Accept(Take {
         clock,
         batch_job: batch_job_id(n).into(),
         host: HOSTS[usize::from(n % 2)].into(),
@@ -51,13 +51,13 @@
                     batch_job: batch_job_id(n).into(),
                     index,
                     state: if complete {
-                        State::Complete
+                        ResultStatus::Complete
                     } else {
-                        State::Abandoned
+                        ResultStatus::Abandoned
                     },
                     text: Bytes::from(vec![b'a' + text % 20; 10]),
                 };
-                Command::Results {
+                Command::RecordResults {
                     clock,
                     results: results.into_iter().map(result).collect(),
                 }
@@ -66,15 +66,15 @@
             clock,
             batch_job: batch_job_id(n).into()
         }),
-        (any::<u8>(), 0u64..1000).prop_map(|(n, clock)| Command::Forget {
+        (any::<u8>(), 0u64..1000).prop_map(|(n, clock)| Command::Delete {
             clock,
             batch_job: batch_job_id(n).into()
         }),
-        (0u64..1000).prop_map(|clock| Command::Clock { clock }),
+        (0u64..1000).prop_map(|clock| Command::AdvanceClock { clock }),
     ]
 }
 
-fn read(batch_jobs: &BatchJobs, id: &str) -> Option<Vec<Listed>> {
+fn read(batch_jobs: &BatchJobTable, id: &str) -> Option<Vec<ResultEntry>> {
     let batch_job = batch_jobs.batch_job(id)?;
     let found = batch_jobs
         .read(&batch_job.host, id, 0, MAX_READ_BYTES)
@@ -84,20 +84,20 @@
     Some(found.results)
 }
 
-fn copy(batch_jobs: &BatchJobs) -> BatchJobs {
-    let mut copy = BatchJobs::new();
+fn copy(batch_jobs: &BatchJobTable) -> BatchJobTable {
+    let mut copy = BatchJobTable::new();
     copy.restore(&batch_jobs.snapshot()).unwrap();
     copy
 }
 
 /// The tokens that wait, counted anew.
-fn waiting(batch_jobs: &BatchJobs, host: &str) -> u64 {
+fn waiting(batch_jobs: &BatchJobTable, host: &str) -> u64 {
     let of_host = batch_jobs
         .iter()
         .filter(|(_, batch_job)| batch_job.host == host);
     let items = of_host.flat_map(|(_, batch_job)| &batch_job.items);
     items
-        .filter(|i| matches!(i.state, ItemState::Waiting { .. }))
+        .filter(|i| matches!(i.state, ItemState::Pending { .. }))
         .map(|i| i.tokens)
         .sum()
 }
@@ -107,9 +107,9 @@
 
     #[test]
     fn positions_never_change_and_copies_are_the_same(commands in prop::collection::vec(command(), 0..60), at in 0usize..60) {
-        let mut batch_jobs = BatchJobs::new();
-        let mut other = BatchJobs::new();
-        let mut seen: BTreeMap<String, Vec<Listed>> = BTreeMap::new();
+        let mut batch_jobs = BatchJobTable::new();
+        let mut other = BatchJobTable::new();
+        let mut seen: BTreeMap<String, Vec<ResultEntry>> = BTreeMap::new();
         for (number, command) in commands.iter().enumerate() {
             let bytes = command.encode();
             prop_assert!(!bytes.is_empty());
@@ -124,7 +124,7 @@
             for n in 0..5 {
                 let id = batch_job_id(n);
                 let now = read(&batch_jobs, &id);
-                let forgotten = matches!(command, Command::Forget { batch_job, .. } if *batch_job == id);
+                let forgotten = matches!(command, Command::Delete { batch_job, .. } if *batch_job == id);
                 if forgotten {
                     prop_assert_eq!(now, None);
                     seen.remove(&id);
@@ -153,7 +153,7 @@
 
     #[test]
     fn a_command_applied_twice_is_applied_once(commands in prop::collection::vec(command(), 0..40)) {
-        let (mut once, mut twice) = (BatchJobs::new(), BatchJobs::new());
+        let (mut once, mut twice) = (BatchJobTable::new(), BatchJobTable::new());
         for (number, command) in commands.iter().enumerate() {
             let bytes = command.encode();
             once.apply(number as u64 + 1, &bytes);
@@ -168,7 +168,7 @@
     fn a_snapshot_that_was_cut_or_changed_is_refused_or_sound(
         commands in prop::collection::vec(command(), 0..20), at in any::<prop::sample::Index>(), to in any::<u8>(),
     ) {
-        let mut batch_jobs = BatchJobs::new();
+        let mut batch_jobs = BatchJobTable::new();
         for (number, command) in commands.iter().enumerate() {
             batch_jobs.apply(number as u64 + 1, &command.encode());
         }
@@ -193,7 +193,7 @@
 
 #[test]
 fn an_end_keeps_what_is_listed_and_takes_the_rest() {
-    let mut batch_jobs = BatchJobs::new();
+    let mut batch_jobs = BatchJobTable::new();
     batch_jobs.apply(1, &take(0, 4, 5).encode());
     assert_eq!(batch_jobs.waiting("a.example", "r"), 60);
     assert_eq!(
@@ -208,12 +208,12 @@
     let result = |index| ItemResult {
         batch_job: "lot0".into(),
         index,
-        state: State::Complete,
+        state: ResultStatus::Complete,
         text: Bytes::from_static(b"out"),
     };
     batch_jobs.apply(
         2,
-        &Command::Results {
+        &Command::RecordResults {
             clock: 6,
             results: vec![result(3), result(1), result(9)],
         }
@@ -241,7 +241,7 @@
     );
     batch_jobs.apply(
         4,
-        &Command::Results {
+        &Command::RecordResults {
             clock: 8,
             results: vec![result(0)],
         }
@@ -261,17 +261,17 @@
 
 #[test]
 fn a_read_is_bounded_and_gives_one_at_least() {
-    let mut batch_jobs = BatchJobs::new();
+    let mut batch_jobs = BatchJobTable::new();
     batch_jobs.apply(1, &take(0, 5, 5).encode());
     let result = |index| ItemResult {
         batch_job: "lot0".into(),
         index,
-        state: State::Complete,
+        state: ResultStatus::Complete,
         text: Bytes::from(vec![b'\n'; 400_000]),
     };
     batch_jobs.apply(
         2,
-        &Command::Results {
+        &Command::RecordResults {
             clock: 6,
             results: (0..4).map(result).collect(),
         }
--- a/crates/batch/batch/tests/wire.rs
+++ b/crates/batch/batch/tests/wire.rs
@@ -4,7 +4,7 @@
 
 use batch::command::Command;
 use batch::wire::*;
-use batch::BatchJobs;
+use batch::BatchJobTable;
 use bytes::Bytes;
 use chain_replication::{Member, Status, View};
 use proptest::prelude::*;
@@ -40,14 +40,14 @@
     }
     let mut longer = bytes.to_vec();
     longer.push(0);
-    assert_eq!(T::decode(&longer), Err(WireError::Surplus(1)));
+    assert_eq!(T::decode(&longer), Err(DecodeError::TrailingBytes(1)));
 }
 
 #[test]
 fn every_message_comes_back_whole_and_only_whole() {
     let to = "10.1.0.38:7662".parse().unwrap();
     let v6 = "[::1]:7662".parse().unwrap();
-    back(SubmitCall {
+    back(SubmitRequest {
         host: "h.example".into(),
         route: "r".into(),
         batch_job: "l".into(),
@@ -60,83 +60,83 @@
         items: vec![item("a", b"body"), item("b", b"")],
     });
     for answer in [
-        SubmitAnswer::Taken,
-        SubmitAnswer::Full,
-        SubmitAnswer::Busy,
-        SubmitAnswer::Moved { to },
-        SubmitAnswer::Bad { code: 712 },
-        SubmitAnswer::Unsure,
+        SubmitResponse::Accepted,
+        SubmitResponse::QuotaExceeded,
+        SubmitResponse::Unavailable,
+        SubmitResponse::Redirect { to },
+        SubmitResponse::Invalid { code: 712 },
+        SubmitResponse::Indeterminate,
     ] {
         back(answer);
     }
-    back(ReadCall {
+    back(ReadRequest {
         host: "h".into(),
         batch_job: "l".into(),
         start_after: 3,
         wait_ms: 1000,
     });
     let results = vec![
-        Listed {
+        ResultEntry {
             id: "a".into(),
-            state: State::Complete,
+            state: ResultStatus::Complete,
             text: Bytes::from_static(b"x\ny"),
         },
-        Listed {
+        ResultEntry {
             id: "b".into(),
-            state: State::Abandoned,
+            state: ResultStatus::Abandoned,
             text: Bytes::new(),
         },
     ];
     for answer in [
-        ReadAnswer::Found {
+        ReadResponse::Found {
             total: 7,
             next: 2,
             results,
         },
-        ReadAnswer::Unknown,
-        ReadAnswer::Unsure,
-        ReadAnswer::Moved { to: v6 },
+        ReadResponse::NotFound,
+        ReadResponse::Unavailable,
+        ReadResponse::Redirect { to: v6 },
     ] {
         back(answer);
     }
-    back(BodyCall {
+    back(ItemBodyRequest {
         host: "h".into(),
         batch_job: "l".into(),
         item: "i".into(),
     });
     for answer in [
-        BodyAnswer::Found {
+        ItemBodyResponse::Found {
             body: Bytes::from_static(b"b"),
         },
-        BodyAnswer::Unknown,
-        BodyAnswer::Unsure,
-        BodyAnswer::Moved { to },
+        ItemBodyResponse::NotFound,
+        ItemBodyResponse::Unavailable,
+        ItemBodyResponse::Redirect { to },
     ] {
         back(answer);
     }
-    back(EndCall {
+    back(EndRequest {
         host: "h".into(),
         batch_job: "l".into(),
     });
     for answer in [
-        EndAnswer::Ended,
-        EndAnswer::Unknown,
-        EndAnswer::Unsure,
-        EndAnswer::Moved { to },
+        EndResponse::Ended,
+        EndResponse::NotFound,
+        EndResponse::Indeterminate,
+        EndResponse::Redirect { to },
     ] {
         back(answer);
     }
-    back(FetchCall {
+    back(FetchRequest {
         holder: 9,
         wait_ms: 500,
-        wants: vec![Want {
+        wants: vec![RouteDemand {
             host: "h".into(),
             route: "r".into(),
             want: 3,
         }],
     });
-    back(FetchAnswer {
-        items: vec![Leased {
+    back(FetchResponse {
+        items: vec![LeasedItem {
             host: "h".into(),
             route: "r".into(),
             batch_job: "l".into(),
@@ -147,15 +147,15 @@
             tries_left: 5,
             item: item("a", b"body"),
         }],
-        elsewhere: vec![Elsewhere { partition: 4, to }],
+        elsewhere: vec![PartitionRedirect { partition: 4, to }],
     });
-    let done = |outcome| Done {
+    let done = |outcome| Completion {
         batch_job: "l".into(),
         index: 1,
         lease: 2,
         outcome,
     };
-    back(DoneCall {
+    back(CompleteRequest {
         holder: 1,
         partition: 2,
         results: vec![
@@ -163,18 +163,18 @@
                 text: Bytes::from_static(b"t"),
             }),
             done(Outcome::Failed),
-            done(Outcome::Impossible),
+            done(Outcome::Unprocessable),
             done(Outcome::Released),
         ],
     });
     for answer in [
-        DoneAnswer::Accepted,
-        DoneAnswer::Unsure,
-        DoneAnswer::Moved { to },
+        CompleteResponse::Accepted,
+        CompleteResponse::Indeterminate,
+        CompleteResponse::Redirect { to },
     ] {
         back(answer);
     }
-    back(ReserveCall {
+    back(ReserveRequest {
         host: "h".into(),
         route: "r".into(),
         batch_job: "l".into(),
@@ -185,26 +185,26 @@
         tokens: 6,
         most: 7,
     });
-    back(ReserveNote {
+    back(ReserveProgress {
         partition: 3,
         batch_job: "l".into(),
         incarnation: 4,
         nonce: 5,
         soon: true,
     });
-    back(GrantedWord {
+    back(ReserveResponse {
         partition: 3,
         batch_job: "l".into(),
         incarnation: 4,
         nonce: 5,
         granted: true,
     });
-    let batch_jobs = vec![AuditLot {
+    let batch_jobs = vec![AuditedJob {
         host: "h".into(),
         route: "r".into(),
         batch_job: "l".into(),
     }];
-    back(AuditCall {
+    back(AuditRequest {
         home: 1,
         partition: 2,
         reply_to: v6,
@@ -212,40 +212,40 @@
         audit: 4,
         batch_jobs,
     });
-    let batch_jobs = vec![Left {
+    let batch_jobs = vec![RemainingTokens {
         host: "h".into(),
         route: "r".into(),
         batch_job: "l".into(),
         tokens: 9,
     }];
-    back(LeftWord {
+    back(AuditResponse {
         home: 1,
         partition: 2,
         incarnation: 3,
         audit: 4,
         batch_jobs,
     });
-    let held = vec![Held {
+    let held = vec![LeaseRef {
         batch_job: "l".into(),
         index: 1,
         lease: 2,
     }];
-    back(HoldCall {
+    back(RenewRequest {
         holder: 1,
-        parts: vec![HeldPart {
+        parts: vec![PartitionLeases {
             partition: 2,
             held: held.clone(),
         }],
     });
-    let part = |answer| HoldPart {
+    let part = |answer| PartitionRenewal {
         partition: 1,
         answer,
     };
-    back(HoldAnswer {
+    back(RenewResponse {
         parts: vec![
-            part(PartAnswer::Drop { drop: held }),
-            part(PartAnswer::Unsure),
-            part(PartAnswer::Moved { to }),
+            part(RenewOutcome::Revoke { leases: held }),
+            part(RenewOutcome::Unavailable),
+            part(RenewOutcome::Redirect { to }),
         ],
     });
     let member = |id| Member {
@@ -258,7 +258,7 @@
         members: vec![member(1), member(2)],
         joining: vec![member(3)],
     };
-    let map = StoreMap {
+    let map = PlacementMap {
         number: 5,
         partitions: vec![view; 48],
         stores: vec![StoreInfo {
@@ -273,7 +273,7 @@
     assert_eq!(map.head_of("any.example", "a-job"), Some(to));
     assert_eq!(map.heads_of("any.example"), [to]);
     back(map.clone());
-    back(StoreMap {
+    back(PlacementMap {
         placement: Placement::ByHost,
         ..map
     });
@@ -284,7 +284,7 @@
         zone: "z".into(),
         sent_ms: 2,
         map: 3,
-        statuses: vec![PartStatus {
+        statuses: vec![PartitionStatus {
             partition: 1,
             status: Status::default(),
             batch_jobs: 4,
@@ -297,7 +297,7 @@
         stalled: true,
         answered_ms: 8,
     });
-    back(Grant {
+    back(LeaseGrant {
         sent_ms: 1,
         lease_ms: 2,
         map: 3,
@@ -310,7 +310,7 @@
 
 #[test]
 fn what_is_over_a_bound_is_not_said() {
-    let call = |items| SubmitCall {
+    let call = |items| SubmitRequest {
         host: "h".into(),
         route: "r".into(),
         batch_job: "l".into(),
@@ -347,7 +347,7 @@
         "b",
         "vonu12.example",
     ];
-    let parts: Vec<usize> = hosts.iter().map(|host| home_of(host, 16)).collect();
+    let parts: Vec<usize> = hosts.iter().map(|host| home_partition(host, 16)).collect();
     insta::assert_debug_snapshot!(parts, @r#"
     [
         9,
@@ -361,7 +361,7 @@
     "#);
     let mut used = [false; 16];
     for n in 0..500 {
-        used[home_of(&format!("host{n}.example"), 16)] = true;
+        used[home_partition(&format!("host{n}.example"), 16)] = true;
     }
     assert!(used.iter().all(|used| *used));
 }
@@ -403,25 +403,25 @@
         members: vec![member],
         joining: vec![],
     };
-    let by_host = StoreMap {
+    let by_host = PlacementMap {
         number: 5,
         partitions: vec![view; 16],
         stores: vec![],
         placement: Placement::ByHost,
     };
     let bytes = by_host.encode();
-    let read = StoreMap::decode(&bytes).unwrap();
+    let read = PlacementMap::decode(&bytes).unwrap();
     assert_eq!(read.placement, Placement::ByHost);
     assert_eq!(
         read.partition_of("h.example", "a"),
         read.partition_of("h.example", "b")
     );
     assert_eq!(read.heads_of("h.example").len(), 1);
-    let by_job = StoreMap {
+    let by_job = PlacementMap {
         placement: Placement::ByJob,
         ..by_host
     };
-    let spread = StoreMap::decode(&by_job.encode()).unwrap();
+    let spread = PlacementMap::decode(&by_job.encode()).unwrap();
     assert_eq!((spread.number, spread.placement), (5, Placement::ByJob));
     // As the version before wrote it: the number in the first eight bytes, and nothing of placement.
     assert_eq!(bytes[..8], 5u64.to_le_bytes());
@@ -429,26 +429,26 @@
 }
 
 fn decode_all(bytes: &[u8]) {
-    let _ = SubmitCall::decode(bytes);
-    let _ = SubmitAnswer::decode(bytes);
-    let _ = ReadCall::decode(bytes);
-    let _ = ReadAnswer::decode(bytes);
-    let _ = BodyCall::decode(bytes);
-    let _ = BodyAnswer::decode(bytes);
-    let _ = EndCall::decode(bytes);
-    let _ = EndAnswer::decode(bytes);
-    let _ = FetchCall::decode(bytes);
-    let _ = FetchAnswer::decode(bytes);
-    let _ = DoneCall::decode(bytes);
-    let _ = DoneAnswer::decode(bytes);
-    let _ = HoldCall::decode(bytes);
-    let _ = HoldAnswer::decode(bytes);
-    let _ = StoreMap::decode(bytes);
+    let _ = SubmitRequest::decode(bytes);
+    let _ = SubmitResponse::decode(bytes);
+    let _ = ReadRequest::decode(bytes);
+    let _ = ReadResponse::decode(bytes);
+    let _ = ItemBodyRequest::decode(bytes);
+    let _ = ItemBodyResponse::decode(bytes);
+    let _ = EndRequest::decode(bytes);
+    let _ = EndResponse::decode(bytes);
+    let _ = FetchRequest::decode(bytes);
+    let _ = FetchResponse::decode(bytes);
+    let _ = CompleteRequest::decode(bytes);
+    let _ = CompleteResponse::decode(bytes);
+    let _ = RenewRequest::decode(bytes);
+    let _ = RenewResponse::decode(bytes);
+    let _ = PlacementMap::decode(bytes);
     let _ = Heartbeat::decode(bytes);
-    let _ = Grant::decode(bytes);
+    let _ = LeaseGrant::decode(bytes);
     let _ = ChainFrame::decode(bytes);
     let _ = Command::decode(bytes);
-    let mut batch_jobs = BatchJobs::new();
+    let mut batch_jobs = BatchJobTable::new();
     chain_replication::Machine::apply(&mut batch_jobs, 1, bytes);
     if chain_replication::Machine::restore(&mut batch_jobs, bytes).is_err() {
         assert!(batch_jobs.is_empty() || Command::decode(bytes).is_ok());
@@ -463,7 +463,7 @@
 
     #[test]
     fn nor_do_messages_with_changed_bytes(at in 0usize..400, to in any::<u8>(), cut in 0usize..400) {
-        let call = SubmitCall {
+        let call = SubmitRequest {
             host: "h.example".into(),
             route: "r".into(),
             batch_job: "l".into(),
--- a/crates/control/controller/src/owner.rs
+++ b/crates/control/controller/src/owner.rs
@@ -16,7 +16,7 @@
 use crate::plan::Stores;
 use crate::refused::{PassedOver, Refused};
 use batch::wire::Message as _;
-use batch::wire::{Heartbeat, StoreMap, HEARTBEAT};
+use batch::wire::{Heartbeat, PlacementMap, HEARTBEAT};
 use bytes::Bytes;
 use calls::Pending;
 use chain_replication::{Member, Ms, Node};
@@ -135,7 +135,7 @@
     pub(crate) tolerated: Option<usize>,
     /// The same of whole zones, or regions.
     pub(crate) tolerated_zones: Option<usize>,
-    pub(crate) map: Option<StoreMap>,
+    pub(crate) map: Option<PlacementMap>,
     /// Stores that get no lease, as of then: a map without them waits until those that they have run out.
     pub(crate) withheld: (Vec<SocketAddr>, Ms),
     pub(crate) room: (u64, u64),
--- a/crates/control/controller/src/owner/duty.rs
+++ b/crates/control/controller/src/owner/duty.rs
@@ -4,7 +4,7 @@
 use crate::control::Command;
 use crate::plan::LEASE;
 use batch::wire::Message as _;
-use batch::wire::{Grant, StoreMap, GRANT};
+use batch::wire::{LeaseGrant, PlacementMap, LEASE_GRANT};
 use chain_replication::Ms;
 use slog::info;
 use std::net::SocketAddr;
@@ -52,7 +52,7 @@
         }
     }
 
-    pub(super) fn order_map(&mut self, now: Ms, next: &StoreMap) -> bool {
+    pub(super) fn order_map(&mut self, now: Ms, next: &PlacementMap) -> bool {
         // One at a time: the next is planned on what is committed.
         if self.node.machine().map_number != self.map.as_ref().map_or(0, |m| m.number) {
             return false;
@@ -83,8 +83,8 @@
         let map = self.node.machine().map_number;
         self.tell(
             store,
-            GRANT,
-            Grant {
+            LEASE_GRANT,
+            LeaseGrant {
                 sent_ms,
                 lease_ms,
                 map,
--- a/crates/control/controller/src/owner/spread.rs
+++ b/crates/control/controller/src/owner/spread.rs
@@ -2,7 +2,7 @@
 
 use super::Owner;
 use batch::wire::Message as _;
-use batch::wire::StoreMap;
+use batch::wire::PlacementMap;
 use bytes::Bytes;
 use chain_replication::Ms;
 use relay_tree::Stamp;
@@ -26,7 +26,7 @@
             self.node.machine().map.clone(),
         );
         if map_number > self.map.as_ref().map_or(0, |m| m.number) {
-            match StoreMap::decode(&map) {
+            match PlacementMap::decode(&map) {
                 Ok(read) => {
                     info!(self.log, "map of stores in force"; "map" => map_number);
                     self.map = Some(read);
--- a/crates/control/controller/src/plan.rs
+++ b/crates/control/controller/src/plan.rs
@@ -1,6 +1,6 @@
 //! The map of stores, a singleton duty of the head of the controllers: which stores form the chain of each partition of batch jobs.
 
-use batch::wire::{Heartbeat, Placement, StoreInfo, StoreMap, StoreState, MOST_PARTITIONS};
+use batch::wire::{Heartbeat, Placement, PlacementMap, StoreInfo, StoreState, MAX_PARTITIONS};
 use chain_replication::{Member, Ms, Seen, Status, View};
 use compact_str::CompactString;
 use std::collections::BTreeMap;
@@ -32,8 +32,8 @@
 pub fn partitions_for(stores: usize) -> usize {
     let wanted = stores
         .saturating_mul(PARTITIONS_PER_STORE)
-        .clamp(LEAST_PARTITIONS, MOST_PARTITIONS);
-    wanted.next_power_of_two().min(MOST_PARTITIONS)
+        .clamp(LEAST_PARTITIONS, MAX_PARTITIONS);
+    wanted.next_power_of_two().min(MAX_PARTITIONS)
 }
 
 struct Heard {
@@ -129,7 +129,7 @@
     }
 
     /// The tails of [`tails_lost`] whose leases are to be waited for: a process that has ended has none.
-    pub fn tails_to_outlast(&self, map: &StoreMap, next: &StoreMap) -> Vec<SocketAddr> {
+    pub fn tails_to_outlast(&self, map: &PlacementMap, next: &PlacementMap) -> Vec<SocketAddr> {
         addresses(lost_tails(map, next).filter(|tail| !self.is_replaced(tail)))
     }
 
@@ -166,10 +166,10 @@
     pub fn plan(
         &self,
         now: Ms,
-        current: Option<&StoreMap>,
+        current: Option<&PlacementMap>,
         since: Ms,
         lengths: Lengths,
-    ) -> Option<StoreMap> {
+    ) -> Option<PlacementMap> {
         let Some(current) = current else {
             return self
                 .first
@@ -243,7 +243,7 @@
     }
 
     /// New machines, and new identities of old ones.
-    fn list(&self, map: &mut StoreMap) {
+    fn list(&self, map: &mut PlacementMap) {
         for heard in self.by_addr.values() {
             let heartbeat = &heard.heartbeat;
             let at = map.stores.iter().position(|s| s.addr == heartbeat.addr);
@@ -273,7 +273,7 @@
     fn seen(
         &self,
         now: Ms,
-        map: &StoreMap,
+        map: &PlacementMap,
         partition: usize,
         view: &View,
         loads: &Loads,
@@ -347,7 +347,14 @@
     }
 
     /// How many stores that may be given partitions can serve in this chain: they are there, and hold a copy or have room.
-    fn able(&self, now: Ms, map: &StoreMap, partition: usize, view: &View, loads: &Loads) -> usize {
+    fn able(
+        &self,
+        now: Ms,
+        map: &PlacementMap,
+        partition: usize,
+        view: &View,
+        loads: &Loads,
+    ) -> usize {
         let holds = |s: &StoreInfo| {
             view.members
                 .iter()
@@ -366,8 +373,8 @@
     }
 
     /// Each partition starts on stores of different zones, another first one for each.
-    fn first_map(&self, now: Ms, lengths: Lengths) -> Option<StoreMap> {
-        let mut map = StoreMap {
+    fn first_map(&self, now: Ms, lengths: Lengths) -> Option<PlacementMap> {
+        let mut map = PlacementMap {
             number: 1,
             partitions: Vec::new(),
             stores: Vec::new(),
@@ -412,8 +419,8 @@
     fn emptied(
         &self,
         now: Ms,
-        next: &StoreMap,
-        current: &StoreMap,
+        next: &PlacementMap,
+        current: &PlacementMap,
         store: &StoreInfo,
         lengths: Lengths,
         loads: &Loads,
@@ -449,10 +456,10 @@
     pub fn retire(
         &self,
         now: Ms,
-        map: &StoreMap,
+        map: &PlacementMap,
         node: &str,
         lengths: Lengths,
-    ) -> Result<Option<StoreMap>, NotRetired> {
+    ) -> Result<Option<PlacementMap>, NotRetired> {
         let mut next = map.clone();
         self.list(&mut next);
         let at = next
@@ -480,7 +487,7 @@
     }
 
     /// The stores as operators see them: name, state, whether it is heard.
-    pub fn told(&self, now: Ms, map: &StoreMap) -> Vec<(CompactString, StoreState, bool)> {
+    pub fn told(&self, now: Ms, map: &PlacementMap) -> Vec<(CompactString, StoreState, bool)> {
         map.stores
             .iter()
             .map(|s| (s.node.clone(), s.state, self.alive(now, s.addr, s.id)))
@@ -539,7 +546,7 @@
 }
 
 impl Loads {
-    fn of(stores: &Stores, map: &StoreMap) -> Self {
+    fn of(stores: &Stores, map: &PlacementMap) -> Self {
         let said = |partition: usize, m: &Member| {
             let heard = stores
                 .by_addr
@@ -609,13 +616,16 @@
 }
 
 /// The tails by one map that are not in their chains by the next.
-fn lost_tails<'a>(map: &'a StoreMap, next: &'a StoreMap) -> impl Iterator<Item = &'a Member> {
+fn lost_tails<'a>(
+    map: &'a PlacementMap,
+    next: &'a PlacementMap,
+) -> impl Iterator<Item = &'a Member> {
     let pairs = map.partitions.iter().zip(&next.partitions);
     pairs.filter_map(|(old, new)| old.members.last().filter(|tail| new.place(tail).is_none()))
 }
 
 /// The stores that serve reads of a partition by one map and are not in its chain by the next.
-pub fn tails_lost(map: &StoreMap, next: &StoreMap) -> Vec<SocketAddr> {
+pub fn tails_lost(map: &PlacementMap, next: &PlacementMap) -> Vec<SocketAddr> {
     addresses(lost_tails(map, next))
 }
 
--- a/crates/control/controller/tests/answers.rs
+++ b/crates/control/controller/tests/answers.rs
@@ -6,7 +6,7 @@
 #[expect(dead_code, reason = "each test file uses a part")]
 mod cluster;
 
-use batch::wire::{Heartbeat, Message as _, PartStatus, StoreMap, HEARTBEAT};
+use batch::wire::{Heartbeat, Message as _, PartitionStatus, PlacementMap, HEARTBEAT};
 use cluster::{config_body, Cluster};
 use controller::op::{Answer, Ask};
 use peer_transport::Peer;
@@ -194,7 +194,7 @@
 fn stores_say(cluster: &mut Cluster, stores: &[u8], for_ms: u64) {
     for _ in 0..for_ms / 100 {
         let map = cluster.process(0).owner.node().machine().map.clone();
-        let map = StoreMap::decode(&map).ok();
+        let map = PlacementMap::decode(&map).ok();
         for n in stores {
             let statuses = map.iter().flat_map(|map| map.partitions.iter().enumerate());
             let statuses = statuses.filter_map(|(partition, view)| {
@@ -208,7 +208,7 @@
                     caught_up: joins,
                 };
                 let partition = partition as u16;
-                inside.then_some(PartStatus {
+                inside.then_some(PartitionStatus {
                     partition,
                     status,
                     batch_jobs: 0,
--- a/crates/control/controller/tests/plan.rs
+++ b/crates/control/controller/tests/plan.rs
@@ -1,6 +1,6 @@
 //! The map of stores.
 
-use batch::wire::{Heartbeat, PartStatus, StoreMap, StoreState};
+use batch::wire::{Heartbeat, PartitionStatus, PlacementMap, StoreState};
 use chain_replication::Status;
 use controller::plan::{
     partitions_for, tails_lost, Lengths, NotRetired, Stores, DEAF, SETTLE, SILENT,
@@ -19,7 +19,7 @@
 }
 
 /// A store that is in sync in all that the map gives it.
-fn heartbeat(n: u64, id: u64, map: Option<&StoreMap>) -> Heartbeat {
+fn heartbeat(n: u64, id: u64, map: Option<&PlacementMap>) -> Heartbeat {
     let mut statuses = Vec::new();
     for (partition, view) in map.iter().flat_map(|m| m.partitions.iter().enumerate()) {
         let joins = view.joining.iter().any(|m| m.id == id);
@@ -32,7 +32,7 @@
                 received: 5,
                 caught_up: joins,
             };
-            statuses.push(PartStatus {
+            statuses.push(PartitionStatus {
                 partition: partition as u16,
                 status,
                 batch_jobs: 0,
@@ -58,7 +58,7 @@
 }
 
 /// Plans until nothing changes, all of these stores in sync all the time.
-fn settle(stores: &mut Stores, mut map: StoreMap, up: &[(u64, u64)], now: u64) -> StoreMap {
+fn settle(stores: &mut Stores, mut map: PlacementMap, up: &[(u64, u64)], now: u64) -> PlacementMap {
     for _ in 0..40 {
         for (n, id) in up {
             stores.heard(now, heartbeat(*n, *id, Some(&map)));
@@ -71,7 +71,7 @@
     panic!("no end of changes: {map:?}");
 }
 
-fn begun(up: &[(u64, u64)]) -> (Stores, StoreMap) {
+fn begun(up: &[(u64, u64)]) -> (Stores, PlacementMap) {
     let mut stores = Stores::default();
     for (n, id) in up {
         stores.heard(100, heartbeat(*n, *id, None));
@@ -165,7 +165,7 @@
         .retire(now, &map, "store-2", LENGTHS)
         .expect("enough remain")
         .expect("a change");
-    let state = |map: &StoreMap| {
+    let state = |map: &PlacementMap| {
         map.stores
             .iter()
             .find(|s| s.node == "store-2")
@@ -231,7 +231,7 @@
 /// What these stores say: each partition that they hold has so many bytes.
 fn say(
     stores: &mut Stores,
-    map: &StoreMap,
+    map: &PlacementMap,
     up: &[(u64, u64)],
     now: u64,
     change: impl Fn(&mut Heartbeat),
@@ -243,7 +243,7 @@
     }
 }
 
-fn holders(map: &StoreMap, partition: usize) -> Vec<u64> {
+fn holders(map: &PlacementMap, partition: usize) -> Vec<u64> {
     let view = &map.partitions[partition];
     let mut ids: Vec<u64> = view
         .members
@@ -500,7 +500,7 @@
 
 /// Two stores as they were and the third with an empty disk, as a head hears them that has just begun; the third has the
 /// head's grant, or hasn't.
-fn begins_with_a_wiped_store(has_grant: bool) -> (Stores, StoreMap, u64) {
+fn begins_with_a_wiped_store(has_grant: bool) -> (Stores, PlacementMap, u64) {
     let (mut stores, map) = begun(&[(1, 11), (2, 12), (3, 13)]);
     stores.begin();
     let since = 20_000;
@@ -575,7 +575,7 @@
     };
     stores.heard(since + 301, stalled);
     let next = stores.plan(since + 302, Some(&map), since, LENGTHS);
-    let kept = |map: StoreMap| {
+    let kept = |map: PlacementMap| {
         map.partitions
             .iter()
             .all(|v| v.members.iter().any(|m| m.id == 12))
--- a/crates/control/controller/tests/world/checker.rs
+++ b/crates/control/controller/tests/world/checker.rs
@@ -1,7 +1,7 @@
 //! What must hold, from what operators, runners and dispatchers see.
 
 use super::clients::Put;
-use batch::wire::StoreMap;
+use batch::wire::PlacementMap;
 use bytes::Bytes;
 use std::collections::{BTreeMap, HashMap};
 
@@ -25,7 +25,7 @@
     /// Runners whose draining was acknowledged, and when.
     pub drains: Vec<(u64, String)>,
     maps: BTreeMap<u64, Bytes>,
-    pub newest_map: Option<StoreMap>,
+    pub newest_map: Option<PlacementMap>,
     /// When the newest map was learned by anybody.
     pub map_at: u64,
     pub reads: u64,
@@ -183,7 +183,7 @@
         self.drains.push((now, id));
     }
 
-    pub fn map(&mut self, now: u64, map: &StoreMap, body: Bytes) {
+    pub fn map(&mut self, now: u64, map: &PlacementMap, body: Bytes) {
         if self
             .maps
             .get(&map.number)
--- a/crates/control/controller/tests/world/dispatchers.rs
+++ b/crates/control/controller/tests/world/dispatchers.rs
@@ -1,7 +1,7 @@
 //! Stand-ins for dispatchers: each follows the state table as the real ones do.
 
 use super::{controllers, Actor, Event, World, CTL, PEER};
-use batch::wire::{Message, StoreMap};
+use batch::wire::{Message, PlacementMap};
 use bytes::Bytes;
 use relay_tree::{tree_parents, Follow, Role, Stamp, StateTable};
 use replicated_state::{
@@ -36,7 +36,7 @@
     /// What is in force: number and body.
     pub force: Option<(u64, Bytes)>,
     /// The newest map of stores that it knows.
-    pub map: Option<StoreMap>,
+    pub map: Option<PlacementMap>,
 }
 
 impl Dispatcher {
@@ -278,7 +278,7 @@
                 .get(key)
                 .and_then(|f| f.value.clone().map(|v| (f.stamp, v)));
             match (key.as_str(), value) {
-                ("stores", Some((_, value))) => map = StoreMap::decode(&value).ok(),
+                ("stores", Some((_, value))) => map = PlacementMap::decode(&value).ok(),
                 ("config/next", Some((stamp, value))) => process.next = Some((stamp.0, value)),
                 (CONTROLLERS_KEY, Some((_, value))) => {
                     process.controllers = decode_addresses(&value).unwrap_or_default();
--- a/crates/control/controller/tests/world/stores.rs
+++ b/crates/control/controller/tests/world/stores.rs
@@ -2,7 +2,8 @@
 
 use super::{Actor, Event, World, PEER};
 use batch::wire::{
-    Grant, Heartbeat, Message, PartStatus, StoreMap, GRANT, HEARTBEAT, HEARTBEAT_INTERVAL_MS,
+    Heartbeat, LeaseGrant, Message, PartitionStatus, PlacementMap, HEARTBEAT,
+    HEARTBEAT_INTERVAL_MS, LEASE_GRANT,
 };
 use bytes::Bytes;
 use chain_replication::{Status, View};
@@ -20,7 +21,7 @@
     incarnation: u64,
     began: u64,
     controllers: Vec<SocketAddr>,
-    map: Option<StoreMap>,
+    map: Option<PlacementMap>,
     map_at: u64,
     leased_until: u64,
     granted_at: u64,
@@ -270,7 +271,7 @@
                     received: 5,
                     caught_up,
                 };
-                statuses.push(PartStatus {
+                statuses.push(PartitionStatus {
                     partition: partition as u16,
                     status,
                     batch_jobs: 0,
@@ -320,7 +321,10 @@
             }
             return self.settle_store(n);
         }
-        if let Some(grant) = Grant::decode(&body).ok().filter(|_| kind == GRANT) {
+        if let Some(grant) = LeaseGrant::decode(&body)
+            .ok()
+            .filter(|_| kind == LEASE_GRANT)
+        {
             process.granted_at = own;
             process.answered_ms = process.answered_ms.max(grant.sent_ms);
             if process.map.as_ref().is_some_and(|m| m.number >= grant.map) && grant.sent_ms <= own {
@@ -343,7 +347,7 @@
                 continue;
             };
             match key.as_str() {
-                "stores" => learned = StoreMap::decode(&value).ok(),
+                "stores" => learned = PlacementMap::decode(&value).ok(),
                 CONTROLLERS_KEY => {
                     process.controllers = decode_addresses(&value).unwrap_or_default();
                     let mut list = store.peers.clone();
@@ -358,7 +362,7 @@
                 _ => {}
             }
         }
-        let newer = |map: &StoreMap| {
+        let newer = |map: &PlacementMap| {
             process
                 .map
                 .as_ref()
@@ -380,7 +384,7 @@
     }
 
     /// Somebody knows this map: whoever it leaves out may serve no reads any more.
-    pub fn map_learned(&mut self, map: &StoreMap) {
+    pub fn map_learned(&mut self, map: &PlacementMap) {
         let newer = self
             .checker
             .newest_map
--- a/crates/gateway/gateway/src/batch_front.rs
+++ b/crates/gateway/gateway/src/batch_front.rs
@@ -8,8 +8,8 @@
 use crate::request::{self, Request, WAIT_MS};
 use batch::json::{check_batch_job_id, read_submit, write_read};
 use batch::wire::{
-    BodyAnswer, BodyCall, EndAnswer, EndCall, Message, ReadAnswer, ReadCall, StoreMap,
-    SubmitAnswer, SubmitCall, BODY, END, MAX_WAIT_MS, READ, SUBMIT,
+    EndRequest, EndResponse, ItemBodyRequest, ItemBodyResponse, Message, PlacementMap, ReadRequest,
+    ReadResponse, SubmitRequest, SubmitResponse, BODY, END, MAX_WAIT_MS, READ, SUBMIT,
 };
 use bytes::Bytes;
 use compact_str::CompactString;
@@ -222,7 +222,7 @@
 
     async fn read(&self, batch_job: CompactString, start_after: u32, wait_ms: u64) -> Answer {
         let wait_ms = u32::try_from(wait_ms).unwrap_or(u32::MAX).min(MAX_WAIT_MS);
-        let call = ReadCall {
+        let call = ReadRequest {
             host: self.host.clone(),
             batch_job,
             start_after,
@@ -233,26 +233,28 @@
         let until = self.until(u64::from(wait_ms) + READ_WITHIN.as_millis() as u64);
         let (answer, _) = self
             .ask(Who::Tail, READ, call, until, hold, |body| {
-                Some(match ReadAnswer::decode(body).ok()? {
-                    ReadAnswer::Moved { to } => Heard::Moved(to),
-                    ReadAnswer::Unsure => Heard::Unsure,
+                Some(match ReadResponse::decode(body).ok()? {
+                    ReadResponse::Redirect { to } => Heard::Moved(to),
+                    ReadResponse::Unavailable => Heard::Unsure,
                     said => Heard::This(said),
                 })
             })
             .await;
         match answer {
-            Some(ReadAnswer::Found {
+            Some(ReadResponse::Found {
                 total,
                 next,
                 results,
             }) => json(StatusCode::OK, write_read(total, next, &results).into()),
-            Some(ReadAnswer::Unknown) => own(StatusCode::NOT_FOUND, "there is no such batch job\n"),
+            Some(ReadResponse::NotFound) => {
+                own(StatusCode::NOT_FOUND, "there is no such batch job\n")
+            }
             _ => self.unsure(),
         }
     }
 
     async fn body(&self, batch_job: CompactString, item: CompactString) -> Answer {
-        let call = BodyCall {
+        let call = ItemBodyRequest {
             host: self.host.clone(),
             batch_job,
             item,
@@ -261,27 +263,29 @@
         let until = self.until(CALL_WITHIN.as_millis() as u64);
         let (answer, _) = self
             .ask(Who::Tail, BODY, call, until, Duration::ZERO, |body| {
-                Some(match BodyAnswer::decode(body).ok()? {
-                    BodyAnswer::Moved { to } => Heard::Moved(to),
-                    BodyAnswer::Unsure => Heard::Unsure,
+                Some(match ItemBodyResponse::decode(body).ok()? {
+                    ItemBodyResponse::Redirect { to } => Heard::Moved(to),
+                    ItemBodyResponse::Unavailable => Heard::Unsure,
                     said => Heard::This(said),
                 })
             })
             .await;
         match answer {
-            Some(BodyAnswer::Found { body }) => {
+            Some(ItemBodyResponse::Found { body }) => {
                 let mut answer = Response::new(AnswerBody::Whole(Some(body)));
                 let bytes = HeaderValue::from_static("application/octet-stream");
                 answer.headers_mut().insert(CONTENT_TYPE, bytes);
                 answer
             }
-            Some(BodyAnswer::Unknown) => own(StatusCode::NOT_FOUND, "there is no such item\n"),
+            Some(ItemBodyResponse::NotFound) => {
+                own(StatusCode::NOT_FOUND, "there is no such item\n")
+            }
             _ => self.unsure(),
         }
     }
 
     async fn end(&self, batch_job: CompactString) -> Answer {
-        let call = EndCall {
+        let call = EndRequest {
             host: self.host.clone(),
             batch_job,
         }
@@ -289,22 +293,24 @@
         let until = self.until(CALL_WITHIN.as_millis() as u64);
         let (answer, _) = self
             .ask(Who::Head, END, call, until, Duration::ZERO, |body| {
-                Some(match EndAnswer::decode(body).ok()? {
-                    EndAnswer::Moved { to } => Heard::Moved(to),
-                    EndAnswer::Unsure => Heard::Unsure,
+                Some(match EndResponse::decode(body).ok()? {
+                    EndResponse::Redirect { to } => Heard::Moved(to),
+                    EndResponse::Indeterminate => Heard::Unsure,
                     said => Heard::This(said),
                 })
             })
             .await;
         match answer {
-            Some(EndAnswer::Ended) => json(StatusCode::OK, Bytes::from_static(b"{}")),
-            Some(EndAnswer::Unknown) => own(StatusCode::NOT_FOUND, "there is no such batch job\n"),
+            Some(EndResponse::Ended) => json(StatusCode::OK, Bytes::from_static(b"{}")),
+            Some(EndResponse::NotFound) => {
+                own(StatusCode::NOT_FOUND, "there is no such batch job\n")
+            }
             _ => self.unsure(),
         }
     }
 }
 
-fn at(map: &StoreMap, host: &str, batch_job: &str, who: Who) -> Option<SocketAddr> {
+fn at(map: &PlacementMap, host: &str, batch_job: &str, who: Who) -> Option<SocketAddr> {
     match who {
         Who::Head => map.head_of(host, batch_job),
         Who::Tail => map.tail_of(host, batch_job),
@@ -339,7 +345,7 @@
     };
     let excess = gateway.settings.borrow().bounds.quota_excess;
     let now = gateway.clock.now();
-    let call = SubmitCall {
+    let call = SubmitRequest {
         host: route.host.clone(),
         route: route.name.clone(),
         batch_job: batch_job.into(),
@@ -371,23 +377,23 @@
             until,
             Duration::ZERO,
             |body| {
-                Some(match SubmitAnswer::decode(body).ok()? {
-                    SubmitAnswer::Moved { to } => Heard::Moved(to),
-                    SubmitAnswer::Unsure => Heard::Unsure,
+                Some(match SubmitResponse::decode(body).ok()? {
+                    SubmitResponse::Redirect { to } => Heard::Moved(to),
+                    SubmitResponse::Indeterminate => Heard::Unsure,
                     said => Heard::This(said),
                 })
             },
         )
         .await;
     match answer {
-        Some(SubmitAnswer::Taken) => {
+        Some(SubmitResponse::Accepted) => {
             one(&gateway.counts.batch_jobs);
             json(StatusCode::ACCEPTED, Bytes::from_static(b"{}"))
         }
-        Some(SubmitAnswer::Bad { .. }) if !unclear => {
+        Some(SubmitResponse::Invalid { .. }) if !unclear => {
             own(StatusCode::BAD_REQUEST, "the batch job can't be taken\n")
         }
-        Some(SubmitAnswer::Full) if !unclear => refused(
+        Some(SubmitResponse::QuotaExceeded) if !unclear => refused(
             StatusCode::TOO_MANY_REQUESTS,
             "no more tokens may wait on this route\n",
             FULL_AGAIN_MS,
--- a/crates/gateway/gateway/src/control.rs
+++ b/crates/gateway/gateway/src/control.rs
@@ -3,7 +3,7 @@
 use crate::codes;
 use crate::counts::one;
 use crate::gateway::Gateway;
-use batch::wire::{Message, StoreMap};
+use batch::wire::{Message, PlacementMap};
 use bytes::Bytes;
 use compact_str::CompactString;
 use peer_transport::{Handler, Peer, Reply};
@@ -352,7 +352,7 @@
         .get(STORES)
         .and_then(|state_entry| state_entry.value.clone());
     let Some(value) = value else { return };
-    match StoreMap::decode(&value) {
+    match PlacementMap::decode(&value) {
         Ok(map) => {
             info!(gateway.log, "map of the stores"; "number" => map.number, "stores" => map.stores.len());
             *gateway.map.borrow_mut() = Some(Rc::new(map));
--- a/crates/gateway/gateway/src/gateway.rs
+++ b/crates/gateway/gateway/src/gateway.rs
@@ -9,7 +9,7 @@
 use crate::ready::Readiness;
 use crate::request::Request;
 use crate::stop;
-use batch::wire::StoreMap;
+use batch::wire::PlacementMap;
 use http1::{Connections, Phase};
 use hyper::http::response::Parts;
 use peer_transport::Links;
@@ -74,7 +74,7 @@
     /// Connections to the other processes.
     pub links: Rc<Links>,
     /// Which stores keep which batch jobs.
-    pub map: RefCell<Option<Rc<StoreMap>>>,
+    pub map: RefCell<Option<Rc<PlacementMap>>>,
     /// The map, the configuration or the phase has changed.
     pub changed: Notify,
     /// How far it is.
@@ -96,12 +96,16 @@
     }
 
     /// The map of the stores.
-    pub fn map(&self) -> Option<Rc<StoreMap>> {
+    pub fn map(&self) -> Option<Rc<PlacementMap>> {
         self.map.borrow().clone()
     }
 
     /// Comes back once the map names another store than this one.
-    pub async fn moved(&self, named: impl Fn(&StoreMap) -> Option<SocketAddr>, from: SocketAddr) {
+    pub async fn moved(
+        &self,
+        named: impl Fn(&PlacementMap) -> Option<SocketAddr>,
+        from: SocketAddr,
+    ) {
         loop {
             let changed = self.changed.notified();
             if self
--- a/crates/gateway/gateway/src/items.rs
+++ b/crates/gateway/gateway/src/items.rs
@@ -14,8 +14,8 @@
 use crate::sending::Word;
 use crate::stream::{shows_its_end, silence, End, Source};
 use batch::wire::{
-    Done, Held, HeldPart, HoldAnswer, HoldCall, Leased, Message, Outcome, PartAnswer, HOLD,
-    HOLDER_SILENT_MS, HOLD_EVERY_MS,
+    Completion, LeaseRef, LeasedItem, Message, Outcome, PartitionLeases, RenewOutcome,
+    RenewRequest, RenewResponse, LEASE_RENEWAL_INTERVAL_MS, LEASE_TIMEOUT_MS, RENEW,
 };
 use compact_str::CompactString;
 use hyper::header::HeaderValue;
@@ -40,7 +40,7 @@
 /// The longest text of a result; a longer one is no output of a runner.
 const LONGEST_TEXT: usize = 4 << 20;
 /// An item is sent only while its store was heard from this lately: a batch job that ended may be known nowhere else.
-const CONFIRMED_MS: u64 = HOLDER_SILENT_MS - HOLD_EVERY_MS;
+const CONFIRMED_MS: u64 = LEASE_TIMEOUT_MS - LEASE_RENEWAL_INTERVAL_MS;
 /// How long before the process ends the items that still run are handed back.
 const RELEASE_MS: u64 = 2_500;
 
@@ -61,7 +61,7 @@
     /// Stores that are being asked for items.
     fetching: RefCell<HashSet<SocketAddr>>,
     /// Results that are not handed over yet, by partition, and the partitions for which someone does it.
-    pub(crate) results: RefCell<HashMap<u16, Vec<Done>>>,
+    pub(crate) results: RefCell<HashMap<u16, Vec<Completion>>>,
     pub(crate) handing: RefCell<HashSet<u16>>,
     /// When the store of a partition last said what is to be dropped.
     confirmed: RefCell<HashMap<u16, u64>>,
@@ -115,7 +115,7 @@
 /// Time passes: every 100 ms or so.
 pub fn tick(gateway: &Rc<Gateway>, now: u64) {
     let items = &gateway.items;
-    if now >= items.held_at.get() + HOLD_EVERY_MS && !items.is_empty() {
+    if now >= items.held_at.get() + LEASE_RENEWAL_INTERVAL_MS && !items.is_empty() {
         items.held_at.set(now);
         hold(gateway, now);
     }
@@ -178,13 +178,13 @@
 }
 
 /// The partition that keeps an item's job.
-pub(crate) fn partition_of(gateway: &Gateway, leased: &Leased) -> Option<u16> {
+pub(crate) fn partition_of(gateway: &Gateway, leased: &LeasedItem) -> Option<u16> {
     let map = gateway.map()?;
     u16::try_from(map.partition_of(&leased.host, &leased.batch_job)).ok()
 }
 
 /// Runs an item that was leased.
-pub fn begin(gateway: &Rc<Gateway>, leased: Leased) {
+pub fn begin(gateway: &Rc<Gateway>, leased: LeasedItem) {
     let key: Key = (leased.batch_job.clone(), leased.index, leased.lease);
     let Some(partition) = partition_of(gateway, &leased) else {
         return;
@@ -216,7 +216,7 @@
 }
 
 /// Runs an item until there is something to say of it.
-async fn run(gateway: &Rc<Gateway>, leased: &Leased, holding: &Holding) -> Outcome {
+async fn run(gateway: &Rc<Gateway>, leased: &LeasedItem, holding: &Holding) -> Outcome {
     let came = gateway.clock.now();
     let Some(request) = Request::of_item(&leased.item, &leased.host, came) else {
         sleep(ODD_PAUSE).await;
@@ -275,7 +275,7 @@
             }
             422 => {
                 source.begun.sending.end(Word::Done);
-                return Outcome::Impossible;
+                return Outcome::Unprocessable;
             }
             _ => {
                 gateway.odd_answer(
@@ -345,7 +345,7 @@
 /// A runner for an item, as soon as there is one; none if the item is to be handed back.
 async fn runner(
     gateway: &Rc<Gateway>,
-    leased: &Leased,
+    leased: &LeasedItem,
     holding: &Holding,
     request: &Request,
     tried: &Tried,
@@ -392,16 +392,16 @@
 /// Says what is held, and drops what is to be dropped.
 fn hold(gateway: &Rc<Gateway>, now: u64) {
     let Some(map) = gateway.map() else { return };
-    let mut parts: BTreeMap<u16, Vec<Held>> = BTreeMap::new();
+    let mut parts: BTreeMap<u16, Vec<LeaseRef>> = BTreeMap::new();
     for ((batch_job, index, lease), holding) in gateway.items.held.borrow().iter() {
-        let held = Held {
+        let held = LeaseRef {
             batch_job: batch_job.clone(),
             index: *index,
             lease: *lease,
         };
         parts.entry(holding.partition).or_default().push(held);
     }
-    let mut calls: BTreeMap<SocketAddr, Vec<HeldPart>> = BTreeMap::new();
+    let mut calls: BTreeMap<SocketAddr, Vec<PartitionLeases>> = BTreeMap::new();
     for (partition, held) in parts {
         let head = map
             .partitions
@@ -411,27 +411,27 @@
             calls
                 .entry(head.addr)
                 .or_default()
-                .push(HeldPart { partition, held });
+                .push(PartitionLeases { partition, held });
         }
     }
     for (head, parts) in calls {
         let gateway = Rc::clone(gateway);
         spawn_local(async move {
-            let call = HoldCall {
+            let call = RenewRequest {
                 holder: gateway.id,
                 parts,
             }
             .encode();
-            let Ok(answer) = gateway.links.call(head, HOLD, call, CALL_WITHIN).await else {
+            let Ok(answer) = gateway.links.call(head, RENEW, call, CALL_WITHIN).await else {
                 return;
             };
-            let Ok(answer) = HoldAnswer::decode(&answer) else {
+            let Ok(answer) = RenewResponse::decode(&answer) else {
                 return;
             };
             for part in answer.parts {
-                if let PartAnswer::Drop { drop } = part.answer {
+                if let RenewOutcome::Revoke { leases } = part.answer {
                     gateway.items.confirm(part.partition, now);
-                    for held in drop {
+                    for held in leases {
                         gateway
                             .items
                             .drop_one(&(held.batch_job, held.index, held.lease));
--- a/crates/gateway/gateway/src/items_done.rs
+++ b/crates/gateway/gateway/src/items_done.rs
@@ -3,7 +3,9 @@
 use crate::counts::one;
 use crate::gateway::Gateway;
 use crate::items::{Key, CALL_WITHIN};
-use batch::wire::{Done, DoneAnswer, DoneCall, Message, Outcome, StoreMap, DONE};
+use batch::wire::{
+    CompleteRequest, CompleteResponse, Completion, Message, Outcome, PlacementMap, COMPLETE,
+};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::task::spawn_local;
@@ -30,7 +32,7 @@
     } else {
         &gateway.counts.done
     });
-    let done = Done {
+    let done = Completion {
         batch_job: key.0.clone(),
         index: key.1,
         lease: key.2,
@@ -78,7 +80,7 @@
             .iter()
             .map(|d| (d.batch_job.clone(), d.index, d.lease))
             .collect();
-        let head = |map: &StoreMap| {
+        let head = |map: &PlacementMap| {
             map.partitions
                 .get(usize::from(partition))?
                 .members
@@ -87,7 +89,7 @@
         };
         let named = gateway.map().as_deref().and_then(head);
         let to = moved.take().or(named);
-        let call = DoneCall {
+        let call = CompleteRequest {
             holder: gateway.id,
             partition,
             results,
@@ -96,21 +98,23 @@
         let answer = match to {
             Some(to) => tokio::select! {
                 biased;
-                answer = gateway.links.call(to, DONE, call, CALL_WITHIN) => answer.ok(),
+                answer = gateway.links.call(to, COMPLETE, call, CALL_WITHIN) => answer.ok(),
                 // A store that is gone is not waited for once another is in its place.
                 () = gateway.moved(|map| head(map).filter(|_| named == Some(to)), to) => None,
             },
             None => None,
         };
-        match answer.and_then(|body| DoneAnswer::decode(&body).ok()) {
-            Some(DoneAnswer::Accepted) => {
+        match answer.and_then(|body| CompleteResponse::decode(&body).ok()) {
+            Some(CompleteResponse::Accepted) => {
                 failures = 0;
                 if let Some(waiting) = items.results.borrow_mut().get_mut(&partition) {
                     waiting.retain(|d| !keys.contains(&(d.batch_job.clone(), d.index, d.lease)));
                 }
                 keys.iter().for_each(|key| items.drop_one(key));
             }
-            Some(DoneAnswer::Moved { to: other }) if Some(other) != to => moved = Some(other),
+            Some(CompleteResponse::Redirect { to: other }) if Some(other) != to => {
+                moved = Some(other)
+            }
             _ => {
                 one(&gateway.counts.unsure);
                 sleep(AGAIN * (1 << failures.min(MOST_DOUBLINGS))).await;
@@ -121,9 +125,9 @@
 }
 
 /// How many of these results go into one call.
-fn batch(results: &[Done]) -> usize {
+fn batch(results: &[Completion]) -> usize {
     let mut bytes = 0;
-    let fits = |done: &&Done| {
+    let fits = |done: &&Completion| {
         bytes += 64
             + match &done.outcome {
                 Outcome::Complete { text } => text.len(),
--- a/crates/gateway/gateway/src/items_fetch.rs
+++ b/crates/gateway/gateway/src/items_fetch.rs
@@ -2,7 +2,7 @@
 
 use crate::gateway::Gateway;
 use crate::items::{begin, partition_of, CALL_WITHIN, MOST_FETCHES};
-use batch::wire::{FetchAnswer, FetchCall, Message, StoreMap, Want, FETCH};
+use batch::wire::{FetchRequest, FetchResponse, Message, PlacementMap, RouteDemand, FETCH};
 use route_config::{Config, Kind, Route};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -20,9 +20,9 @@
 pub fn wants(
     gateway: &Gateway,
     config: &Config,
-    map: &StoreMap,
+    map: &PlacementMap,
     now: u64,
-) -> BTreeMap<SocketAddr, Vec<Want>> {
+) -> BTreeMap<SocketAddr, Vec<RouteDemand>> {
     let mut by_svc: HashMap<&str, Vec<&Route>> = HashMap::new();
     for route in config
         .routes
@@ -33,7 +33,7 @@
             by_svc.entry(svc.as_str()).or_default().push(route);
         }
     }
-    let mut all: BTreeMap<SocketAddr, Vec<Want>> = BTreeMap::new();
+    let mut all: BTreeMap<SocketAddr, Vec<RouteDemand>> = BTreeMap::new();
     if by_svc.is_empty() || gateway.items.len() >= MOST {
         return all;
     }
@@ -53,7 +53,7 @@
             // The room is shared by those that are asked at once.
             let want = (each + more).div_ceil(heads.len().clamp(1, MOST_FETCHES) as u32);
             for head in heads {
-                all.entry(head).or_default().push(Want {
+                all.entry(head).or_default().push(RouteDemand {
                     host: route.host.clone(),
                     route: route.name.clone(),
                     want,
@@ -79,7 +79,7 @@
         if gateway.stopping() {
             return;
         }
-        let call = FetchCall {
+        let call = FetchRequest {
             holder: gateway.id,
             wait_ms: FETCH_WAIT_MS,
             wants,
@@ -90,7 +90,7 @@
         let Ok(answer) = gateway.links.call(head, FETCH, call, within).await else {
             return;
         };
-        let Ok(answer) = FetchAnswer::decode(&answer) else {
+        let Ok(answer) = FetchResponse::decode(&answer) else {
             return;
         };
         // A store that has nothing and doesn't wait either is asked again with the next tick; where there are more than are
--- a/crates/gateway/gateway/tests/batch_jobs.rs
+++ b/crates/gateway/gateway/tests/batch_jobs.rs
@@ -5,8 +5,8 @@
 mod common;
 
 use batch::wire::{
-    BodyAnswer, BodyCall, EndAnswer, Listed, Message, ReadAnswer, ReadCall, State, SubmitAnswer,
-    SubmitCall, BODY, END, READ, SUBMIT,
+    EndResponse, ItemBodyRequest, ItemBodyResponse, Message, ReadRequest, ReadResponse,
+    ResultEntry, ResultStatus, SubmitRequest, SubmitResponse, BODY, END, READ, SUBMIT,
 };
 use common::store::{map, tell_map, Say, Store};
 use common::*;
@@ -35,12 +35,12 @@
 #[test]
 fn a_batch_job_is_taken_when_the_head_of_its_partition_says_so() {
     run(async {
-        let store = Store::new(1, |_, _| Say::This(SubmitAnswer::Taken.encode())).await;
+        let store = Store::new(1, |_, _| Say::This(SubmitResponse::Accepted.encode())).await;
         let tail = Store::new(2, |kind, _| panic!("asked {kind:#x}")).await;
         let rig = Rig::new(CONFIG, &[]).await;
         tell_map(&rig.process.gateway, map(1, &[store.addr, tail.addr]));
         assert_eq!(status(&rig.ask(&submit()).await), "202");
-        let call = SubmitCall::decode(&store.of(SUBMIT)[0]).unwrap();
+        let call = SubmitRequest::decode(&store.of(SUBMIT)[0]).unwrap();
         assert_eq!(
             (
                 call.host.as_str(),
@@ -70,10 +70,10 @@
 fn only_what_certainly_was_not_taken_is_refused() {
     run_paused(async {
         for (says, answer) in [
-            (SubmitAnswer::Full, "429"),
-            (SubmitAnswer::Busy, "503"),
-            (SubmitAnswer::Bad { code: 712 }, "400"),
-            (SubmitAnswer::Unsure, "504"),
+            (SubmitResponse::QuotaExceeded, "429"),
+            (SubmitResponse::Unavailable, "503"),
+            (SubmitResponse::Invalid { code: 712 }, "400"),
+            (SubmitResponse::Indeterminate, "504"),
         ] {
             let body = says.encode();
             let store = Store::new(1, move |_, _| Say::This(body.clone())).await;
@@ -88,8 +88,8 @@
         }
         // An answer that did not come, and then a promise that concerns the second call only.
         for (first, then) in [
-            (Say::Nothing, SubmitAnswer::Full),
-            (Say::Nothing, SubmitAnswer::Busy),
+            (Say::Nothing, SubmitResponse::QuotaExceeded),
+            (Say::Nothing, SubmitResponse::Unavailable),
         ] {
             let first = Cell::new(Some(first));
             let then = then.encode();
@@ -111,10 +111,10 @@
 #[test]
 fn a_call_follows_a_partition_that_has_moved() {
     run(async {
-        let new = Store::new(2, |_, _| Say::This(SubmitAnswer::Taken.encode())).await;
+        let new = Store::new(2, |_, _| Say::This(SubmitResponse::Accepted.encode())).await;
         let to = new.addr;
         let old = Store::new(1, move |_, _| {
-            Say::This(SubmitAnswer::Moved { to }.encode())
+            Say::This(SubmitResponse::Redirect { to }.encode())
         })
         .await;
         let rig = Rig::new(CONFIG, &[]).await;
@@ -139,15 +139,15 @@
         let tail = Store::new(2, |kind, body| {
             Say::This(match kind {
                 READ => {
-                    let call = ReadCall::decode(body).unwrap();
+                    let call = ReadRequest::decode(body).unwrap();
                     assert_eq!((call.start_after, call.wait_ms), (12, 1_000));
                     let text = "a\nb\"".into();
-                    let results = vec![Listed {
+                    let results = vec![ResultEntry {
                         id: "item-1".into(),
-                        state: State::Complete,
+                        state: ResultStatus::Complete,
                         text,
                     }];
-                    ReadAnswer::Found {
+                    ReadResponse::Found {
                         total: 40,
                         next: 13,
                         results,
@@ -155,8 +155,8 @@
                     .encode()
                 }
                 BODY => {
-                    assert_eq!(BodyCall::decode(body).unwrap().item, "item 1");
-                    BodyAnswer::Found {
+                    assert_eq!(ItemBodyRequest::decode(body).unwrap().item, "item 1");
+                    ItemBodyResponse::Found {
                         body: vec![0, 255].into(),
                     }
                     .encode()
@@ -197,16 +197,16 @@
     run_paused(async {
         let unknown = Store::new(1, |kind, _| {
             Say::This(match kind {
-                READ => ReadAnswer::Unknown.encode(),
-                BODY => BodyAnswer::Unknown.encode(),
-                _ => EndAnswer::Unknown.encode(),
+                READ => ReadResponse::NotFound.encode(),
+                BODY => ItemBodyResponse::NotFound.encode(),
+                _ => EndResponse::NotFound.encode(),
             })
         })
         .await;
         let unsure = Store::new(2, |kind, _| match kind {
-            READ => Say::This(ReadAnswer::Unsure.encode()),
+            READ => Say::This(ReadResponse::Unavailable.encode()),
             BODY => Say::Nothing,
-            _ => Say::This(EndAnswer::Unsure.encode()),
+            _ => Say::This(EndResponse::Indeterminate.encode()),
         })
         .await;
         let rig = Rig::new(CONFIG, &[]).await;
@@ -225,7 +225,7 @@
         }
         let ended = Store::new(3, |kind, _| {
             assert_eq!(kind, END);
-            Say::This(EndAnswer::Ended.encode())
+            Say::This(EndResponse::Ended.encode())
         })
         .await;
         tell_map(&rig.process.gateway, map(2, &[ended.addr]));
--- a/crates/gateway/gateway/tests/common/store.rs
+++ b/crates/gateway/gateway/tests/common/store.rs
@@ -1,6 +1,6 @@
 //! A stand-in of a store: answers calls by a script.
 
-use batch::wire::{Placement, StoreInfo, StoreMap, StoreState};
+use batch::wire::{Placement, PlacementMap, StoreInfo, StoreState};
 use bytes::Bytes;
 use chain_replication::{Member, View};
 use gateway::gateway::Gateway;
@@ -97,7 +97,7 @@
 pub const PARTITIONS: usize = 32;
 
 /// A map in which all partitions have this chain.
-pub fn map(number: u64, chain: &[SocketAddr]) -> StoreMap {
+pub fn map(number: u64, chain: &[SocketAddr]) -> PlacementMap {
     let member = |addr: &SocketAddr| Member {
         id: u64::from(addr.port()),
         addr: *addr,
@@ -116,7 +116,7 @@
         state: StoreState::Up,
     };
     let stores = chain.iter().map(store).collect();
-    StoreMap {
+    PlacementMap {
         number,
         partitions: vec![view; PARTITIONS],
         stores,
@@ -125,7 +125,7 @@
 }
 
 /// The process learns of a map.
-pub fn tell_map(gateway: &Gateway, map: StoreMap) {
+pub fn tell_map(gateway: &Gateway, map: PlacementMap) {
     *gateway.map.borrow_mut() = Some(Rc::new(map));
     gateway.changed.notify_waiters();
 }
--- a/crates/gateway/gateway/tests/items.rs
+++ b/crates/gateway/gateway/tests/items.rs
@@ -5,8 +5,9 @@
 mod common;
 
 use batch::wire::{
-    partition_of, Done, DoneAnswer, DoneCall, FetchAnswer, FetchCall, Header, HoldAnswer, HoldCall,
-    HoldPart, Item, Leased, Message, Outcome, PartAnswer, DONE, FETCH, HOLD,
+    partition_of, CompleteRequest, CompleteResponse, Completion, FetchRequest, FetchResponse,
+    Header, Item, LeasedItem, Message, Outcome, PartitionRenewal, RenewOutcome, RenewRequest,
+    RenewResponse, COMPLETE, FETCH, RENEW,
 };
 use common::store::{map, tell_map, Say, Store, PARTITIONS};
 use common::*;
@@ -16,7 +17,7 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-fn leased(index: u32) -> Leased {
+fn leased(index: u32) -> LeasedItem {
     let header = |name: &str, value: &str| Header {
         name: name.into(),
         value: value.into(),
@@ -25,7 +26,7 @@
         header("Fordrelay-Tokens", "540,400"),
         header("Fordrelay-Prompt-Prefix", "9c:300,5d:240"),
     ];
-    Leased {
+    LeasedItem {
         host: "h.example".into(),
         route: "bulk".into(),
         batch_job: "lot-1".into(),
@@ -45,12 +46,15 @@
 }
 
 /// A store that gives these items, one a fetch, and takes all results; what is to be dropped is asked of a function.
-async fn store(items: Vec<Leased>, drops: impl Fn(&HoldCall) -> PartAnswer + 'static) -> Rc<Store> {
+async fn store(
+    items: Vec<LeasedItem>,
+    drops: impl Fn(&RenewRequest) -> RenewOutcome + 'static,
+) -> Rc<Store> {
     let items = RefCell::new(VecDeque::from(items));
     Store::new(1, move |kind, body| {
         Say::This(match kind {
             FETCH => {
-                let call = FetchCall::decode(body).unwrap();
+                let call = FetchRequest::decode(body).unwrap();
                 assert!(call
                     .wants
                     .iter()
@@ -63,19 +67,19 @@
                 if items.is_empty() {
                     return Say::Silence;
                 }
-                FetchAnswer {
+                FetchResponse {
                     items,
                     elsewhere: vec![],
                 }
                 .encode()
             }
-            DONE => DoneAnswer::Accepted.encode(),
-            HOLD => {
-                let call = HoldCall::decode(body).unwrap();
+            COMPLETE => CompleteResponse::Accepted.encode(),
+            RENEW => {
+                let call = RenewRequest::decode(body).unwrap();
                 let answer = drops(&call);
                 let partition = call.parts[0].partition;
-                HoldAnswer {
-                    parts: vec![HoldPart { partition, answer }],
+                RenewResponse {
+                    parts: vec![PartitionRenewal { partition, answer }],
                 }
                 .encode()
             }
@@ -85,15 +89,15 @@
     .await
 }
 
-fn none(_: &HoldCall) -> PartAnswer {
-    PartAnswer::Drop { drop: vec![] }
+fn none(_: &RenewRequest) -> RenewOutcome {
+    RenewOutcome::Revoke { leases: vec![] }
 }
 
-fn results(store: &Store) -> Vec<Done> {
-    let calls: Vec<DoneCall> = store
-        .of(DONE)
+fn results(store: &Store) -> Vec<Completion> {
+    let calls: Vec<CompleteRequest> = store
+        .of(COMPLETE)
         .iter()
-        .map(|body| DoneCall::decode(body).unwrap())
+        .map(|body| CompleteRequest::decode(body).unwrap())
         .collect();
     assert!(calls
         .iter()
@@ -212,7 +216,7 @@
     run(async {
         for (status, outcome) in [
             ("500 Internal Server Error", Outcome::Failed),
-            ("422 Unprocessable Content", Outcome::Impossible),
+            ("422 Unprocessable Content", Outcome::Unprocessable),
         ] {
             let runner = StandIn::new("i-1", move |_, _| vec![whole(status, SEAL, "no")]).await;
             let store = store(vec![leased(0)], none).await;
@@ -252,8 +256,8 @@
             vec![stream_head(), event(1), Act::Hang(called.clone())]
         })
         .await;
-        let store = store(vec![leased(0)], |call| PartAnswer::Drop {
-            drop: call.parts[0].held.clone(),
+        let store = store(vec![leased(0)], |call| RenewOutcome::Revoke {
+            leases: call.parts[0].held.clone(),
         })
         .await;
         let rig = rig(&store, &[&runner]).await;
@@ -276,7 +280,7 @@
         assert_eq!(results(&store)[0].outcome, Outcome::Released);
         let fetched = store.of(FETCH).len();
         rig.tell(&runner.runner("s", RunnerState::Up));
-        store.until(|s| s.of(DONE).len() == 1).await;
+        store.until(|s| s.of(COMPLETE).len() == 1).await;
         assert_eq!(store.of(FETCH).len(), fetched);
     });
 }
@@ -287,7 +291,7 @@
     run_paused(async {
         let runner = StandIn::new("i-1", |_, _| vec![stream_head(), event(1), last_chunk()]).await;
         let takes = |kind, _: &bytes::Bytes| match kind {
-            DONE => Say::This(DoneAnswer::Accepted.encode()),
+            COMPLETE => Say::This(CompleteResponse::Accepted.encode()),
             FETCH => Say::Silence,
             _ => Say::Nothing,
         };
@@ -295,21 +299,21 @@
         let dark = Store::new(2, |_, _| Say::Silence).await;
         let (items, to) = (RefCell::new(vec![leased(0)]), dark.addr);
         let answers = RefCell::new(VecDeque::from([
-            DoneAnswer::Unsure,
-            DoneAnswer::Moved { to },
+            CompleteResponse::Indeterminate,
+            CompleteResponse::Redirect { to },
         ]));
         let first = Store::new(1, move |kind, _| match kind {
             FETCH => {
                 let items = std::mem::take(&mut *items.borrow_mut());
                 Say::This(
-                    FetchAnswer {
+                    FetchResponse {
                         items,
                         elsewhere: vec![],
                     }
                     .encode(),
                 )
             }
-            DONE => answers
+            COMPLETE => answers
                 .borrow_mut()
                 .pop_front()
                 .map_or(Say::Silence, |a| Say::This(a.encode())),
@@ -317,10 +321,10 @@
         })
         .await;
         let rig = rig(&first, &[&runner]).await;
-        dark.until(|s| !s.of(DONE).is_empty()).await;
-        assert_eq!(first.of(DONE).len(), 2);
+        dark.until(|s| !s.of(COMPLETE).is_empty()).await;
+        assert_eq!(first.of(COMPLETE).len(), 2);
         tell_map(&rig.process.gateway, map(2, &[last.addr]));
-        last.until(|s| !s.of(DONE).is_empty()).await;
+        last.until(|s| !s.of(COMPLETE).is_empty()).await;
         assert_eq!(text(&results(&last)[0].outcome), "piece 1");
         while !rig.process.gateway.items.is_empty() {
             tokio::task::yield_now().await;
@@ -342,25 +346,25 @@
                     return Say::Silence;
                 }
                 Say::This(
-                    FetchAnswer {
+                    FetchResponse {
                         items,
                         elsewhere: vec![],
                     }
                     .encode(),
                 )
             }
-            DONE => Say::This(DoneAnswer::Unsure.encode()),
+            COMPLETE => Say::This(CompleteResponse::Indeterminate.encode()),
             _ => Say::Nothing,
         })
         .await;
         let _rig = rig(&store, &[&runner]).await;
-        store.until(|s| s.of(DONE).len() >= 2).await;
+        store.until(|s| s.of(COMPLETE).len() >= 2).await;
         let began = tokio::time::Instant::now();
-        store.until(|s| s.of(DONE).len() >= 7).await;
+        store.until(|s| s.of(COMPLETE).len() >= 7).await;
         let sizes: Vec<usize> = store
-            .of(DONE)
+            .of(COMPLETE)
             .iter()
-            .map(|body| DoneCall::decode(body).unwrap().results.len())
+            .map(|body| CompleteRequest::decode(body).unwrap().results.len())
             .collect();
         assert!(sizes[1..].iter().all(|results| *results == 1), "{sizes:?}");
         // After 0.2, 0.4, 0.8, 0.8 and 0.8 s.
@@ -392,7 +396,7 @@
                     return Say::Silence;
                 }
                 Say::This(
-                    FetchAnswer {
+                    FetchResponse {
                         items,
                         elsewhere: vec![],
                     }
--- a/crates/gateway/gateway/tests/public_answers.rs
+++ b/crates/gateway/gateway/tests/public_answers.rs
@@ -6,7 +6,8 @@
 mod common;
 
 use batch::wire::{
-    BodyAnswer, EndAnswer, Listed, Message, ReadAnswer, State, SubmitAnswer, BODY, READ,
+    EndResponse, ItemBodyResponse, Message, ReadResponse, ResultEntry, ResultStatus,
+    SubmitResponse, BODY, READ,
 };
 use common::store::{map, tell_map, Say, Store};
 use common::*;
@@ -170,11 +171,11 @@
         let rig = Rig::new(CONFIG, &[]).await;
         let mut answers = vec![];
         for (name, says) in [
-            ("taken", SubmitAnswer::Taken),
-            ("full", SubmitAnswer::Full),
-            ("busy", SubmitAnswer::Busy),
-            ("bad", SubmitAnswer::Bad { code: 712 }),
-            ("unsure", SubmitAnswer::Unsure),
+            ("taken", SubmitResponse::Accepted),
+            ("full", SubmitResponse::QuotaExceeded),
+            ("busy", SubmitResponse::Unavailable),
+            ("bad", SubmitResponse::Invalid { code: 712 }),
+            ("unsure", SubmitResponse::Indeterminate),
         ] {
             let body = says.encode();
             let store = Store::new(1, move |_, _| Say::This(body.clone())).await;
@@ -204,40 +205,40 @@
         let rig = Rig::new(CONFIG, &[]).await;
         let mut answers = vec![];
         let found = Store::new(1, |kind, _| {
-            let states = [State::Complete, State::Abandoned];
-            let result = |state: State| Listed {
+            let states = [ResultStatus::Complete, ResultStatus::Abandoned];
+            let result = |state: ResultStatus| ResultEntry {
                 id: "item-1".into(),
                 state,
                 text: "a\nb\"".into(),
             };
             Say::This(match kind {
-                READ => ReadAnswer::Found {
+                READ => ReadResponse::Found {
                     total: 40,
                     next: 13,
                     results: states.map(result).into(),
                 }
                 .encode(),
-                BODY => BodyAnswer::Found {
+                BODY => ItemBodyResponse::Found {
                     body: vec![0, 65].into(),
                 }
                 .encode(),
-                _ => EndAnswer::Ended.encode(),
+                _ => EndResponse::Ended.encode(),
             })
         })
         .await;
         let unknown = Store::new(2, |kind, _| {
             Say::This(match kind {
-                READ => ReadAnswer::Unknown.encode(),
-                BODY => BodyAnswer::Unknown.encode(),
-                _ => EndAnswer::Unknown.encode(),
+                READ => ReadResponse::NotFound.encode(),
+                BODY => ItemBodyResponse::NotFound.encode(),
+                _ => EndResponse::NotFound.encode(),
             })
         })
         .await;
         let unsure = Store::new(3, |kind, _| {
             Say::This(match kind {
-                READ => ReadAnswer::Unsure.encode(),
-                BODY => BodyAnswer::Unsure.encode(),
-                _ => EndAnswer::Unsure.encode(),
+                READ => ReadResponse::Unavailable.encode(),
+                BODY => ItemBodyResponse::Unavailable.encode(),
+                _ => EndResponse::Indeterminate.encode(),
             })
         })
         .await;
