--- a/crates/batch/batch-store/examples/recovery.rs
+++ b/crates/batch/batch-store/examples/recovery.rs
@@ -25,7 +25,7 @@
 use batch_store::journal::ReadBack;
 use bytes::Bytes;
 use chain_replication::{Machine, Member, Node, Recovered, Write};
-use write_ahead_log::{open, open_each, DiskError, DiskRing, Options, Record};
+use write_ahead_log::{open, open_each, LogError, Options, Record, WriteAheadLog};
 
 const FILE_BYTES: u64 = 4 << 20;
 /// Of the disk so much is the ring's, as in a store.
@@ -39,13 +39,13 @@
 fn options(megabytes: &str) -> Result<Options, Failure> {
     let bytes = megabytes.parse::<f64>()? * 1.0e6 * DISK_SHARE;
     Ok(Options {
-        file_bytes: FILE_BYTES,
-        files_most: ((bytes / FILE_BYTES as f64) as usize).max(2),
+        segment_bytes: FILE_BYTES,
+        max_segments: ((bytes / FILE_BYTES as f64) as usize).max(2),
     })
 }
 
 /// Appends a write, waiting for the disk; false if the ring is full.
-fn append(ring: &DiskRing, part: u32, write: &Write) -> Result<bool, Failure> {
+fn append(ring: &WriteAheadLog, part: u32, write: &Write) -> Result<bool, Failure> {
     let record = Record {
         kind: WHOLE,
         group: part,
@@ -53,14 +53,16 @@
         body: write.encode(),
     };
     loop {
-        let waits = ring.synced();
-        let before = ring.used();
+        let waits = ring.synced_lsn();
+        let before = ring.used_bytes();
         match ring.append(record.clone()) {
             Ok(_) => return Ok(true),
-            Err(DiskError::Full) if before + 2 * FILE_BYTES > ring.capacity() => return Ok(false),
-            Err(DiskError::Full) => {
+            Err(LogError::Full) if before + 2 * FILE_BYTES > ring.capacity_bytes() => {
+                return Ok(false)
+            }
+            Err(LogError::Full) => {
                 let at = *waits.borrow();
-                while *waits.borrow() == at && ring.trouble().is_none() {
+                while *waits.borrow() == at && ring.fault().is_none() {
                     std::thread::yield_now();
                 }
             }
@@ -97,7 +99,7 @@
 }
 
 fn fill(folder: &Path, options: Options, parts: u32, live: usize) -> Result<(), Failure> {
-    let ring = open(folder, options, 7)?.ring;
+    let ring = open(folder, options, 7)?.log;
     let mut number = 0;
     if live > 0 {
         let mut table = BatchJobTable::new();
@@ -161,8 +163,8 @@
     }
     println!(
         "{entries} entries, {} of {} bytes used",
-        ring.used(),
-        ring.capacity()
+        ring.used_bytes(),
+        ring.capacity_bytes()
     );
     ring.close();
     Ok(())
@@ -184,11 +186,19 @@
 fn recover(folder: &Path, options: Options) -> Result<(), Failure> {
     let began = Instant::now();
     let (mut back, mut bad) = (ReadBack::default(), None);
-    let opened = open_each(folder, options, 7, 0, &mut |ticket, record| {
-        if bad.is_none() {
-            bad = back.take(ticket, record).err();
-        }
-    })?;
+    let opened = open_each(
+        folder,
+        options,
+        write_ahead_log::OpenAs {
+            new_identity: 7,
+            owner: 0,
+        },
+        &mut |ticket, record| {
+            if bad.is_none() {
+                bad = back.take(ticket, record).err();
+            }
+        },
+    )?;
     println!(
         "opened after {:?}: {} records; {}",
         began.elapsed(),
@@ -216,7 +226,7 @@
         began.elapsed(),
         peak()?
     );
-    opened.ring.close();
+    opened.log.close();
     Ok(())
 }
 
@@ -248,7 +258,7 @@
     );
     drop(opened.records);
     println!("without the records; {}", peak()?);
-    opened.ring.close();
+    opened.log.close();
     Ok(())
 }
 
--- a/crates/batch/batch-store/src/core.rs
+++ b/crates/batch/batch-store/src/core.rs
@@ -22,7 +22,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use structured_log::Rarely;
-use write_ahead_log::{DiskState, Persistence};
+use write_ahead_log::{DiskHealth, DiskStatus};
 
 /// A longer lease than this is none: several times what controllers give, and short beside what a tail that was replaced
 /// could do harm with.
@@ -198,7 +198,7 @@
     disk: Disk,
     behind_since: Option<Ms>,
     unsynced: Unsynced,
-    persistence: Persistence,
+    persistence: DiskHealth,
     leaving: bool,
     closed: bool,
     effects: Vec<Effect>,
@@ -245,7 +245,7 @@
             disk: Disk::default(),
             behind_since: None,
             unsynced: Unsynced::default(),
-            persistence: Persistence::default(),
+            persistence: DiskHealth::default(),
             leaving: false,
             closed: false,
             effects: Vec::new(),
@@ -290,7 +290,7 @@
     }
 
     fn turn(&self, now: Ms) -> Turn {
-        let full = self.is_behind(now) || self.disk.is_full() || !self.persistence.able();
+        let full = self.is_behind(now) || self.disk.is_full() || !self.persistence.is_writable();
         Turn {
             now,
             leased: now < self.leased_until,
@@ -353,19 +353,19 @@
 
     /// Whether the disk takes what is written; to be called with each tick and after each sync. Until it is said to, a
     /// store has no part in its chains and takes no batch jobs; it goes on reading from its copies under its lease.
-    pub fn persistence(&mut self, now: Ms, disk: DiskState) {
+    pub fn persistence(&mut self, now: Ms, disk: DiskStatus) {
         if !self.persistence.update(now, disk) {
             return;
         }
         self.heartbeat_at = None;
-        if self.persistence.able() {
+        if self.persistence.is_writable() {
             info!(self.log, "disk takes writes"; "code" => 2209);
         } else {
             let waits_ms = disk
-                .waits_since
+                .pending_since
                 .map_or(0, |since| now.saturating_sub(since));
             warn!(self.log, "disk takes no writes: out of the chains until it does"; "code" => 2208,
-                "refuses" => disk.refuses, "waits_ms" => waits_ms, "backlogged" => disk.backlogged);
+                "refuses" => disk.failing, "waits_ms" => waits_ms, "backlogged" => disk.backlogged);
         }
     }
 
@@ -441,7 +441,7 @@
                 let (number, body) = ChainFrame::split(body)
                     .ok_or_else(|| DecodeError::Malformed("a frame".into()))?;
                 let msg = Msg::decode(&body)?;
-                if !self.persistence.able() {
+                if !self.persistence.is_writable() {
                     return Ok(());
                 }
                 let turn = self.turn(now);
@@ -512,7 +512,7 @@
         for act in part.acts() {
             self.effects.push(match act {
                 // Without a disk it has no part in the chain.
-                Act::Send(..) if !self.persistence.able() => continue,
+                Act::Send(..) if !self.persistence.is_writable() => continue,
                 Act::Send(to, msg) => {
                     let body = ChainFrame {
                         partition: number,
@@ -633,7 +633,7 @@
             disk_size: self.disk.size,
             leaving: self.leaving,
             capacity: self.capacity(),
-            stalled: self.is_stalled(now) || !self.persistence.able(),
+            stalled: self.is_stalled(now) || !self.persistence.is_writable(),
             answered_ms: self.answered_ms,
         };
         let body = heartbeat.encode();
--- a/crates/batch/batch-store/src/core/quota.rs
+++ b/crates/batch/batch-store/src/core/quota.rs
@@ -12,7 +12,7 @@
 impl<R: Answer> Store<R> {
     /// A word that is for a head which is another one now is dropped: who sent it asks again.
     pub(super) fn quota_word(&mut self, now: Ms, kind: u16, body: &Bytes) -> Result<(), Odd> {
-        if self.closed || !self.persistence.able() {
+        if self.closed || !self.persistence.is_writable() {
             return Ok(());
         }
         let turn = self.turn(now);
--- a/crates/batch/batch-store/src/journal.rs
+++ b/crates/batch/batch-store/src/journal.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use chain_replication::{Machine, Ms, Node, Recovered, Write};
 use std::collections::VecDeque;
-use write_ahead_log::{DiskRing, DiskState, Record};
+use write_ahead_log::{DiskStatus, Record, WriteAheadLog};
 
 /// A whole write of a partition's chain.
 const WHOLE: u8 = 1;
@@ -171,7 +171,7 @@
 
 /// The disk, and what waits for it.
 pub struct Journal {
-    ring: DiskRing,
+    ring: WriteAheadLog,
     /// What the chains write.
     queue: Queue,
     /// What writing the ring anew needs, and what declares a partition void: it goes first, and may use what is kept free.
@@ -361,7 +361,7 @@
 
 impl Journal {
     /// A journal on an opened ring, of which `found` bytes were read back and `live` bytes are of use.
-    pub fn new(ring: DiskRing, found: u64, live: u64) -> Self {
+    pub fn new(ring: WriteAheadLog, found: u64, live: u64) -> Self {
         Self {
             ring,
             queue: Queue::default(),
@@ -378,7 +378,7 @@
 
     /// Tells which ticket is the newest on disk.
     pub fn watch(&self) -> tokio::sync::watch::Receiver<u64> {
-        self.ring.synced()
+        self.ring.synced_lsn()
     }
 
     /// The time of what is written from now on.
@@ -387,13 +387,13 @@
     }
 
     /// Whether what is written gets to the disk.
-    pub fn state(&self) -> DiskState {
+    pub fn state(&self) -> DiskStatus {
         let oldest = self.waiting.front().map(|waiting| waiting.since);
         let oldest = oldest.or(self.queue.records.front().map(|queued| queued.since));
-        DiskState {
-            waits_since: oldest.map(|since| since.max(self.progress)),
-            refuses: self.ring.trouble().is_some(),
-            prepared: self.ring.prepared() && *self.ring.synced().borrow() > 0,
+        DiskStatus {
+            pending_since: oldest.map(|since| since.max(self.progress)),
+            failing: self.ring.fault().is_some(),
+            preallocated: self.ring.is_preallocated() && *self.ring.synced_lsn().borrow() > 0,
             // Bounded by the chains: a snapshot each, and what may be uncommitted.
             backlogged: false,
         }
@@ -402,10 +402,10 @@
     /// How the disk stands.
     pub fn disk(&self) -> crate::Disk {
         crate::Disk {
-            used: self.ring.used(),
-            size: self.ring.capacity(),
+            used: self.ring.used_bytes(),
+            size: self.ring.capacity_bytes(),
             behind: !self.queue.is_empty() || !self.first.is_empty(),
-            sync_ms: u64::try_from(self.ring.slow().as_millis()).unwrap_or(u64::MAX),
+            sync_ms: u64::try_from(self.ring.last_sync_duration().as_millis()).unwrap_or(u64::MAX),
         }
     }
 
@@ -484,7 +484,10 @@
             return Some(true);
         }
         let next = self.queue.records.front()?;
-        let room = self.ring.capacity().saturating_sub(self.ring.used());
+        let room = self
+            .ring
+            .capacity_bytes()
+            .saturating_sub(self.ring.used_bytes());
         (self.queue.is_within || room >= self.kept_free + next.total).then_some(false)
     }
 
@@ -566,7 +569,7 @@
 
     /// Whether the ring is to be written anew.
     fn is_due(&self, live: u64) -> bool {
-        let (used, capacity) = (self.ring.used(), self.ring.capacity());
+        let (used, capacity) = (self.ring.used_bytes(), self.ring.capacity_bytes());
         // What was kept of a partition that was left is of no use at once.
         let live = live.min(self.live);
         let much = self.since >= SLACK + 2 * live;
--- a/crates/batch/batch-store/src/process.rs
+++ b/crates/batch/batch-store/src/process.rs
@@ -19,7 +19,7 @@
 use tier_settings::{FaultBudget, PeerRole, Reread, Settings, SettingsError};
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::signal::unix::{signal, SignalKind};
-use write_ahead_log::{DiskError, DiskRing, Opened, Options};
+use write_ahead_log::{LogError, OpenedLog, Options, WriteAheadLog};
 
 /// The entry with the map of the stores.
 const STORES: &str = "stores";
@@ -52,7 +52,7 @@
     #[error("{0}")]
     Settings(#[from] SettingsError),
     #[error("{0}")]
-    Disk(#[from] DiskError),
+    Disk(#[from] LogError),
     #[error("{0}")]
     Record(#[from] BadRecord),
     #[error("a corrupt ring can't be removed: {0}")]
@@ -69,7 +69,7 @@
     /// The number of the line with which the store ends, as in docs/result-codes.md.
     fn code(&self) -> u16 {
         match self {
-            Ended::Disk(DiskError::Foreign { .. }) => 2210,
+            Ended::Disk(LogError::WrongOwner { .. }) => 2210,
             _ => 2200,
         }
     }
@@ -129,7 +129,7 @@
 }
 
 struct Found {
-    ring: DiskRing,
+    ring: WriteAheadLog,
     bytes: u64,
     parts: Vec<(u16, chain_replication::Recovered)>,
     identity: u64,
@@ -145,13 +145,21 @@
                 bad = back.take(ticket, record).err();
             }
         };
-        let Opened {
-            ring,
+        let OpenedLog {
+            log: ring,
             identity,
-            fresh,
+            is_new: fresh,
             torn,
             ..
-        } = write_ahead_log::open_each(dir, options, draw(), holder, &mut take)?;
+        } = write_ahead_log::open_each(
+            dir,
+            options,
+            write_ahead_log::OpenAs {
+                new_identity: draw(),
+                owner: holder,
+            },
+            &mut take,
+        )?;
         let bytes = back.bytes();
         info!(log, "disk opened"; "records" => back.records(), "bytes" => bytes, "fresh" => fresh, "torn" => torn);
         if let Some(why) = bad {
@@ -166,7 +174,7 @@
         })
     };
     match read() {
-        Err(why @ (Ended::Disk(DiskError::Corrupt { .. }) | Ended::Record(_))) => {
+        Err(why @ (Ended::Disk(LogError::Corrupt { .. }) | Ended::Record(_))) => {
             error!(log, "corruption: begun anew as a newcomer"; "code" => 2203, "why" => %why);
             remove(dir).map_err(Ended::Remove)?;
             read()
@@ -422,7 +430,7 @@
     let files_most =
         ((disk_mb as f64 * 1.0e6 * DISK_SHARE) as u64 / FILE_BYTES).clamp(2, 4_096) as usize;
     let listener = listen(addr)?;
-    let holder = write_ahead_log::holder(&settings.node, "store");
+    let holder = write_ahead_log::owner_id(&settings.node, "store");
     let Found {
         ring,
         bytes,
@@ -431,8 +439,8 @@
     } = open_disk(
         &dir,
         Options {
-            file_bytes: FILE_BYTES,
-            files_most,
+            segment_bytes: FILE_BYTES,
+            max_segments: files_most,
         },
         holder,
         &log,
@@ -458,7 +466,7 @@
         node: settings.node.clone(),
         zone: settings.zone.clone(),
     };
-    let mut synced = ring.synced();
+    let mut synced = ring.synced_lsn();
     let store = Store::new(terms, parts, log.clone());
     let live = store
         .held()
@@ -499,7 +507,7 @@
                     let at = *synced.borrow_and_update();
                     process.synced(at);
                 }
-                Err(_) => return Err(Ended::Disk(DiskError::Closed)),
+                Err(_) => return Err(Ended::Disk(LogError::Closed)),
             },
             _ = tick.tick() => process.tick(),
             _ = term.recv(), if ends.is_none() => {
--- a/crates/batch/batch-store/tests/journal.rs
+++ b/crates/batch/batch-store/tests/journal.rs
@@ -20,8 +20,8 @@
 use write_ahead_log::{open, Options, Record};
 
 const OPTIONS: Options = Options {
-    file_bytes: 2 << 20,
-    files_most: 24,
+    segment_bytes: 2 << 20,
+    max_segments: 24,
 };
 
 /// A folder of the test's own, gone at its end.
@@ -82,7 +82,7 @@
             .map(|node| node.machine().bytes() as u64)
             .sum();
         let mut disk = Disk {
-            journal: Journal::new(opened.ring, bytes, live),
+            journal: Journal::new(opened.log, bytes, live),
             nodes,
             now: 1,
         };
@@ -245,7 +245,7 @@
                 disk.tick();
             }
             most = most.max(disk.journal.disk().used);
-            assert!(!disk.journal.state().refuses);
+            assert!(!disk.journal.state().failing);
         }
         disk.sync(&runtime);
         before = disk.tables();
@@ -326,8 +326,8 @@
 
 /// The files of a small store's ring: pieces of a state must fill them.
 const SMALL: Options = Options {
-    file_bytes: 4 << 20,
-    files_most: 8,
+    segment_bytes: 4 << 20,
+    max_segments: 8,
 };
 /// How often a disk is looked at before it counts as stuck; ten seconds and more.
 const MOST_LOOKS: usize = 5_000;
--- a/crates/batch/batch-store/tests/refused.rs
+++ b/crates/batch/batch-store/tests/refused.rs
@@ -12,7 +12,7 @@
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
-use write_ahead_log::DiskState;
+use write_ahead_log::DiskStatus;
 
 /// Partitions of the map.
 const PARTITIONS: usize = 16;
@@ -54,9 +54,9 @@
     store.controllers(vec![controller(1)]);
     store.persistence(
         1,
-        DiskState {
-            prepared: true,
-            ..DiskState::default()
+        DiskStatus {
+            preallocated: true,
+            ..DiskStatus::default()
         },
     );
     let member = Member {
--- a/crates/batch/batch-store/tests/store.rs
+++ b/crates/batch/batch-store/tests/store.rs
@@ -11,7 +11,7 @@
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
-use write_ahead_log::DiskState;
+use write_ahead_log::DiskStatus;
 
 const HOST: &str = "h.example";
 /// As many as the version before had, by host alone.
@@ -77,9 +77,9 @@
         store.controllers(vec![controller(1), controller(2)]);
         store.persistence(
             1,
-            DiskState {
-                prepared: true,
-                ..DiskState::default()
+            DiskStatus {
+                preallocated: true,
+                ..DiskStatus::default()
             },
         );
         One {
--- a/crates/batch/batch-store/tests/stored_data.rs
+++ b/crates/batch/batch-store/tests/stored_data.rs
@@ -26,8 +26,8 @@
 const EXPECTED: &str = include_str!("fixtures/stored-data.txt");
 /// As a store of a small machine has it, with fewer files.
 const RING: Options = Options {
-    file_bytes: 4 << 20,
-    files_most: 4,
+    segment_bytes: 4 << 20,
+    max_segments: 4,
 };
 const IDENTITY: u64 = 0x0057_0e01;
 const HOST: &str = "h.example";
@@ -63,7 +63,7 @@
             std::fs::write(directory.0.join(path.file_stem().unwrap()), bytes).unwrap();
             files += 1;
         }
-        assert_eq!(files, RING.files_most);
+        assert_eq!(files, RING.max_segments);
         directory
     }
 }
@@ -114,8 +114,17 @@
             kinds.insert(record.kind);
             back.take(ticket, record).unwrap();
         };
-        let holder = write_ahead_log::holder("s-1", "store");
-        let opened = write_ahead_log::open_each(path, RING, IDENTITY, holder, &mut take).unwrap();
+        let holder = write_ahead_log::owner_id("s-1", "store");
+        let opened = write_ahead_log::open_each(
+            path,
+            RING,
+            write_ahead_log::OpenAs {
+                new_identity: IDENTITY,
+                owner: holder,
+            },
+            &mut take,
+        )
+        .unwrap();
         assert!(!opened.torn);
         let bytes = back.bytes();
         let terms = Terms {
@@ -135,7 +144,7 @@
             .held()
             .map(|(_, node)| node.machine().bytes() as u64)
             .sum();
-        let journal = Journal::new(opened.ring, bytes, live);
+        let journal = Journal::new(opened.log, bytes, live);
         let identity = opened.identity;
         StoreOnDisk {
             store,
@@ -218,7 +227,9 @@
 
     /// The next map of the stores, in which this one is alone in its chains but for the two of their own kind.
     fn enter(&mut self, number: u64, without: &[u16]) {
-        self.until("the disk is prepared", |disk| disk.journal.state().prepared);
+        self.until("the disk is prepared", |disk| {
+            disk.journal.state().preallocated
+        });
         let member = |id: u64| Member {
             id: if id == 1 { IDENTITY } else { id },
             addr: addr(id as u8),
@@ -545,7 +556,7 @@
 fn records_of_the_journal_keep_their_kinds_and_pieces() {
     let directory = Directory::new("records");
     let opened = write_ahead_log::open(&directory.0, RING, IDENTITY).unwrap();
-    let mut journal = Journal::new(opened.ring, 0, 0);
+    let mut journal = Journal::new(opened.log, 0, 0);
     let entry = |number, bytes: usize| {
         let command = (0..bytes).map(|n| n as u8).collect::<Vec<u8>>().into();
         chain_replication::Write::Entry {
@@ -591,5 +602,5 @@
             .map(|r| (r.kind, r.body.len()))
             .collect::<Vec<_>>()
     );
-    opened.ring.close();
+    opened.log.close();
 }
--- a/crates/batch/batch-store/tests/world/mod.rs
+++ b/crates/batch/batch-store/tests/world/mod.rs
@@ -20,7 +20,7 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::SocketAddr;
 use std::rc::Rc;
-use write_ahead_log::DiskState;
+use write_ahead_log::DiskStatus;
 
 /// How long something may be unknown after it was said.
 pub const SETTLE: u64 = 1_000;
@@ -173,11 +173,11 @@
 }
 
 impl Disk {
-    fn state(&self, now: u64) -> DiskState {
-        DiskState {
-            waits_since: self.waiting.first().map(|w| w.3.max(self.progress)),
-            refuses: self.refuses && self.faulty_until > now,
-            prepared: self.settled,
+    fn state(&self, now: u64) -> DiskStatus {
+        DiskStatus {
+            pending_since: self.waiting.first().map(|w| w.3.max(self.progress)),
+            failing: self.refuses && self.faulty_until > now,
+            preallocated: self.settled,
             backlogged: false,
         }
     }
@@ -743,9 +743,9 @@
             process.disk.synced = process.disk.records.len();
             process.disk.settled = true;
         }
-        let well = DiskState {
-            prepared: true,
-            ..DiskState::default()
+        let well = DiskStatus {
+            preallocated: true,
+            ..DiskStatus::default()
         };
         let state = if lies { well } else { process.disk.state(now) };
         assert!(
--- a/crates/common/write-ahead-log/src/error.rs
+++ b/crates/common/write-ahead-log/src/error.rs
@@ -1,55 +1,84 @@
-//! What can go wrong with a ring.
+//! What can go wrong with a log.
 
+use crate::format::VERSION;
+use crate::limits::{MIN_SEGMENTS, MIN_SEGMENT_BYTES};
 use std::io;
 
-/// Why something couldn't be done. What each means for the operator stands in docs/disk-files.md.
+/// Why a log couldn't be opened or a record not appended. What each means for the operator stands
+/// in `docs/disk-files.md`.
 #[derive(Debug, thiserror::Error)]
-pub enum DiskError {
-    /// No room until older records are released, or too much waits for the disk.
-    #[error("the ring is full")]
+pub enum LogError {
+    /// No capacity until older records are released, or too much waits for the disk.
+    #[error("the log is full")]
     Full,
-    /// The ring was closed.
-    #[error("the ring is closed")]
+    /// The log was closed.
+    #[error("the log is closed")]
     Closed,
-    /// The record doesn't fit in a file.
-    #[error("a record of {len} bytes doesn't fit in a file of the ring")]
-    TooLong {
+    /// The record doesn't fit in a segment.
+    #[error("a record of {len} bytes exceeds the limit of {limit}")]
+    RecordTooLong {
         /// Bytes of its body.
         len: usize,
+        /// The longest body that fits.
+        limit: u64,
     },
-    /// The files were written by a newer program; nothing was touched.
-    #[error("{file} has format version {version}, this program knows up to {known}; nothing was touched", known = crate::format::VERSION)]
-    Newer {
+    /// The files were written by a newer program; nothing was changed.
+    #[error("{file} has format version {version}, supported up to {VERSION}; nothing was changed")]
+    UnsupportedVersion {
         /// The file.
         file: String,
         /// Its version.
         version: u16,
     },
-    /// The ring is another machine's, or of another role; nothing was touched.
-    #[error("{file} belongs to another machine or to another role; nothing was touched")]
-    Foreign {
+    /// The log is another machine's, or of another role; nothing was changed.
+    #[error("{file} belongs to another machine or role; nothing was changed")]
+    WrongOwner {
         /// The file.
         file: String,
     },
     /// What had been synced can't be read back.
-    #[error("{file} is corrupt at {offset}: {what}")]
+    #[error("{file} is corrupt at byte {offset}: {what}")]
     Corrupt {
         /// The file.
         file: String,
-        /// Where in it.
+        /// The byte in it.
         offset: u64,
         /// What is wrong.
-        what: &'static str,
+        what: Corruption,
     },
     /// The system refused something at the start.
-    #[error("{file}: {error}")]
+    #[error("{file}: {source}")]
     Io {
-        /// The file or folder.
+        /// The file or directory.
         file: String,
         /// What the system says.
-        error: io::Error,
+        source: io::Error,
     },
     /// The options can't be served.
-    #[error("a ring needs two files of {} bytes each at least", crate::LEAST_FILE)]
-    Options,
+    #[error("a log needs at least {MIN_SEGMENTS} segments of {MIN_SEGMENT_BYTES} bytes")]
+    InvalidOptions,
+}
+
+/// How what had been synced was found.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+pub enum Corruption {
+    /// A record can't be decoded though it had been synced.
+    #[error("a synced record can't be read")]
+    UnreadableRecord,
+    /// A header can't be decoded though it had been synced.
+    #[error("a synced header can't be read")]
+    UnreadableHeader,
+    /// The oldest segment found begins behind records that aren't released.
+    #[error("the segment before it is missing, with records that aren't released")]
+    MissingRecords,
+    /// A segment between others isn't there.
+    #[error("the segment before it is missing")]
+    MissingSegment,
+    /// A segment begins with another LSN or an earlier incarnation than the one before it ends
+    /// with.
+    #[error("it doesn't go on where the segment before it ends")]
+    Discontinuous,
+    /// The header is of another log, or two segments claim the same place.
+    #[error("its header is of another log, or two segments have the same place")]
+    ConflictingHeader,
 }
--- a/crates/common/write-ahead-log/src/monitor.rs
+++ b/crates/common/write-ahead-log/src/monitor.rs
@@ -1,20 +1,22 @@
-//! A value that two threads share, with waiting; tests put one in its place that plays all interleavings.
+//! A value that two threads share, with waiting; tests put one in its place that plays all
+//! interleavings.
 
 use std::sync::{Condvar, Mutex, PoisonError};
 
-/// A lock with waiting.
+/// A lock with a condition to wait for.
 pub trait Monitor<T>: Send + Sync + Sized + 'static {
     /// Around a value.
     fn new(value: T) -> Self;
-    /// Does something with the value alone.
+    /// Runs `act` with exclusive access to the value.
     fn with<R>(&self, act: impl FnOnce(&mut T) -> R) -> R;
-    /// Waits until `act` gives something; it is asked at the beginning and after each [`Monitor::wake`].
+    /// Blocks until `act` gives something; it runs at the beginning and after each
+    /// [`Monitor::wake`].
     fn wait<R>(&self, act: impl FnMut(&mut T) -> Option<R>) -> R;
-    /// Makes the one who waits look again.
+    /// Wakes the thread that waits.
     fn wake(&self);
 }
 
-/// The standard library's lock.
+/// The standard library's lock and condition variable.
 pub struct StdMonitor<T> {
     value: Mutex<T>,
     changed: Condvar,
@@ -29,7 +31,7 @@
     }
 
     fn with<R>(&self, act: impl FnOnce(&mut T) -> R) -> R {
-        // Nothing that holds the lock panics half way.
+        // No code panics half way while it holds the lock, so a poisoned value is consistent.
         act(&mut self.value.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
--- a/crates/common/write-ahead-log/src/disk.rs
+++ b/crates/common/write-ahead-log/src/storage.rs
@@ -1,62 +1,100 @@
-//! The files themselves, behind a small trait so that tests can put a disk in their place that loses and tears.
+//! The files of a log behind a small trait, so that tests can put in a storage that loses and tears
+//! writes.
 
 use std::fs::{File, OpenOptions};
 use std::io::{self, Read, Seek, SeekFrom, Write};
 use std::os::unix::fs::MetadataExt;
 use std::path::{Path, PathBuf};
 
-/// The files of a ring, each known by a small number.
-pub trait Disk: Send + 'static {
+/// The files of a log, each known by a small number, its slot.
+pub trait Storage: Send + 'static {
     /// An open file.
-    type File: DiskFile;
-    /// Numbers and lengths of the files that exist.
+    type File: StorageFile;
+    /// Slots and lengths in bytes of the files that exist, in the order of the slots.
+    ///
+    /// # Errors
+    /// What the system refuses.
     fn files(&mut self) -> io::Result<Vec<(u32, u64)>>;
     /// Opens a file that exists.
+    ///
+    /// # Errors
+    /// What the system refuses.
     fn open(&mut self, slot: u32) -> io::Result<Self::File>;
-    /// Makes a new, empty file whose name lasts once the file was synced.
+    /// Makes a new, empty file whose name is durable once the file was synced.
+    ///
+    /// # Errors
+    /// What the system refuses.
     fn create(&mut self, slot: u32) -> io::Result<Self::File>;
     /// Removes a file.
+    ///
+    /// # Errors
+    /// What the system refuses.
     fn remove(&mut self, slot: u32) -> io::Result<()>;
     /// What a file is called in errors.
     fn name(&self, slot: u32) -> String;
 }
 
 /// An open file.
-pub trait DiskFile: Send + 'static {
+pub trait StorageFile: Send + 'static {
     /// Reads up to `most` bytes from the beginning.
+    ///
+    /// # Errors
+    /// What the system refuses.
     fn read(&mut self, most: u64, to: &mut Vec<u8>) -> io::Result<()>;
     /// Writes all the bytes.
+    ///
+    /// # Errors
+    /// What the system refuses; a part may have been written.
     fn write_at(&mut self, offset: u64, bytes: &[u8]) -> io::Result<()>;
-    /// Sets the length; what is new is zeros, which may have no room on the disk yet.
+    /// Sets the length; what is new is zeros, which may have no blocks on the disk yet.
+    ///
+    /// # Errors
+    /// What the system refuses.
     fn set_len(&mut self, len: u64) -> io::Result<()>;
     /// Bytes of the file.
+    ///
+    /// # Errors
+    /// What the system refuses.
     fn length(&mut self) -> io::Result<u64>;
-    /// Bytes of the file that have room on the disk; 0 where that isn't known.
+    /// Bytes of the file that have blocks on the disk; 0 where that isn't known.
+    ///
+    /// # Errors
+    /// What the system refuses.
     fn allocated(&mut self) -> io::Result<u64> {
         Ok(0)
     }
-    /// Gives the file this length; what is new is written as zeros, so that the disk has room for it.
+    /// Gives the file this length; what is new is written as zeros, so that it has blocks on the
+    /// disk.
+    ///
+    /// # Errors
+    /// What the system refuses.
     fn fill(&mut self, len: u64) -> io::Result<()> {
-        let there = self.length()?;
-        if there < len {
-            self.write_at(there, &vec![0; usize::try_from(len - there).unwrap_or(0)])?;
+        let length = self.length()?;
+        if length < len {
+            self.write_at(length, &vec![0; usize::try_from(len - length).unwrap_or(0)])?;
         }
-        if there > len {
+        if length > len {
             self.set_len(len)?;
         }
         Ok(())
     }
-    /// Returns when all that was written will outlast a loss of power.
+    /// Returns when all that was written is durable.
+    ///
+    /// # Errors
+    /// What the system refuses; what was written since the last sync may then be lost.
     fn sync(&mut self) -> io::Result<()>;
 }
 
-/// The files `ring-0000`, `ring-0001`, ... of a folder.
-pub struct Folder {
+/// The files `ring-0000`, `ring-0001`, ... of a directory; other names are left alone.
+pub struct LogDirectory {
     path: PathBuf,
 }
 
-impl Folder {
-    /// The folder is made if it isn't there.
+impl LogDirectory {
+    /// Makes the directory if it isn't there.
+    ///
+    /// # Errors
+    /// It can't be made.
     pub fn new(path: &Path) -> io::Result<Self> {
         std::fs::create_dir_all(path)?;
         Ok(Self {
@@ -69,8 +107,8 @@
     }
 }
 
-impl Disk for Folder {
-    type File = PlainFile;
+impl Storage for LogDirectory {
+    type File = SegmentFile;
 
     fn files(&mut self) -> io::Result<Vec<(u32, u64)>> {
         let mut files = Vec::new();
@@ -89,24 +127,25 @@
         Ok(files)
     }
 
-    fn open(&mut self, slot: u32) -> io::Result<PlainFile> {
+    fn open(&mut self, slot: u32) -> io::Result<SegmentFile> {
         let file = OpenOptions::new()
             .read(true)
             .write(true)
             .open(self.file(slot))?;
-        Ok(PlainFile { file, at: 0 })
+        Ok(SegmentFile { file, position: 0 })
     }
 
-    fn create(&mut self, slot: u32) -> io::Result<PlainFile> {
+    fn create(&mut self, slot: u32) -> io::Result<SegmentFile> {
         let file = OpenOptions::new()
             .read(true)
             .write(true)
             .create(true)
             .truncate(true)
             .open(self.file(slot))?;
-        // The name lasts with the file's own sync on the platform; elsewhere the folder's sync makes sure of it.
+        // Some file systems make the name durable with the file's own sync; elsewhere the
+        // directory's sync does.
         File::open(&self.path)?.sync_all()?;
-        Ok(PlainFile { file, at: 0 })
+        Ok(SegmentFile { file, position: 0 })
     }
 
     fn remove(&mut self, slot: u32) -> io::Result<()> {
@@ -119,16 +158,16 @@
     }
 }
 
-/// A file of a [`Folder`].
-pub struct PlainFile {
+/// A file of a [`LogDirectory`].
+pub struct SegmentFile {
     file: File,
-    /// Where the next write goes, so that the usual one needs no seek.
-    at: u64,
+    /// Where the next write goes without a seek; `u64::MAX` if that isn't known.
+    position: u64,
 }
 
-impl DiskFile for PlainFile {
+impl StorageFile for SegmentFile {
     fn read(&mut self, most: u64, to: &mut Vec<u8>) -> io::Result<()> {
-        self.at = u64::MAX;
+        self.position = u64::MAX;
         self.file.seek(SeekFrom::Start(0))?;
         to.clear();
         let len = self.file.metadata()?.len().min(most);
@@ -138,12 +177,12 @@
     }
 
     fn write_at(&mut self, offset: u64, bytes: &[u8]) -> io::Result<()> {
-        if self.at != offset {
+        if self.position != offset {
             self.file.seek(SeekFrom::Start(offset))?;
         }
-        self.at = u64::MAX;
+        self.position = u64::MAX;
         self.file.write_all(bytes)?;
-        self.at = offset + bytes.len() as u64;
+        self.position = offset + bytes.len() as u64;
         Ok(())
     }
 
@@ -156,7 +195,8 @@
     }
 
     fn allocated(&mut self) -> io::Result<u64> {
-        // The system counts in units of 512 bytes, whatever the file system's own blocks are.
+        // The system counts in units of 512 bytes, whatever the file system's own blocks are
+        // (stat(2), st_blocks).
         Ok(self.file.metadata()?.blocks().saturating_mul(512))
     }
 
--- a/crates/common/write-ahead-log/tests/support/mod.rs
+++ b/crates/common/write-ahead-log/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A disk in memory that forgets, loses and tears what wasn't synced.
+//! A disk in memory that loses and tears what wasn't synced.
 #![allow(dead_code)]
 
 use bytes::Bytes;
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard};
-use write_ahead_log::{Disk, DiskFile, Record};
+use write_ahead_log::{Record, Storage, StorageFile};
 
 pub struct Rng(Pcg64Mcg);
 
@@ -33,42 +33,42 @@
 }
 
 #[derive(Clone, Default)]
-struct Content {
-    /// What outlasts a loss of power; nothing until the first sync.
+struct FileState {
+    /// What is durable; nothing until the first sync.
     durable: Option<Vec<u8>>,
     pending: Vec<Change>,
     now: Vec<u8>,
 }
 
 #[derive(Clone, Default)]
-struct World {
-    files: BTreeMap<u32, Content>,
-    /// Operations until the power goes.
-    left: Option<u64>,
-    /// Bytes that the disk has room for.
-    room: Option<u64>,
-    /// All writes are refused.
-    refuses: bool,
-    /// Of so many of a hundred writes and syncs each fails, drawn from these numbers.
+struct DiskState {
+    files: BTreeMap<u32, FileState>,
+    /// Operations until the power fails.
+    operations_left: Option<u64>,
+    /// Bytes that fit on the disk.
+    capacity: Option<u64>,
+    /// All writes fail.
+    writes_fail: bool,
+    /// The percentage of writes and syncs that fail, and the generator that draws which.
     failing: Option<(u64, Pcg64Mcg)>,
     failed: u64,
     writes: u64,
     syncs: u64,
-    lie: Option<Lie>,
+    planted_fault: Option<PlantedFault>,
 }
 
-/// What a planted fault says was done though it wasn't.
+/// A fault of the disk that the tests must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lie {
+pub enum PlantedFault {
     /// A write that failed counts as done.
     Write,
     /// A sync that failed counts as done.
     Sync,
 }
 
-impl World {
+impl DiskState {
     fn operation(&mut self) -> io::Result<()> {
-        match &mut self.left {
+        match &mut self.operations_left {
             Some(0) => Err(io::Error::other("no power")),
             Some(left) => {
                 *left -= 1;
@@ -79,21 +79,22 @@
     }
 
     /// Whether this write or sync fails.
-    fn fails(&mut self) -> bool {
+    fn next_operation_fails(&mut self) -> bool {
         let fails = self
             .failing
             .as_mut()
             .is_some_and(|(share, rng)| rng.next_u64() % 100 < *share);
-        self.failed += u64::from(fails || self.refuses);
+        self.failed += u64::from(fails || self.writes_fail);
         fails
     }
 
-    fn file(&mut self, slot: u32) -> &mut Content {
+    fn file(&mut self, slot: u32) -> &mut FileState {
         self.files.get_mut(&slot).expect("the file exists")
     }
 }
 
-/// What is new is zeros; put there in one piece, which a build without optimization does far faster than one by one.
+/// What is new is zeros; put there in one piece, which a build without optimization does far faster
+/// than one by one.
 fn set_len(to: &mut Vec<u8>, len: usize) {
     if to.len() < len {
         to.extend_from_slice(&vec![0; len - to.len()]);
@@ -113,7 +114,7 @@
 }
 
 #[derive(Clone, Default)]
-pub struct MemoryDisk(Arc<Mutex<World>>);
+pub struct MemoryDisk(Arc<Mutex<DiskState>>);
 
 pub struct MemoryFile {
     disk: MemoryDisk,
@@ -121,86 +122,87 @@
 }
 
 impl MemoryDisk {
-    fn world(&self) -> MutexGuard<'_, World> {
+    fn state(&self) -> MutexGuard<'_, DiskState> {
         self.0.lock().unwrap()
     }
 
-    pub fn power_goes_after(&self, operations: u64) {
-        self.world().left = Some(operations);
+    pub fn lose_power_after(&self, operations: u64) {
+        self.state().operations_left = Some(operations);
     }
 
-    pub fn power_is_back(&self) {
-        self.world().left = None;
+    pub fn restore_power(&self) {
+        self.state().operations_left = None;
     }
 
-    pub fn room(&self, bytes: u64) {
-        self.world().room = Some(bytes);
+    pub fn set_capacity(&self, bytes: u64) {
+        self.state().capacity = Some(bytes);
     }
 
-    /// From now on all writes are refused, or not any more.
-    pub fn refuses(&self, refuses: bool) {
-        self.world().refuses = refuses;
+    /// From now on all writes fail, or not any more.
+    pub fn fail_writes(&self, fail: bool) {
+        self.state().writes_fail = fail;
     }
 
-    /// From now on so many of a hundred writes and syncs fail.
-    pub fn fails(&self, share: u64, seed: u64) {
-        self.world().failing = Some((share, Pcg64Mcg::seed_from_u64(seed)));
+    /// From now on this percentage of writes and syncs fails.
+    pub fn fail_randomly(&self, percent: u64, seed: u64) {
+        self.state().failing = Some((percent, Pcg64Mcg::seed_from_u64(seed)));
     }
 
-    /// A planted fault.
-    pub fn lies(&self, lie: Lie) {
-        self.world().lie = Some(lie);
+    /// From now on the disk has this fault.
+    pub fn plant_fault(&self, planted_fault: PlantedFault) {
+        self.state().planted_fault = Some(planted_fault);
     }
 
     /// Writes and syncs that have failed.
     pub fn failed(&self) -> u64 {
-        self.world().failed
+        self.state().failed
     }
 
     pub fn has_power(&self) -> bool {
-        self.world().left != Some(0)
+        self.state().operations_left != Some(0)
     }
 
     pub fn counts(&self) -> (u64, u64) {
-        let world = self.world();
-        (world.writes, world.syncs)
+        let state = self.state();
+        (state.writes, state.syncs)
     }
 
     pub fn slots(&self) -> Vec<u32> {
-        self.world().files.keys().copied().collect()
+        self.state().files.keys().copied().collect()
     }
 
     pub fn bytes(&self, slot: u32) -> Vec<u8> {
-        self.world().file(slot).now.clone()
+        self.state().file(slot).now.clone()
     }
 
     pub fn change(&self, slot: u32, change: impl FnOnce(&mut Vec<u8>)) {
-        let mut world = self.world();
-        let file = world.file(slot);
+        let mut state = self.state();
+        let file = state.file(slot);
         change(&mut file.now);
         file.durable = Some(file.now.clone());
         file.pending.clear();
     }
 
     pub fn remove_file(&self, slot: u32) {
-        self.world().files.remove(&slot);
+        self.state().files.remove(&slot);
     }
 
-    /// The disk as it is after the process died.
-    pub fn after_kill(&self) -> Self {
-        let mut world = self.world().clone();
-        world.left = None;
-        world.failing = None;
-        Self(Arc::new(Mutex::new(world)))
+    /// The disk as it is after a crash of the process.
+    pub fn after_crash(&self) -> Self {
+        let mut state = self.state().clone();
+        state.operations_left = None;
+        state.failing = None;
+        Self(Arc::new(Mutex::new(state)))
     }
 
-    /// The disk as it is after the power went: of what wasn't synced all is gone, or each is there, missing or torn.
+    /// The disk as it is after a power loss: of what wasn't synced all is lost, or each write is
+    /// there, missing or torn.
     pub fn after_power_loss(&self, rng: &mut Rng) -> Self {
-        let mut world = self.world().clone();
-        world.left = None;
-        world.failing = None;
+        let mut state = self.state().clone();
+        state.operations_left = None;
+        state.failing = None;
         let all_gone = rng.one_in(4);
-        world.files = std::mem::take(&mut world.files)
+        state.files = std::mem::take(&mut state.files)
             .into_iter()
             .filter_map(|(slot, file)| {
                 if file.durable.is_none() && (all_gone || rng.one_in(2)) {
@@ -214,7 +216,7 @@
                 }
                 Some((
                     slot,
-                    Content {
+                    FileState {
                         durable: Some(now.clone()),
                         pending: Vec::new(),
                         now,
@@ -222,7 +224,7 @@
                 ))
             })
             .collect();
-        Self(Arc::new(Mutex::new(world)))
+        Self(Arc::new(Mutex::new(state)))
     }
 }
 
@@ -269,12 +271,12 @@
     }
 }
 
-impl Disk for MemoryDisk {
+impl Storage for MemoryDisk {
     type File = MemoryFile;
 
     fn files(&mut self) -> io::Result<Vec<(u32, u64)>> {
         Ok(self
-            .world()
+            .state()
             .files
             .iter()
             .map(|(slot, file)| (*slot, file.now.len() as u64))
@@ -282,7 +284,7 @@
     }
 
     fn open(&mut self, slot: u32) -> io::Result<MemoryFile> {
-        self.world().operation()?;
+        self.state().operation()?;
         Ok(MemoryFile {
             disk: self.clone(),
             slot,
@@ -290,13 +292,13 @@
     }
 
     fn create(&mut self, slot: u32) -> io::Result<MemoryFile> {
-        let mut world = self.world();
-        world.operation()?;
+        let mut state = self.state();
+        state.operation()?;
         assert!(
-            !world.files.contains_key(&slot),
+            !state.files.contains_key(&slot),
             "a file in use would be truncated"
         );
-        world.files.insert(slot, Content::default());
+        state.files.insert(slot, FileState::default());
         Ok(MemoryFile {
             disk: self.clone(),
             slot,
@@ -304,9 +306,9 @@
     }
 
     fn remove(&mut self, slot: u32) -> io::Result<()> {
-        let mut world = self.world();
-        world.operation()?;
-        world.files.remove(&slot);
+        let mut state = self.state();
+        state.operation()?;
+        state.files.remove(&slot);
         Ok(())
     }
 
@@ -315,36 +317,40 @@
     }
 }
 
-impl DiskFile for MemoryFile {
+impl StorageFile for MemoryFile {
     fn read(&mut self, most: u64, to: &mut Vec<u8>) -> io::Result<()> {
-        let mut world = self.disk.world();
-        world.operation()?;
+        let mut state = self.disk.state();
+        state.operation()?;
         to.clear();
-        let now = &world.file(self.slot).now;
+        let now = &state.file(self.slot).now;
         let most = usize::try_from(most).unwrap_or(usize::MAX).min(now.len());
         to.extend_from_slice(&now[..most]);
         Ok(())
     }
 
     fn write_at(&mut self, offset: u64, bytes: &[u8]) -> io::Result<()> {
-        let mut world = self.disk.world();
-        let used: usize = world.files.values().map(|file| file.now.len()).sum();
-        let grows = (offset as usize + bytes.len()).saturating_sub(world.file(self.slot).now.len());
-        if world.refuses || world.room.is_some_and(|room| (used + grows) as u64 > room) {
-            world.failed += 1;
+        let mut state = self.disk.state();
+        let used: usize = state.files.values().map(|file| file.now.len()).sum();
+        let grows = (offset as usize + bytes.len()).saturating_sub(state.file(self.slot).now.len());
+        if state.writes_fail
+            || state
+                .capacity
+                .is_some_and(|capacity| (used + grows) as u64 > capacity)
+        {
+            state.failed += 1;
             return Err(io::ErrorKind::StorageFull.into());
         }
-        if world.fails() {
-            // A part of it may have been written.
+        if state.next_operation_fails() {
+            // A part of it may have reached the disk.
             let len = bytes.len() / 2;
             let change = Change::Write {
                 offset,
                 bytes: bytes[..len].to_vec(),
             };
-            let file = world.file(self.slot);
+            let file = state.file(self.slot);
             apply(&change, &mut file.now);
             file.pending.push(change);
-            let lies = world.lie == Some(Lie::Write);
+            let lies = state.planted_fault == Some(PlantedFault::Write);
             return if lies {
                 Ok(())
             } else {
@@ -355,19 +361,19 @@
             offset,
             bytes: bytes.to_vec(),
         };
-        // A write that the power ends may have begun.
-        let result = world.operation();
-        world.writes += 1;
-        let file = world.file(self.slot);
+        // A write during which the power fails may have begun.
+        let result = state.operation();
+        state.writes += 1;
+        let file = state.file(self.slot);
         apply(&change, &mut file.now);
         file.pending.push(change);
         result
     }
 
     fn set_len(&mut self, len: u64) -> io::Result<()> {
-        let mut world = self.disk.world();
-        world.operation()?;
-        let file = world.file(self.slot);
+        let mut state = self.disk.state();
+        state.operation()?;
+        let file = state.file(self.slot);
         if file.now.len() as u64 != len {
             apply(&Change::SetLen(len), &mut file.now);
             file.pending.push(Change::SetLen(len));
@@ -376,17 +382,18 @@
     }
 
     fn length(&mut self) -> io::Result<u64> {
-        Ok(self.disk.world().file(self.slot).now.len() as u64)
+        Ok(self.disk.state().file(self.slot).now.len() as u64)
     }
 
     fn sync(&mut self) -> io::Result<()> {
-        let mut world = self.disk.world();
-        world.operation()?;
-        world.syncs += 1;
-        let fails = world.fails();
-        let file = world.file(self.slot);
+        let mut state = self.disk.state();
+        state.operation()?;
+        state.syncs += 1;
+        let fails = state.next_operation_fails();
+        let file = state.file(self.slot);
         let mut durable = file.durable.take().unwrap_or_default();
-        // What a failed sync didn't write out stays readable and is never written out by a later one.
+        // What a failed sync didn't write out stays readable and is never written out by a later
+        // sync (as Linux does).
         let kept = if fails {
             file.pending.len() / 2
         } else {
@@ -397,7 +404,7 @@
             .take(kept)
             .for_each(|change| apply(&change, &mut durable));
         file.durable = Some(durable);
-        if fails && world.lie != Some(Lie::Sync) {
+        if fails && state.planted_fault != Some(PlantedFault::Sync) {
             return Err(io::Error::other("the sync failed"));
         }
         Ok(())
--- a/crates/common/write-ahead-log/tests/threads.rs
+++ b/crates/common/write-ahead-log/tests/threads.rs
@@ -1,5 +1,6 @@
-//! Appenders, the disk's thread and the one who closes, in the orders that the scheduler may give them: no ticket is
-//! said to be on disk before its write is, and closing leaves nothing behind.
+//! Appenders, the writer's thread and the one that closes, in the interleavings that the scheduler
+//! may choose: no LSN is reported as durable before its write is, and closing leaves nothing
+//! behind.
 
 #![expect(clippy::unwrap_used, reason = "a test ends at the first surprise")]
 
@@ -9,11 +10,13 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex as Plain};
 use support::{record, MemoryDisk, Rng};
-use write_ahead_log::{prepare, DiskRing, Monitor, Options, Prepared, Shared, StdMonitor};
+use write_ahead_log::{
+    prepare, Monitor, Options, PreparedLog, SharedState, StdMonitor, WriteAheadLog,
+};
 
 const OPTIONS: Options = Options {
-    file_bytes: 16 << 10,
-    files_most: 3,
+    segment_bytes: 16 << 10,
+    max_segments: 3,
 };
 
 struct Played<T> {
@@ -48,47 +51,52 @@
     }
 }
 
-type Ring = DiskRing<Played<Shared>>;
+type TestLog = WriteAheadLog<Played<SharedState>>;
 
-/// What the ring says is on disk is there if the power goes now.
-fn holds(ring: &Ring, disk: &MemoryDisk) {
-    let said = *ring.synced().borrow();
-    let found: Prepared<_, StdMonitor<Shared>> =
-        prepare(disk.after_power_loss(&mut Rng::new(said)), OPTIONS, 0).unwrap();
-    // The first ticket is the ring's own.
+/// What the log reports as durable is recovered if the power fails now.
+fn holds(log: &TestLog, disk: &MemoryDisk) {
+    let reported = *log.synced_lsn().borrow();
+    let found: PreparedLog<_, StdMonitor<SharedState>> =
+        prepare(disk.after_power_loss(&mut Rng::new(reported)), OPTIONS, 0).unwrap();
+    // The first LSN is the opening record's.
     let back = found
         .records
         .iter()
-        .filter(|(ticket, _)| *ticket <= said)
+        .filter(|(lsn, _)| *lsn <= reported)
         .count() as u64;
-    assert_eq!(back + 1, said.max(1), "{said} are said to be on disk");
+    assert_eq!(
+        back + 1,
+        reported.max(1),
+        "{reported} are reported as durable"
+    );
 }
 
 fn play(appenders: u64, each: u64) {
     let disk = MemoryDisk::default();
-    let Prepared {
-        ring, mut writer, ..
-    } = prepare::<_, Played<Shared>>(disk.clone(), OPTIONS, 1).unwrap();
-    // The second file is made first, or its steps would multiply the orders of one appender; others meet it.
+    let PreparedLog {
+        log, mut writer, ..
+    } = prepare::<_, Played<SharedState>>(disk.clone(), OPTIONS, 1).unwrap();
+    // The second segment is preallocated first, or its steps would multiply the interleavings of
+    // one appender; several appenders race with it.
     while appenders == 1 && writer.has_work() {
         writer.step();
     }
-    let ring = Arc::new(ring);
+    let log = Arc::new(log);
     let writer = shuttle::thread::spawn(move || writer.run());
     let taken = Arc::new(Plain::new(0));
     let threads: Vec<_> = (0..appenders)
         .map(|appender| {
-            let (ring, disk, taken) = (ring.clone(), disk.clone(), taken.clone());
+            let (log, disk, taken) = (log.clone(), disk.clone(), taken.clone());
             shuttle::thread::spawn(move || {
                 let mut last = 0;
                 for number in 0..each {
-                    // One that comes after the end is refused, not lost.
-                    if let Ok(ticket) = ring.append(record(appender * 100 + number, 20)) {
-                        assert!(ticket > last, "tickets rise");
-                        last = ticket;
+                    // An append after the close is refused, not lost.
+                    if let Ok(lsn) = log.append(record(appender * 100 + number, 20)) {
+                        assert!(lsn > last, "LSNs rise");
+                        last = lsn;
                         *taken.lock().unwrap() += 1;
                     }
-                    holds(&ring, &disk);
+                    holds(&log, &disk);
                 }
             })
         })
@@ -96,23 +104,23 @@
     for thread in threads {
         thread.join().unwrap();
     }
-    let ring = Arc::into_inner(ring).expect("the appenders are gone");
-    let synced = ring.synced();
-    ring.close();
+    let log = Arc::into_inner(log).expect("the appenders are gone");
+    let synced = log.synced_lsn();
+    log.close();
     writer.join().unwrap();
     let taken = *taken.lock().unwrap();
     assert_eq!(
         *synced.borrow(),
         taken + 1,
-        "all that was taken is on disk at the end"
+        "all accepted records are durable at the end"
     );
-    let found: Prepared<_, StdMonitor<Shared>> =
+    let found: PreparedLog<_, StdMonitor<SharedState>> =
         prepare(disk.after_power_loss(&mut Rng::new(0)), OPTIONS, 0).unwrap();
     assert_eq!(found.records.len() as u64, taken);
 }
 
 #[test]
-fn one_appender_in_all_orders() {
+fn one_appender_in_all_interleavings() {
     const MOST: usize = 100_000;
     static PLAYED: AtomicUsize = AtomicUsize::new(0);
     shuttle::check_dfs(
@@ -126,36 +134,37 @@
 }
 
 #[test]
-fn two_appenders_in_many_orders() {
+fn several_appenders_in_many_interleavings() {
     shuttle::check_random(|| play(2, 3), 400);
     shuttle::check_pct(|| play(3, 2), 400, 3);
 }
 
-/// Closing while others append: each either gets a ticket that is on disk in the end, or a refusal.
+/// Closing while others append: each append either gets an LSN that is durable in the end, or an
+/// error.
 #[test]
-fn closing_between_appends() {
+fn closing_races_with_appends() {
     shuttle::check_random(
         || {
             let disk = MemoryDisk::default();
-            let Prepared { ring, writer, .. } =
-                prepare::<_, Played<Shared>>(disk.clone(), OPTIONS, 1).unwrap();
+            let PreparedLog { log, writer, .. } =
+                prepare::<_, Played<SharedState>>(disk.clone(), OPTIONS, 1).unwrap();
             let writer = shuttle::thread::spawn(move || writer.run());
-            let synced = ring.synced();
-            let ring = Arc::new(Mutex::new(Some(ring)));
+            let synced = log.synced_lsn();
+            let log = Arc::new(Mutex::new(Some(log)));
             let appender = {
-                let ring = ring.clone();
+                let log = log.clone();
                 shuttle::thread::spawn(move || {
                     let append = |number| {
-                        ring.lock()
+                        log.lock()
                             .unwrap()
                             .as_ref()
-                            .and_then(|ring| ring.append(record(number, 9)).ok())
+                            .and_then(|log| log.append(record(number, 9)).ok())
                     };
                     (0..4).filter_map(append).max()
                 })
             };
-            let ring = ring.lock().unwrap().take();
-            ring.expect("it is closed only here").close();
+            let log = log.lock().unwrap().take();
+            log.expect("it is closed only here").close();
             let last = appender.join().unwrap().unwrap_or(1);
             writer.join().unwrap();
             assert_eq!(*synced.borrow(), last);
@@ -164,23 +173,24 @@
     );
 }
 
-/// An append gets to the disk by itself, also after a release, which wakes nobody.
+/// An append reaches the disk by itself, also after a release, which wakes nobody.
 #[test]
-fn appends_wake_the_thread() {
+fn appends_wake_the_writer() {
     let append_and_wait = || {
         let disk = MemoryDisk::default();
-        let Prepared { ring, writer, .. } = prepare::<_, Played<Shared>>(disk, OPTIONS, 1).unwrap();
+        let PreparedLog { log, writer, .. } =
+            prepare::<_, Played<SharedState>>(disk, OPTIONS, 1).unwrap();
         let writer = shuttle::thread::spawn(move || writer.run());
-        let synced = ring.synced();
+        let synced = log.synced_lsn();
         for number in 0..3 {
-            let ticket = ring.append(record(number, 9)).unwrap();
-            // Fails by the number of its steps if this never happens.
-            while *synced.borrow() < ticket {
+            let lsn = log.append(record(number, 9)).unwrap();
+            // The scheduler's limit of steps fails the test if this never happens.
+            while *synced.borrow() < lsn {
                 shuttle::thread::yield_now();
             }
-            ring.release_before(ticket);
+            log.release_before(lsn);
         }
-        ring.close();
+        log.close();
         writer.join().unwrap();
         assert!(synced.has_changed().is_err(), "the thread is gone");
     };
--- a/crates/control/chain-replication/tests/catch_up_world/ring.rs
+++ b/crates/control/chain-replication/tests/catch_up_world/ring.rs
@@ -6,16 +6,16 @@
 
 use bytes::Bytes;
 use chain_replication::{Node, Recovered, Write};
-use write_ahead_log::{prepare, DiskRing, Options, Record, Shared, StdMonitor, Writer};
+use write_ahead_log::{prepare, Options, Record, SharedState, StdMonitor, WriteAheadLog, Writer};
 
 use super::disk::{Disk, FILES_MOST, FILE_BYTES, RATE, SYNC};
-use super::support::{Lie, MemoryDisk, Rng};
+use super::support::{MemoryDisk, PlantedFault, Rng};
 use super::table::Table;
 use super::{Faults, Us};
 
 const OPTIONS: Options = Options {
-    file_bytes: FILE_BYTES,
-    files_most: FILES_MOST,
+    segment_bytes: FILE_BYTES,
+    max_segments: FILES_MOST,
 };
 /// Room on the disk: a write beyond it is refused.
 const DISK_BYTES: u64 = 64_000_000;
@@ -27,8 +27,8 @@
 
 /// The ring of a process that runs.
 struct Open {
-    ring: DiskRing<StdMonitor<Shared>>,
-    writer: Writer<MemoryDisk, StdMonitor<Shared>>,
+    ring: WriteAheadLog<StdMonitor<SharedState>>,
+    writer: Writer<MemoryDisk, StdMonitor<SharedState>>,
 }
 
 pub struct RingDisk {
@@ -67,7 +67,7 @@
 impl RingDisk {
     pub fn new(seed: u64, failing: u64, faults: Faults) -> RingDisk {
         let disk = MemoryDisk::default();
-        disk.room(DISK_BYTES);
+        disk.set_capacity(DISK_BYTES);
         RingDisk {
             disk,
             open: None,
@@ -90,7 +90,7 @@
     fn newest_synced(&self) -> u64 {
         self.open
             .as_ref()
-            .map_or(0, |open| *open.ring.synced().borrow())
+            .map_or(0, |open| *open.ring.synced_lsn().borrow())
     }
 
     /// Hands over what the ring takes, and releases what a rewriting replaces once all of that is handed over.
@@ -124,11 +124,11 @@
             return;
         };
         self.disk
-            .power_goes_after(self.rng.below(MOST_LAST_OPERATIONS));
+            .lose_power_after(self.rng.below(MOST_LAST_OPERATIONS));
         while writer.has_work() && self.disk.has_power() {
             writer.step();
         }
-        self.said = self.said.max(*ring.synced().borrow());
+        self.said = self.said.max(*ring.synced_lsn().borrow());
         drop((ring, writer));
         self.queue.clear();
         self.waiting.clear();
@@ -158,10 +158,10 @@
     }
 
     fn open(&mut self) -> Result<Vec<(u64, Write)>, String> {
-        let opened = prepare::<_, StdMonitor<Shared>>(self.disk.clone(), OPTIONS, 1)
+        let opened = prepare::<_, StdMonitor<SharedState>>(self.disk.clone(), OPTIONS, 1)
             .map_err(|error| error.to_string())?;
         self.open = Some(Open {
-            ring: opened.ring,
+            ring: opened.log,
             writer: opened.writer,
         });
         let chain = opened
@@ -187,11 +187,13 @@
 
     fn begin_sync(&mut self) -> Option<Us> {
         let writer = &self.open.as_ref()?.writer;
-        if self.syncing || !writer.has_work() && writer.pause().is_none() {
+        if self.syncing || !writer.has_work() && writer.retry_delay().is_none() {
             return None;
         }
         self.syncing = true;
-        let pause = writer.pause().map_or(0, |pause| pause.as_micros() as Us);
+        let pause = writer
+            .retry_delay()
+            .map_or(0, |pause| pause.as_micros() as Us);
         Some(pause + SYNC + self.unsynced_bytes / RATE)
     }
 
@@ -199,7 +201,7 @@
         self.syncing = false;
         let open = self.open.as_mut()?;
         open.writer.step();
-        self.said = *open.ring.synced().borrow();
+        self.said = *open.ring.synced_lsn().borrow();
         let mut ticket = None;
         while self.waiting.front().is_some_and(|(at, _)| *at <= self.said) {
             ticket = self.waiting.pop_front().and_then(|(_, own)| own).or(ticket);
@@ -216,7 +218,7 @@
         let Some(open) = &self.open else { return false };
         let waits = !self.waiting.is_empty() || !self.queue.is_empty();
         let under_way = self.compacting.is_some_and(|first| newest < first);
-        if under_way || waits || open.ring.used() * 2 < open.ring.capacity() {
+        if under_way || waits || open.ring.used_bytes() * 2 < open.ring.capacity_bytes() {
             return false;
         }
         let border = Record {
@@ -241,13 +243,13 @@
     }
 
     fn used(&self) -> u64 {
-        self.open.as_ref().map_or(0, |open| open.ring.used())
+        self.open.as_ref().map_or(0, |open| open.ring.used_bytes())
     }
 
     fn broken(&self) -> Option<String> {
         let open = self.open.as_ref();
         let full = open.is_some_and(|open| {
-            open.writer.pause().is_none() && !open.writer.has_work() && !self.queue.is_empty()
+            open.writer.retry_delay().is_none() && !open.writer.has_work() && !self.queue.is_empty()
         });
         let full = full.then(|| {
             let why = "the ring is full, and nothing is on its way that would make room";
@@ -262,7 +264,7 @@
 
     fn lose_process(&mut self, _dice: u64) {
         self.drop_process();
-        self.disk = self.disk.after_kill();
+        self.disk = self.disk.after_crash();
     }
 
     fn lose_power(&mut self, _dice: u64) {
@@ -276,10 +278,11 @@
             self.lose_process(0);
         }
         if self.failing > 0 {
-            self.disk.fails(self.failing, self.rng.below(u64::MAX));
+            self.disk
+                .fail_randomly(self.failing, self.rng.below(u64::MAX));
         }
         if self.faults.disk_lies {
-            self.disk.lies(Lie::Sync);
+            self.disk.plant_fault(PlantedFault::Sync);
         }
         let found = self
             .open()
@@ -296,7 +299,7 @@
         while let Some(open) = self
             .open
             .as_mut()
-            .filter(|open| *open.ring.synced().borrow() == 0)
+            .filter(|open| *open.ring.synced_lsn().borrow() == 0)
         {
             open.writer.step();
         }
--- a/crates/control/controller/src/journal.rs
+++ b/crates/control/controller/src/journal.rs
@@ -8,18 +8,18 @@
 use replicated_state::encode_addresses;
 use std::collections::VecDeque;
 use tokio::sync::watch;
-use write_ahead_log::{DiskError, DiskRing, DiskState, Record};
+use write_ahead_log::{DiskStatus, LogError, Record, WriteAheadLog};
 
 /// Where records go.
 enum Backing {
     /// To a disk.
-    Disk(DiskRing),
+    Disk(WriteAheadLog),
     /// Nowhere: each counts as kept at once. The newest ticket.
     Nothing(watch::Sender<u64>),
 }
 
 impl Backing {
-    fn append(&self, record: Record) -> Result<u64, DiskError> {
+    fn append(&self, record: Record) -> Result<u64, LogError> {
         match self {
             Backing::Disk(ring) => ring.append(record),
             Backing::Nothing(newest) => {
@@ -31,7 +31,7 @@
 
     fn synced(&self) -> watch::Receiver<u64> {
         match self {
-            Backing::Disk(ring) => ring.synced(),
+            Backing::Disk(ring) => ring.synced_lsn(),
             Backing::Nothing(newest) => newest.subscribe(),
         }
     }
@@ -39,7 +39,7 @@
     /// Bytes used, and there.
     fn room(&self) -> (u64, u64) {
         match self {
-            Backing::Disk(ring) => (ring.used(), ring.capacity()),
+            Backing::Disk(ring) => (ring.used_bytes(), ring.capacity_bytes()),
             Backing::Nothing(_) => (0, 0),
         }
     }
@@ -93,7 +93,7 @@
 
 impl Journal {
     /// A journal over a disk that was opened, and what stood there.
-    pub fn new(ring: DiskRing, records: Vec<(u64, Record)>) -> (Self, Found) {
+    pub fn new(ring: WriteAheadLog, records: Vec<(u64, Record)>) -> (Self, Found) {
         let mut found = Found::default();
         for (_, record) in records {
             found.take(record.kind, record.body);
@@ -233,22 +233,22 @@
     }
 
     /// How the disk stands; to be asked now and then, which also hands over what the ring didn't take before.
-    pub fn state(&mut self) -> DiskState {
+    pub fn state(&mut self) -> DiskStatus {
         self.flush();
         let oldest = self.waiting.front().map(|waiting| waiting.since);
         let oldest = oldest.or(self.queue.front().map(|queued| queued.since));
         let (refuses, prepared) = match &self.backing {
             Backing::Disk(ring) => (
-                ring.trouble().is_some(),
-                ring.prepared() && *ring.synced().borrow() > 0,
+                ring.fault().is_some(),
+                ring.is_preallocated() && *ring.synced_lsn().borrow() > 0,
             ),
             // It never counts as able.
             Backing::Nothing(_) => (false, false),
         };
-        DiskState {
-            waits_since: oldest.map(|since| since.max(self.progress)),
-            refuses,
-            prepared,
+        DiskStatus {
+            pending_since: oldest.map(|since| since.max(self.progress)),
+            failing: refuses,
+            preallocated: prepared,
             backlogged: self.backlog >= BACKLOG_BYTES,
         }
     }
@@ -260,10 +260,10 @@
         let Backing::Disk(ring) = &self.backing else {
             return;
         };
-        let newest = *ring.synced().borrow();
+        let newest = *ring.synced_lsn().borrow();
         let is_done = |c: &mut Compaction| c.last_ticket.is_some_and(|last| last <= newest);
         self.compaction.take_if(is_done);
-        if self.compaction.is_some() || ring.used() * 2 < ring.capacity() {
+        if self.compaction.is_some() || ring.used_bytes() * 2 < ring.capacity_bytes() {
             return;
         }
         let first = self.queued + 1;
--- a/crates/control/controller/src/owner.rs
+++ b/crates/control/controller/src/owner.rs
@@ -31,7 +31,7 @@
 use std::rc::Rc;
 use tier_settings::{Reread, Settings, SettingsError};
 use view_agreement::{Agreement, ControllerView};
-use write_ahead_log::{DiskState, Persistence};
+use write_ahead_log::{DiskHealth, DiskStatus};
 
 /// Frames of the agreement of views.
 pub const VIEW: u16 = 0x0101;
@@ -139,7 +139,7 @@
     /// Stores that get no lease, as of then: a map without them waits until those that they have run out.
     pub(crate) withheld: (Vec<SocketAddr>, Ms),
     pub(crate) room: (u64, u64),
-    pub(crate) persistence: Persistence,
+    pub(crate) persistence: DiskHealth,
     /// More waits for the disk than is to be added to by anything.
     pub(crate) saturated: bool,
     pub(crate) refused: Refused,
@@ -209,7 +209,7 @@
             map: None,
             withheld: (Vec::new(), 0),
             room: (0, 0),
-            persistence: Persistence::default(),
+            persistence: DiskHealth::default(),
             saturated: false,
             refused: Refused::default(),
             log,
@@ -243,7 +243,7 @@
         match kind {
             // What would be written can wait: others say it again.
             VIEW if self.saturated => {}
-            CHAIN if !self.persistence.able() => {}
+            CHAIN if !self.persistence.is_writable() => {}
             VIEW => match view_agreement::Msg::decode(body) {
                 Ok(msg) => self.agreement.message(now, from.addr, msg),
                 Err(e) => self.odd(now, from, kind, &e),
@@ -427,12 +427,12 @@
 
     /// How the disk stands; to be called with each tick and after each sync. Until it is said to be able, a controller votes
     /// and acknowledges nothing.
-    pub fn persistence(&mut self, now: Ms, disk: DiskState) {
+    pub fn persistence(&mut self, now: Ms, disk: DiskStatus) {
         self.saturated = disk.backlogged;
         if !self.persistence.update(now, disk) {
             return;
         }
-        let able = self.persistence.able();
+        let able = self.persistence.is_writable();
         self.agreement.persists(able);
         if let Some(founding) = &mut self.founding {
             founding.persists(able);
@@ -442,10 +442,10 @@
             info!(self.log, "disk takes writes"; "code" => 1404);
         } else {
             let waits_ms = disk
-                .waits_since
+                .pending_since
                 .map_or(0, |since| now.saturating_sub(since));
             warn!(self.log, "disk takes no writes: out of the chain until it does"; "code" => 1403,
-                "refuses" => disk.refuses, "waits_ms" => waits_ms, "backlogged" => disk.backlogged);
+                "refuses" => disk.failing, "waits_ms" => waits_ms, "backlogged" => disk.backlogged);
         }
     }
 
@@ -496,7 +496,7 @@
                 idle = false;
                 match out {
                     // Without a disk it has no part in the chain.
-                    chain_replication::Out::Send { .. } if !self.persistence.able() => {}
+                    chain_replication::Out::Send { .. } if !self.persistence.is_writable() => {}
                     chain_replication::Out::Send { to, msg } => self.tell(to, CHAIN, msg.encode()),
                     chain_replication::Out::Write { ticket, write } => {
                         self.write(Told::Chain(ticket), write.encode())
--- a/crates/control/controller/src/owner/calls.rs
+++ b/crates/control/controller/src/owner/calls.rs
@@ -94,7 +94,7 @@
         if !self.node.is_head() || !self.in_touch(now) {
             return Some(self.pass_on(now, "/-/config/replace", true));
         }
-        if !self.persistence.able() {
+        if !self.persistence.is_writable() {
             return Some(Answer::refused(503, 1316, "the disk here takes no writes"));
         }
         if !self.can_commit() || self.pending.len() >= PENDING_MOST {
--- a/crates/control/controller/src/owner/repair.rs
+++ b/crates/control/controller/src/owner/repair.rs
@@ -91,7 +91,7 @@
     /// Whether what is put in here is acknowledged by enough disks.
     pub(super) fn can_commit(&self) -> bool {
         let members = self.node.view().map_or(0, |v| v.members.len());
-        self.persistence.able()
+        self.persistence.is_writable()
             && self.node.is_head()
             && self.node.ready()
             && members >= self.least()
@@ -102,7 +102,7 @@
         let status = StatusFrame::new(&self.node.status());
         let hears = hears.into_iter().map(Into::into).collect();
         let zone = self.own_zone();
-        let unable = if self.persistence.able() {
+        let unable = if self.persistence.is_writable() {
             0
         } else {
             UNABLE_TO_PERSIST
@@ -174,7 +174,7 @@
             .iter()
             .position(|a| a.id == self.me.id && a.addr == self.me.addr);
         let age = self.agreement.last_majority(now).unwrap_or(Ms::MAX);
-        let (Some(rank), true) = (rank, age < MISSED && self.persistence.able()) else {
+        let (Some(rank), true) = (rank, age < MISSED && self.persistence.is_writable()) else {
             self.wanted = None;
             self.touched_since = None;
             return;
--- a/crates/control/controller/src/shell.rs
+++ b/crates/control/controller/src/shell.rs
@@ -19,7 +19,7 @@
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::sync::{mpsc, watch};
-use write_ahead_log::{DiskError, Options};
+use write_ahead_log::{LogError, Options};
 
 /// Connections that may wait to be accepted.
 const BACKLOG: u32 = 1024;
@@ -38,7 +38,7 @@
     #[error("{0}")]
     Settings(#[from] SettingsError),
     #[error("{0}")]
-    Disk(#[from] DiskError),
+    Disk(#[from] LogError),
     #[error("this role needs {0} in the settings")]
     Lacks(&'static str),
     #[error("can't listen at {0}: {1}")]
@@ -55,7 +55,7 @@
         match self {
             StartError::Settings(_) | StartError::Lacks(_) => 1410,
             StartError::Listen(..) => 1411,
-            StartError::Disk(DiskError::Foreign { .. }) => 1413,
+            StartError::Disk(LogError::WrongOwner { .. }) => 1413,
             StartError::Disk(_) => 1412,
             StartError::Record(_) => 1414,
             StartError::Runtime(_) => 1415,
@@ -174,18 +174,20 @@
         .ok_or(StartError::Lacks("Limits.DiskMb"))?;
     let bytes = disk_mb as f64 * 1.0e6 * DISK_RESERVE;
     let files_most = ((bytes / FILE_BYTES as f64) as usize).max(2);
-    let holder = write_ahead_log::holder(&settings.node, "controller");
+    let holder = write_ahead_log::owner_id(&settings.node, "controller");
     let opened = write_ahead_log::open_for(
         dir,
         Options {
-            file_bytes: FILE_BYTES,
-            files_most,
+            segment_bytes: FILE_BYTES,
+            max_segments: files_most,
+        },
+        write_ahead_log::OpenAs {
+            new_identity: draw(),
+            owner: holder,
         },
-        draw(),
-        holder,
     )?;
-    let (journal, found) = Journal::new(opened.ring, opened.records);
-    let (fresh, identity, torn) = (opened.fresh, opened.identity, opened.torn);
+    let (journal, found) = Journal::new(opened.log, opened.records);
+    let (fresh, identity, torn) = (opened.is_new, opened.identity, opened.torn);
     Ok(Opened {
         journal,
         found,
@@ -306,7 +308,7 @@
                         let ticket = *synced.borrow_and_update();
                         self.synced(ticket);
                     }
-                    Err(_) => return Err(StartError::Disk(DiskError::Closed)),
+                    Err(_) => return Err(StartError::Disk(LogError::Closed)),
                 },
                 op = asked.recv() => if let Some(op) = op { self.handle(op) },
                 _ = tick.tick() => {
--- a/crates/control/controller/tests/calls.rs
+++ b/crates/control/controller/tests/calls.rs
@@ -36,8 +36,8 @@
     for now in (from..=to).step_by(TICK as usize) {
         owner.persistence(
             now,
-            write_ahead_log::DiskState {
-                prepared: true,
+            write_ahead_log::DiskStatus {
+                preallocated: true,
                 ..Default::default()
             },
         );
--- a/crates/control/controller/tests/journal.rs
+++ b/crates/control/controller/tests/journal.rs
@@ -15,12 +15,13 @@
 use std::sync::{Arc, Mutex};
 use tier_settings::Settings;
 use write_ahead_log::{
-    prepare, Disk, DiskFile, Folder, Options, Prepared, Shared, StdMonitor, Writer,
+    prepare, LogDirectory, Options, PreparedLog, SharedState, StdMonitor, Storage, StorageFile,
+    Writer,
 };
 
 const OPTIONS: Options = Options {
-    file_bytes: 32 << 10,
-    files_most: 6,
+    segment_bytes: 32 << 10,
+    max_segments: 6,
 };
 const RECORD_BYTES: usize = 900;
 
@@ -46,7 +47,7 @@
 
 struct File(Memory, u32);
 
-impl Disk for Memory {
+impl Storage for Memory {
     type File = File;
 
     fn files(&mut self) -> io::Result<Vec<(u32, u64)>> {
@@ -94,7 +95,7 @@
     }
 }
 
-impl DiskFile for File {
+impl StorageFile for File {
     fn read(&mut self, most: u64, to: &mut Vec<u8>) -> io::Result<()> {
         self.change(|bytes| to.extend(bytes.iter().take(most as usize)))
     }
@@ -142,7 +143,7 @@
 /// A controller's disk, whose thread is this one.
 struct Machine {
     disk: Memory,
-    writer: Writer<Memory, StdMonitor<Shared>>,
+    writer: Writer<Memory, StdMonitor<SharedState>>,
     journal: Journal,
     owner: Owner,
     now: u64,
@@ -152,9 +153,9 @@
 impl Machine {
     fn new() -> Machine {
         let disk = Memory::default();
-        let prepared: Prepared<Memory, StdMonitor<Shared>> =
+        let prepared: PreparedLog<Memory, StdMonitor<SharedState>> =
             prepare(disk.clone(), OPTIONS, 9).expect("an empty disk");
-        let (journal, found) = Journal::new(prepared.ring, prepared.records);
+        let (journal, found) = Journal::new(prepared.log, prepared.records);
         let mut machine = Machine {
             disk,
             writer: prepared.writer,
@@ -171,7 +172,7 @@
     /// The disk's thread does what it can.
     fn work(&mut self) {
         for _ in 0..1_000 {
-            if !self.writer.has_work() && self.writer.pause().is_none() {
+            if !self.writer.has_work() && self.writer.retry_delay().is_none() {
                 return;
             }
             self.writer.step();
@@ -213,7 +214,7 @@
             machine
                 .journal
                 .state()
-                .waits_since
+                .pending_since
                 .is_none_or(|since| since + 10 > machine.now),
             "{used} of {there}"
         );
@@ -260,8 +261,8 @@
 fn a_ring_that_was_begun_anew_again_and_again_is_read_back() {
     let path = std::env::temp_dir().join(format!("controller-journal-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&path);
-    let begin = || -> Prepared<Folder, StdMonitor<Shared>> {
-        prepare(Folder::new(&path).expect("a folder"), OPTIONS, 9).expect("a ring")
+    let begin = || -> PreparedLog<LogDirectory, StdMonitor<SharedState>> {
+        prepare(LogDirectory::new(&path).expect("a folder"), OPTIONS, 9).expect("a ring")
     };
     let opened = begin();
     let mut writer = opened.writer;
@@ -270,7 +271,7 @@
             writer.step();
         }
     };
-    let (mut journal, found) = Journal::new(opened.ring, opened.records);
+    let (mut journal, found) = Journal::new(opened.log, opened.records);
     let mut owner = owner(found);
     journal.found(1, encode_addresses(&[([10, 0, 0, 1], 7_660).into()]));
     for number in 1..=2_000 {
@@ -289,14 +290,14 @@
     work();
     drop(journal);
     let opened = begin();
-    assert!(opened.identity == 9 && !opened.fresh);
+    assert!(opened.identity == 9 && !opened.is_new);
     // The newest founding record, and at most half a ring of writes behind it.
     let kinds: Vec<u8> = opened
         .records
         .iter()
         .map(|(_, record)| record.kind)
         .collect();
-    let (journal, found) = Journal::new(opened.ring, opened.records);
+    let (journal, found) = Journal::new(opened.log, opened.records);
     assert!(!found.founders.is_empty(), "{kinds:?}");
     drop(journal);
     owner.tick(2_001, 2_001);
--- a/crates/control/controller/tests/program.rs
+++ b/crates/control/controller/tests/program.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
-use write_ahead_log::{holder, open_for, Options, Record};
+use write_ahead_log::{open_for, owner_id, Options, Record};
 
 struct Directory(PathBuf);
 
@@ -110,16 +110,23 @@
 }
 
 const OPTIONS: Options = Options {
-    file_bytes: 8 << 20,
-    files_most: 4,
+    segment_bytes: 8 << 20,
+    max_segments: 4,
 };
 
 /// Makes the disk of a controller, with this record on it.
 fn with_record(directory: &Directory, node: &str, record: Record) {
-    let opened = open_for(&directory.data(), OPTIONS, 77, holder(node, "controller"))
-        .expect("an empty disk");
-    let ticket = opened.ring.append(record).expect("room");
-    let synced = opened.ring.synced();
+    let opened = open_for(
+        &directory.data(),
+        OPTIONS,
+        write_ahead_log::OpenAs {
+            new_identity: 77,
+            owner: owner_id(node, "controller"),
+        },
+    )
+    .expect("an empty disk");
+    let ticket = opened.log.append(record).expect("room");
+    let synced = opened.log.synced_lsn();
     while *synced.borrow() < ticket {
         std::thread::sleep(Duration::from_millis(1));
     }
--- a/crates/control/controller/tests/refused.rs
+++ b/crates/control/controller/tests/refused.rs
@@ -69,8 +69,8 @@
         self.now += TICK;
         self.owner.persistence(
             self.now,
-            write_ahead_log::DiskState {
-                prepared: true,
+            write_ahead_log::DiskStatus {
+                preallocated: true,
                 ..Default::default()
             },
         );
--- a/crates/control/controller/tests/support/cluster.rs
+++ b/crates/control/controller/tests/support/cluster.rs
@@ -12,14 +12,15 @@
 use std::path::{Path, PathBuf};
 use tier_settings::Settings;
 use write_ahead_log::{
-    holder, prepare_for, Folder, Options, Prepared, Record, Shared, StdMonitor, Writer,
+    owner_id, prepare_for, LogDirectory, Options, PreparedLog, Record, SharedState, StdMonitor,
+    Writer,
 };
 
 pub const CONTROLLERS: usize = 3;
 /// Small files, so that forty configurations go round the ring.
 pub const OPTIONS: Options = Options {
-    file_bytes: 32 << 10,
-    files_most: 4,
+    segment_bytes: 32 << 10,
+    max_segments: 4,
 };
 /// Steps of a cluster, in milliseconds.
 const STEP: u64 = 10;
@@ -59,16 +60,18 @@
     )
 }
 
-pub type Ring = Prepared<Folder, StdMonitor<Shared>>;
+pub type Ring = PreparedLog<LogDirectory, StdMonitor<SharedState>>;
 
 /// Opens a controller's ring as its process does.
 pub fn open_ring(path: &Path, index: usize, identity: u64) -> Ring {
-    let holder = holder(&node_name(index), "controller");
+    let holder = owner_id(&node_name(index), "controller");
     prepare_for(
-        Folder::new(path).expect("a directory"),
+        LogDirectory::new(path).expect("a directory"),
         OPTIONS,
-        identity,
-        holder,
+        write_ahead_log::OpenAs {
+            new_identity: identity,
+            owner: holder,
+        },
     )
     .expect("a ring")
 }
@@ -86,15 +89,15 @@
     pub owner: Owner,
     pub identity: u64,
     journal: Journal,
-    writer: Writer<Folder, StdMonitor<Shared>>,
+    writer: Writer<LogDirectory, StdMonitor<SharedState>>,
     incarnation: u64,
 }
 
 impl Process {
     fn start(path: &Path, index: usize, incarnation: u64, now: u64) -> Process {
         let ring = open_ring(path, index, new_identity(index));
-        let (fresh, identity) = (ring.fresh, ring.identity);
-        let (mut journal, found) = Journal::new(ring.ring, ring.records);
+        let (fresh, identity) = (ring.is_new, ring.identity);
+        let (mut journal, found) = Journal::new(ring.log, ring.records);
         let settings = settings(index);
         let (begin, record) = Begin::new(
             &settings,
--- a/crates/control/controller/tests/world/controllers.rs
+++ b/crates/control/controller/tests/world/controllers.rs
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
 use tier_settings::Settings;
-use write_ahead_log::DiskState;
+use write_ahead_log::DiskStatus;
 
 /// One that leaves for good ends so long after SIGTERM at the latest, in ms: 0.75 of `GraceS`.
 const LEAVING: u64 = 6_000;
@@ -49,12 +49,12 @@
     }
 
     /// As the journal of a controller says it, at the time of the process.
-    fn state(&self, now: u64, began: u64, has_disk: bool) -> DiskState {
+    fn state(&self, now: u64, began: u64, has_disk: bool) -> DiskStatus {
         let own = |at: u64| at.saturating_sub(began) + 1;
-        DiskState {
-            waits_since: self.waiting.first().map(|w| own(w.2.max(self.progress))),
-            refuses: self.full_until > now,
-            prepared: self.settled && has_disk,
+        DiskStatus {
+            pending_since: self.waiting.first().map(|w| own(w.2.max(self.progress))),
+            failing: self.full_until > now,
+            preallocated: self.settled && has_disk,
             backlogged: false,
         }
     }
@@ -515,15 +515,15 @@
         );
     }
 
-    fn disk_state(&self, n: usize) -> DiskState {
+    fn disk_state(&self, n: usize) -> DiskStatus {
         let machine = &self.controllers[n];
         let began = machine.process.as_ref().map_or(0, |p| p.began);
         let state = machine.disk.state(self.now, began, machine.has_disk);
         if self.disk_counts_as_well() {
             // It takes its disk for well.
-            return DiskState {
-                prepared: true,
-                ..DiskState::default()
+            return DiskStatus {
+                preallocated: true,
+                ..DiskStatus::default()
             };
         }
         state
