--- a/crates/batch/batch-store/examples/recovery.rs
+++ b/crates/batch/batch-store/examples/recovery.rs
@@ -24,7 +24,7 @@
 use batch::BatchJobTable;
 use batch_store::journal::ReadBack;
 use bytes::Bytes;
-use chain_replication::{Machine, Member, Node, Recovered, Write};
+use chain_replication::{LogRecord, Member, RecoveredLog, Replica, StateMachine};
 use write_ahead_log::{open, open_each, LogError, Options, Record, WriteAheadLog};
 
 const FILE_BYTES: u64 = 4 << 20;
@@ -45,7 +45,7 @@
 }
 
 /// Appends a write, waiting for the disk; false if the ring is full.
-fn append(ring: &WriteAheadLog, part: u32, write: &Write) -> Result<bool, Failure> {
+fn append(ring: &WriteAheadLog, part: u32, write: &LogRecord) -> Result<bool, Failure> {
     let record = Record {
         kind: WHOLE,
         group: part,
@@ -111,7 +111,7 @@
         println!("a state of {} bytes", body.len());
         for part in 0..parts {
             // As one record only where it fits; a store cuts it into pieces.
-            let write = Write::Snapshot {
+            let write = LogRecord::Snapshot {
                 view: 1,
                 number,
                 body: body.clone(),
@@ -150,7 +150,7 @@
             if !append(
                 &ring,
                 part,
-                &Write::Entry {
+                &LogRecord::Entry {
                     view: 1,
                     number,
                     command: command.clone(),
@@ -215,11 +215,11 @@
         addr: ([10, 0, 0, 1], 7_662).into(),
         since: 1,
     };
-    let nodes: Vec<Node<BatchJobTable>> = found
+    let nodes: Vec<Replica<BatchJobTable>> = found
         .into_iter()
-        .map(|(_, found)| Node::new(me.clone(), BatchJobTable::new(), found))
+        .map(|(_, found)| Replica::new(me.clone(), BatchJobTable::new(), found))
         .collect();
-    let bytes: usize = nodes.iter().map(|node| node.machine().bytes()).sum();
+    let bytes: usize = nodes.iter().map(|node| node.state_machine().bytes()).sum();
     println!(
         "{} members with {bytes} bytes after {:?}; {}",
         nodes.len(),
@@ -240,16 +240,16 @@
         opened.records.len(),
         peak()?
     );
-    let mut found = Recovered::default();
+    let mut found = RecoveredLog::default();
     for (_, record) in &opened.records {
-        found.replay(Write::decode(&record.body)?);
+        found.replay(LogRecord::decode(&record.body)?);
     }
     let me = Member {
         id: 7,
         addr: ([10, 0, 0, 1], 7_662).into(),
         since: 1,
     };
-    let node = Node::new(me, BatchJobTable::new(), found);
+    let node = Replica::new(me, BatchJobTable::new(), found);
     println!(
         "a member at {} after {:?}; {}",
         node.applied(),
--- a/crates/batch/batch-store/src/core.rs
+++ b/crates/batch/batch-store/src/core.rs
@@ -14,7 +14,7 @@
     LEASE_GRANT, MAX_PARTITIONS, RESERVE, RESERVE_PROGRESS, RESERVE_RESPONSE,
 };
 use bytes::Bytes;
-use chain_replication::{Member, Ms, Msg, Recovered, Write};
+use chain_replication::{LogRecord, Member, Message as ChainMessage, Millis, RecoveredLog};
 use compact_str::CompactString;
 use slog::{info, warn, Logger};
 use std::cell::RefCell;
@@ -26,16 +26,16 @@
 
 /// A longer lease than this is none: several times what controllers give, and short beside what a tail that was replaced
 /// could do harm with.
-const LEASE_MOST: Ms = 3_000;
+const LEASE_MOST: Millis = 3_000;
 /// A controllers' head that grants nothing for so long may be another one by now: all controllers are told then.
-const GRANT_LATE_MS: Ms = 900;
+const GRANT_LATE_MS: Millis = 900;
 /// From so many hundredths of the disk on, batch jobs are refused: results and copies still need room.
 const DISK_FULL_PERCENT: u64 = 85;
 /// A disk that is behind for so long may stay so; writing the ring anew takes less.
-const BEHIND_MS: Ms = 1_000;
+const BEHIND_MS: Millis = 1_000;
 /// A disk that finished nothing for so long, though something waits for it, is stalled: the chains go on without it. A
 /// slow one (thirty times 5 ms a sync) finishes something every few hundred milliseconds.
-const STALLED_MS: Ms = 1_500;
+const STALLED_MS: Millis = 1_500;
 /// Of the disk, so many bytes are for what is written between two times that the ring is written anew.
 const DISK_RESERVE: u64 = 12 << 20;
 /// The ring holds its state twice while it is written anew, and a twentieth more for the ends of its files: batch jobs may
@@ -86,7 +86,7 @@
         /// The ticket of its chain.
         ticket: u64,
         /// The record.
-        write: Write,
+        write: LogRecord,
     },
     /// All records of a partition that were written so far are void.
     Void {
@@ -128,7 +128,7 @@
     /// The newest ticket written of each partition that waits.
     tickets: BTreeMap<u16, u64>,
     /// When the disk last finished something, or had nothing to do.
-    since: Option<Ms>,
+    since: Option<Millis>,
 }
 
 impl Unsynced {
@@ -136,7 +136,7 @@
         self.tickets.insert(part, ticket);
     }
 
-    fn synced(&mut self, now: Ms, part: u16, ticket: u64) {
+    fn synced(&mut self, now: Millis, part: u16, ticket: u64) {
         if self
             .tickets
             .get(&part)
@@ -148,7 +148,7 @@
     }
 
     /// Time passes.
-    fn tick(&mut self, now: Ms) {
+    fn tick(&mut self, now: Millis) {
         if self.tickets.is_empty() {
             self.since = None;
         } else {
@@ -156,7 +156,7 @@
         }
     }
 
-    fn is_stalled(&self, now: Ms) -> bool {
+    fn is_stalled(&self, now: Millis) -> bool {
         !self.tickets.is_empty()
             && self
                 .since
@@ -172,13 +172,13 @@
     Wire(#[from] DecodeError),
     /// A message of the chain that can't be read.
     #[error("{0}")]
-    Chain(#[from] chain_replication::BadBytes),
+    Chain(#[from] chain_replication::DecodeError),
     /// A kind that a store doesn't know.
     #[error("a frame of an unknown kind")]
     Kind,
     /// A lease that no controller gives: of one that isn't known, or far too long.
     #[error("a lease of a stranger, or one of {0} ms")]
-    Lease(Ms),
+    Lease(Millis),
 }
 
 /// One store.
@@ -190,13 +190,13 @@
     map: Option<PlacementMap>,
     /// Controllers: the head first where known.
     controllers: Vec<SocketAddr>,
-    leased_until: Ms,
-    granted_at: Ms,
+    leased_until: Millis,
+    granted_at: Millis,
     answered_ms: u64,
-    heartbeat_at: Option<Ms>,
+    heartbeat_at: Option<Millis>,
     fetches: Fetches<R>,
     disk: Disk,
-    behind_since: Option<Ms>,
+    behind_since: Option<Millis>,
     unsynced: Unsynced,
     persistence: DiskHealth,
     leaving: bool,
@@ -208,7 +208,7 @@
 
 impl<R: Answer> Store<R> {
     /// A store with what its disk holds of each partition.
-    pub fn new(terms: Terms, recovered: Vec<(u16, Recovered)>, log: Logger) -> Self {
+    pub fn new(terms: Terms, recovered: Vec<(u16, RecoveredLog)>, log: Logger) -> Self {
         let pace = Rc::new(RefCell::new(Pace::new(terms.answer_bytes_per_ms)));
         let mut parts: Vec<Option<Part<R>>> = Vec::new();
         parts.resize_with(
@@ -265,14 +265,14 @@
     }
 
     /// One partition's copy, if it has one.
-    pub fn node(&self, part: usize) -> Option<&chain_replication::Node<batch::BatchJobTable>> {
+    pub fn node(&self, part: usize) -> Option<&chain_replication::Replica<batch::BatchJobTable>> {
         self.parts.get(part)?.as_ref().map(Part::node)
     }
 
     /// The partitions of which it has a copy.
     pub fn held(
         &self,
-    ) -> impl Iterator<Item = (u16, &chain_replication::Node<batch::BatchJobTable>)> {
+    ) -> impl Iterator<Item = (u16, &chain_replication::Replica<batch::BatchJobTable>)> {
         let parts = self.parts.iter().zip(0u16..);
         parts.filter_map(|(part, number)| part.as_ref().map(|part| (number, part.node())))
     }
@@ -280,7 +280,7 @@
     /// Bytes of memory that all its batch jobs will need.
     pub fn bytes(&self) -> usize {
         self.held()
-            .map(|(_, node)| node.machine().expected_bytes())
+            .map(|(_, node)| node.state_machine().expected_bytes())
             .fold(0, usize::saturating_add)
     }
 
@@ -289,7 +289,7 @@
         self.controllers = controllers;
     }
 
-    fn turn(&self, now: Ms) -> Turn {
+    fn turn(&self, now: Millis) -> Turn {
         let full = self.is_behind(now) || self.disk.is_full() || !self.persistence.is_writable();
         Turn {
             now,
@@ -311,7 +311,7 @@
     }
 
     /// Whether its disk has finished nothing for a while, though something waits.
-    pub fn is_stalled(&self, now: Ms) -> bool {
+    pub fn is_stalled(&self, now: Millis) -> bool {
         self.unsynced.is_stalled(now)
     }
 
@@ -320,13 +320,13 @@
         self.parts.iter().all(Option::is_none)
     }
 
-    fn is_behind(&self, now: Ms) -> bool {
+    fn is_behind(&self, now: Millis) -> bool {
         self.behind_since
             .is_some_and(|since| now.saturating_sub(since) >= BEHIND_MS)
     }
 
     /// How the disk stands, told now and then.
-    pub fn disk(&mut self, now: Ms, disk: Disk) {
+    pub fn disk(&mut self, now: Millis, disk: Disk) {
         self.disk = disk;
         self.behind_since = if disk.behind {
             self.behind_since.or(Some(now))
@@ -353,7 +353,7 @@
 
     /// Whether the disk takes what is written; to be called with each tick and after each sync. Until it is said to, a
     /// store has no part in its chains and takes no batch jobs; it goes on reading from its copies under its lease.
-    pub fn persistence(&mut self, now: Ms, disk: DiskStatus) {
+    pub fn persistence(&mut self, now: Millis, disk: DiskStatus) {
         if !self.persistence.update(now, disk) {
             return;
         }
@@ -370,7 +370,7 @@
     }
 
     /// The newest map of the stores, as the controllers spread it.
-    pub fn take_map(&mut self, now: Ms, map: PlacementMap) {
+    pub fn take_map(&mut self, now: Millis, map: PlacementMap) {
         if self
             .map
             .as_ref()
@@ -405,14 +405,14 @@
                 .members
                 .iter()
                 .chain(&view.joining)
-                .any(|member| member.is(&me));
+                .any(|member| member.is_same_process(&me));
             if inside {
                 let part = place.get_or_insert_with(|| {
                     Part::new(
                         number,
                         me.clone(),
                         self.terms.incarnation,
-                        Recovered::default(),
+                        RecoveredLog::default(),
                         Rc::clone(&self.pace),
                         self.log.clone(),
                     )
@@ -435,12 +435,18 @@
     }
 
     /// A frame that needs no answer.
-    pub fn told(&mut self, now: Ms, from: SocketAddr, kind: u16, body: &Bytes) -> Result<(), Odd> {
+    pub fn told(
+        &mut self,
+        now: Millis,
+        from: SocketAddr,
+        kind: u16,
+        body: &Bytes,
+    ) -> Result<(), Odd> {
         match kind {
             CHAIN => {
                 let (number, body) = ChainFrame::split(body)
                     .ok_or_else(|| DecodeError::Malformed("a frame".into()))?;
-                let msg = Msg::decode(&body)?;
+                let msg = ChainMessage::decode(&body)?;
                 if !self.persistence.is_writable() {
                     return Ok(());
                 }
@@ -467,7 +473,7 @@
         }
     }
 
-    fn granted(&mut self, now: Ms, grant: &LeaseGrant) {
+    fn granted(&mut self, now: Millis, grant: &LeaseGrant) {
         self.granted_at = now;
         if grant.sent_ms <= now {
             self.answered_ms = self.answered_ms.max(grant.sent_ms);
@@ -481,7 +487,7 @@
     }
 
     /// All records of a partition up to this ticket are on disk.
-    pub fn synced(&mut self, now: Ms, part: u16, ticket: u64) {
+    pub fn synced(&mut self, now: Millis, part: u16, ticket: u64) {
         let turn = self.turn(now);
         self.unsynced.synced(now, part, ticket);
         if let Some(found) = self.part(part) {
@@ -491,7 +497,7 @@
     }
 
     /// To be called once after a round of [`Store::synced`].
-    pub fn all_synced(&mut self, now: Ms) {
+    pub fn all_synced(&mut self, now: Millis) {
         let turn = self.turn(now);
         self.serve(turn);
     }
@@ -558,7 +564,8 @@
 
     /// The logs of all partitions together stay within a bound, however many there are.
     fn limit_logs(&mut self) {
-        let limit = chain_replication::log_limit(self.held().map(|(_, node)| node.log_bytes()));
+        let limit =
+            chain_replication::fair_log_limit(self.held().map(|(_, node)| node.log_bytes()));
         self.parts
             .iter_mut()
             .flatten()
@@ -566,7 +573,7 @@
     }
 
     /// Time passes; to be called every 50 to 100 ms.
-    pub fn tick(&mut self, now: Ms) {
+    pub fn tick(&mut self, now: Millis) {
         let turn = self.turn(now);
         self.unsynced.tick(now);
         self.limit_logs();
@@ -611,14 +618,14 @@
         }
     }
 
-    fn heartbeat(&mut self, now: Ms) {
+    fn heartbeat(&mut self, now: Millis) {
         self.heartbeat_at = Some(now);
-        let status = |(number, node): (u16, &chain_replication::Node<batch::BatchJobTable>)| {
+        let status = |(number, node): (u16, &chain_replication::Replica<batch::BatchJobTable>)| {
             PartitionStatus {
                 partition: number,
                 status: node.status(),
-                batch_jobs: u32::try_from(node.machine().len()).unwrap_or(u32::MAX),
-                bytes: node.machine().expected_bytes() as u64,
+                batch_jobs: u32::try_from(node.state_machine().len()).unwrap_or(u32::MAX),
+                bytes: node.state_machine().expected_bytes() as u64,
             }
         };
         let heartbeat = Heartbeat {
@@ -650,7 +657,7 @@
 
     /// The process is to end: the controllers learn at once that the chains are to go on without it. Until they have
     /// taken it out it serves on, so that nobody is refused meanwhile.
-    pub fn leave(&mut self, now: Ms) {
+    pub fn leave(&mut self, now: Millis) {
         if !self.leaving {
             self.leaving = true;
             info!(self.log, "leaving");
--- a/crates/batch/batch-store/src/core/calls.rs
+++ b/crates/batch/batch-store/src/core/calls.rs
@@ -12,12 +12,12 @@
     MAX_FETCH_BYTES, READ, RENEW, SUBMIT,
 };
 use bytes::Bytes;
-use chain_replication::Ms;
+use chain_replication::Millis;
 use std::net::SocketAddr;
 
 impl<R: Answer> Store<R> {
     /// A frame that is to be answered.
-    pub fn called(&mut self, now: Ms, kind: u16, body: &Bytes, reply: R) -> Result<(), Odd> {
+    pub fn called(&mut self, now: Millis, kind: u16, body: &Bytes, reply: R) -> Result<(), Odd> {
         if self.closed {
             // Dropped, the caller asks again elsewhere; only a batch job is certainly not taken.
             if kind == SUBMIT {
--- a/crates/batch/batch-store/src/core/quota.rs
+++ b/crates/batch/batch-store/src/core/quota.rs
@@ -7,11 +7,11 @@
     ReserveResponse, AUDIT, AUDIT_RESPONSE, RESERVE, RESERVE_PROGRESS, RESERVE_RESPONSE,
 };
 use bytes::Bytes;
-use chain_replication::Ms;
+use chain_replication::Millis;
 
 impl<R: Answer> Store<R> {
     /// A word that is for a head which is another one now is dropped: who sent it asks again.
-    pub(super) fn quota_word(&mut self, now: Ms, kind: u16, body: &Bytes) -> Result<(), Odd> {
+    pub(super) fn quota_word(&mut self, now: Millis, kind: u16, body: &Bytes) -> Result<(), Odd> {
         if self.closed || !self.persistence.is_writable() {
             return Ok(());
         }
--- a/crates/batch/batch-store/src/fetches.rs
+++ b/crates/batch/batch-store/src/fetches.rs
@@ -1,7 +1,7 @@
 //! Gateways that wait for items.
 
 use batch::wire::{FetchRequest, MAX_WAIT_MS};
-use chain_replication::Ms;
+use chain_replication::Millis;
 use std::collections::VecDeque;
 
 /// Calls that may wait: one a gateway and some that were given up.
@@ -13,7 +13,7 @@
 pub(crate) struct Fetch<R> {
     pub reply: R,
     pub call: FetchRequest,
-    pub until: Ms,
+    pub until: Millis,
 }
 
 /// All that wait, the longest waiting first.
@@ -33,11 +33,11 @@
     }
 
     /// Waits; given back if too many do.
-    pub fn push(&mut self, now: Ms, call: FetchRequest, reply: R) -> Option<R> {
+    pub fn push(&mut self, now: Millis, call: FetchRequest, reply: R) -> Option<R> {
         if self.waiting.len() >= MOST {
             return Some(reply);
         }
-        let until = now + Ms::from(call.wait_ms.min(MAX_WAIT_MS));
+        let until = now + Millis::from(call.wait_ms.min(MAX_WAIT_MS));
         self.waiting.push_back(Fetch { reply, call, until });
         None
     }
@@ -57,7 +57,7 @@
     }
 
     /// Takes those out whose time is over, or who ask for a host for which `gone` holds.
-    pub fn over(&mut self, now: Ms, gone: impl Fn(&str) -> bool) -> Vec<Fetch<R>> {
+    pub fn over(&mut self, now: Millis, gone: impl Fn(&str) -> bool) -> Vec<Fetch<R>> {
         let mut over = Vec::new();
         for _ in 0..self.waiting.len() {
             let Some(fetch) = self.waiting.pop_front() else {
--- a/crates/batch/batch-store/src/journal.rs
+++ b/crates/batch/batch-store/src/journal.rs
@@ -4,7 +4,7 @@
 use batch::wire::MAX_PARTITIONS;
 use batch::BatchJobTable;
 use bytes::Bytes;
-use chain_replication::{Machine, Ms, Node, Recovered, Write};
+use chain_replication::{LogRecord, Millis, RecoveredLog, Replica, StateMachine};
 use std::collections::VecDeque;
 use write_ahead_log::{DiskStatus, Record, WriteAheadLog};
 
@@ -41,7 +41,7 @@
         /// The partition.
         part: u32,
         /// What is wrong.
-        why: chain_replication::BadBytes,
+        why: chain_replication::DecodeError,
     },
     /// A record of no known kind.
     #[error("record {ticket} has kind {kind}, partition {part}")]
@@ -59,7 +59,7 @@
         /// The partition.
         part: u16,
         /// What is wrong.
-        why: chain_replication::BadSnapshot,
+        why: chain_replication::SnapshotError,
     },
 }
 
@@ -80,7 +80,7 @@
     /// At the first piece of a write: the bytes of all its pieces.
     total: u64,
     /// When it was put here.
-    since: Ms,
+    since: Millis,
 }
 
 impl Queued {
@@ -104,7 +104,7 @@
     }
 
     /// Cuts a write into pieces.
-    fn put(&mut self, now: Ms, part: u16, body: &Bytes, mut ends: Option<(u64, Kept)>) {
+    fn put(&mut self, now: Millis, part: u16, body: &Bytes, mut ends: Option<(u64, Kept)>) {
         let mut at = 0;
         loop {
             let end = body.len().min(at + PIECE);
@@ -158,7 +158,7 @@
     part: u16,
     ticket: u64,
     kept: Kept,
-    since: Ms,
+    since: Millis,
 }
 
 /// Writing the ring anew, one partition a turn.
@@ -178,14 +178,14 @@
     first: Queue,
     waiting: VecDeque<Waiting>,
     /// When something was last synced.
-    progress: Ms,
+    progress: Millis,
     anew: Option<Anew>,
     /// So many bytes are kept free for writing the ring anew: else a ring that is full could never be emptied.
     kept_free: u64,
     /// Bytes written since the ring was written anew, and what it held then.
     since: u64,
     live: u64,
-    now: Ms,
+    now: Millis,
 }
 
 /// How many bytes of the ring are to be free, so that it can be written anew with so many bytes of use.
@@ -203,7 +203,7 @@
 /// What is known of a partition while the ring is read back.
 #[derive(Default)]
 struct PartRead {
-    recovered: Option<Recovered>,
+    recovered: Option<RecoveredLog>,
     /// The pieces of a write whose last one hasn't come.
     pieces: Vec<u8>,
     /// Bytes of the entries that are held, and a few that may have been dropped.
@@ -285,12 +285,13 @@
             _ => return Err(BadRecord::Kind { ticket, kind, part }),
         };
         let Some(whole) = whole else { return Ok(()) };
-        let write = Write::decode(&whole).map_err(|why| BadRecord::Write { ticket, part, why })?;
+        let write =
+            LogRecord::decode(&whole).map_err(|why| BadRecord::Write { ticket, part, why })?;
         self.entry_bytes = self.entry_bytes.saturating_sub(read.entry_bytes);
         match &write {
-            Write::Entry { command, .. } => read.entry_bytes += command.len() as u64,
-            Write::Snapshot { .. } => read.entry_bytes = 0,
-            Write::View { .. } | Write::InSync { .. } => {}
+            LogRecord::Entry { command, .. } => read.entry_bytes += command.len() as u64,
+            LogRecord::Snapshot { .. } => read.entry_bytes = 0,
+            LogRecord::View { .. } | LogRecord::InSync { .. } => {}
         }
         self.entry_bytes += read.entry_bytes;
         read.recovered.get_or_insert_default().replay(write);
@@ -318,7 +319,7 @@
             return Ok(());
         };
         recovered
-            .fold(BatchJobTable::new(), keep)
+            .compact(BatchJobTable::new(), keep)
             .map_err(|why| BadRecord::Snapshot { part, why })?;
         self.entry_bytes = self.entry_bytes.saturating_sub(read.entry_bytes);
         read.entry_bytes = recovered.entry_bytes();
@@ -330,7 +331,7 @@
     ///
     /// # Errors
     /// A partition's state can't be read.
-    pub fn finish(self) -> Result<Vec<(u16, Recovered)>, BadRecord> {
+    pub fn finish(self) -> Result<Vec<(u16, RecoveredLog)>, BadRecord> {
         let mut found = Vec::new();
         for (part, read) in (0u16..).zip(self.parts) {
             let Some(recovered) = read.recovered else {
@@ -351,7 +352,7 @@
 ///
 /// # Errors
 /// What can't be read: then nothing on this disk can be trusted.
-pub fn read_back(records: Vec<(u64, Record)>) -> Result<Vec<(u16, Recovered)>, BadRecord> {
+pub fn read_back(records: Vec<(u64, Record)>) -> Result<Vec<(u16, RecoveredLog)>, BadRecord> {
     let mut back = ReadBack::default();
     for (ticket, record) in records {
         back.take(ticket, record)?;
@@ -382,7 +383,7 @@
     }
 
     /// The time of what is written from now on.
-    pub fn at(&mut self, now: Ms) {
+    pub fn at(&mut self, now: Millis) {
         self.now = now;
     }
 
@@ -410,11 +411,11 @@
     }
 
     /// Writes a record of a partition's chain; [`Journal::synced`] says when it is on disk.
-    pub fn write(&mut self, part: u16, ticket: u64, write: &Write) {
+    pub fn write(&mut self, part: u16, ticket: u64, write: &LogRecord) {
         let kept = match write {
-            Write::View { .. } | Write::Entry { .. } => Kept::Covered,
-            Write::InSync { .. } => Kept::Again(write.encode()),
-            Write::Snapshot { .. } => Kept::Replaces,
+            LogRecord::View { .. } | LogRecord::Entry { .. } => Kept::Covered,
+            LogRecord::InSync { .. } => Kept::Again(write.encode()),
+            LogRecord::Snapshot { .. } => Kept::Replaces,
         };
         let body = write.encode();
         self.since += body.len() as u64;
@@ -510,11 +511,11 @@
     }
 
     /// Time passes: writes the ring anew where that is due, one partition a turn.
-    pub fn tick<'a>(&mut self, nodes: impl Iterator<Item = (u16, &'a Node<BatchJobTable>)>) {
-        let nodes: Vec<(u16, &Node<BatchJobTable>)> = nodes.collect();
+    pub fn tick<'a>(&mut self, nodes: impl Iterator<Item = (u16, &'a Replica<BatchJobTable>)>) {
+        let nodes: Vec<(u16, &Replica<BatchJobTable>)> = nodes.collect();
         let live: u64 = nodes
             .iter()
-            .map(|(_, node)| node.machine().bytes() as u64)
+            .map(|(_, node)| node.state_machine().bytes() as u64)
             .sum();
         self.kept_free = need_anew(live);
         self.flush();
@@ -580,8 +581,12 @@
     }
 
     /// Queues all that a partition has, in place of what of it was not handed over yet; returns its bytes.
-    fn write_anew(&mut self, part: u16, node: &Node<BatchJobTable>) -> u64 {
-        let mut again: Vec<Bytes> = node.whole().iter().map(Write::encode).collect();
+    fn write_anew(&mut self, part: u16, node: &Replica<BatchJobTable>) -> u64 {
+        let mut again: Vec<Bytes> = node
+            .snapshot_records()
+            .iter()
+            .map(LogRecord::encode)
+            .collect();
         let own = self.waiting.iter().filter(|waiting| waiting.part == part);
         let mut kept: Vec<Bytes> = own
             .filter_map(|waiting| match &waiting.kept {
--- a/crates/batch/batch-store/src/pace.rs
+++ b/crates/batch/batch-store/src/pace.rs
@@ -4,16 +4,16 @@
 //! its way takes the link [`MOST_AHEAD_MS`] at most, so heartbeats and the chain's frames behind it are not late, and a
 //! store that everybody reads from at once keeps its lease.
 
-use chain_replication::Ms;
+use chain_replication::Millis;
 
 /// What has left may be ahead of the pace by so much: a tick of the process, so that the pace is kept from tick to tick.
-const MOST_AHEAD_MS: Ms = 100;
+const MOST_AHEAD_MS: Millis = 100;
 
 /// When the link will have carried what has left.
 #[derive(Debug)]
 pub(crate) struct Pace {
     bytes_per_ms: u64,
-    carried_at: Ms,
+    carried_at: Millis,
     /// Of the millisecond that `carried_at` begins.
     rest: u64,
 }
@@ -29,12 +29,12 @@
     }
 
     /// Whether one more answer may leave now, of whatever size.
-    pub fn allows(&self, now: Ms) -> bool {
+    pub fn allows(&self, now: Millis) -> bool {
         self.carried_at <= now + MOST_AHEAD_MS
     }
 
     /// So many bytes leave now.
-    pub fn spend(&mut self, now: Ms, bytes: usize) {
+    pub fn spend(&mut self, now: Millis, bytes: usize) {
         if self.carried_at < now {
             (self.carried_at, self.rest) = (now, 0);
         }
--- a/crates/batch/batch-store/src/part.rs
+++ b/crates/batch/batch-store/src/part.rs
@@ -12,7 +12,9 @@
 };
 use batch::{BatchJobTable, PartitionLeader, QuotaLeader};
 use bytes::Bytes;
-use chain_replication::{Member, Ms, Msg, Node, Out, Recovered, View, Write};
+use chain_replication::{
+    Effect, LogRecord, Member, Message as ChainMessage, Millis, RecoveredLog, Replica, View,
+};
 use compact_str::CompactString;
 use quota::Reserving;
 use slog::{debug, info, Logger};
@@ -25,14 +27,14 @@
 /// busy one. Beyond it callers are sent away at once.
 const MOST_WAITING: usize = 4_096;
 /// A read that has waited so long for its turn on the link is sent away: its caller, which waits 700 ms, is about to ask again.
-const MOST_PACED_MS: Ms = 500;
+const MOST_PACED_MS: Millis = 500;
 /// So much may wait for its commit; the chain itself takes somewhat more, so its limit is never met.
 const MOST_UNCOMMITTED: usize = 3 << 20;
 
 /// What the rest of the store tells a partition for one turn.
 #[derive(Clone, Copy)]
 pub(crate) struct Turn {
-    pub now: Ms,
+    pub now: Millis,
     /// The lease of the newest map holds.
     pub leased: bool,
     /// Memory and disk have room for another batch job.
@@ -50,9 +52,9 @@
 /// What a partition wants done.
 pub(crate) enum Act {
     /// A message to another store.
-    Send(SocketAddr, Msg),
+    Send(SocketAddr, ChainMessage),
     /// A record to be written and synced.
-    Write(u64, Write),
+    Write(u64, LogRecord),
     /// A word about reservations to another store, or this one.
     Tell(SocketAddr, u16, Bytes),
     /// A frame to the head of a partition, whoever that is.
@@ -61,7 +63,7 @@
 
 /// A chain that commits nothing for so long, and has something to, does not do so soon: a member is gone. Well above the 0.3 s that
 /// one sync may take of a disk that has turned slow, whose chain still takes batch jobs in their time.
-const STALLED_MS: Ms = 400;
+const STALLED_MS: Millis = 400;
 
 enum Wait<R> {
     /// A batch job of which the taking was proposed (`fresh`), or which was in the table.
@@ -79,7 +81,7 @@
     Read {
         reply: R,
         call: ReadRequest,
-        until: Ms,
+        until: Millis,
     },
     Body {
         reply: R,
@@ -100,7 +102,7 @@
 struct ParkedRead<R> {
     reply: R,
     call: ReadRequest,
-    until: Ms,
+    until: Millis,
 }
 
 /// What only the head of a chain has.
@@ -120,12 +122,12 @@
 /// One partition.
 pub(crate) struct Part<R> {
     number: u16,
-    node: Node<BatchJobTable>,
+    node: Replica<BatchJobTable>,
     head: Option<Head>,
     waits: VecDeque<(u64, Wait<R>)>,
     reads: Vec<ParkedRead<R>>,
     /// Reads and bodies that wait until the link has carried more of what has left, in order of their coming.
-    paced: VecDeque<(Ms, Wait<R>)>,
+    paced: VecDeque<(Millis, Wait<R>)>,
     pace: Rc<RefCell<Pace>>,
     uncommitted: VecDeque<(u64, usize)>,
     uncommitted_bytes: usize,
@@ -135,9 +137,9 @@
     quota: QuotaLeader,
     late_audit: Option<AuditRequest>,
     role: Role,
-    unready_since: Option<Ms>,
+    unready_since: Option<Millis>,
     /// When something was committed last, or became the only thing to be.
-    progress_at: Ms,
+    progress_at: Millis,
     caught_up: bool,
     acts: Vec<Act>,
     log: Logger,
@@ -148,14 +150,14 @@
         number: u16,
         me: Member,
         incarnation: u64,
-        recovered: Recovered,
+        recovered: RecoveredLog,
         pace: Rc<RefCell<Pace>>,
         log: Logger,
     ) -> Self {
         let addr = me.addr;
         Self {
             number,
-            node: Node::new(me, BatchJobTable::new(), recovered),
+            node: Replica::new(me, BatchJobTable::new(), recovered),
             reserving: Reserving::new(addr, incarnation),
             quota: QuotaLeader::new(number, addr, incarnation),
             late_audit: None,
@@ -175,7 +177,7 @@
         }
     }
 
-    pub fn node(&self) -> &Node<BatchJobTable> {
+    pub fn node(&self) -> &Replica<BatchJobTable> {
         &self.node
     }
 
@@ -186,42 +188,45 @@
 
     /// Whether nothing happens here however much time goes by.
     fn settled(&self) -> bool {
-        let whole = self.node.ready() && self.node.committed() == self.node.received();
+        let whole = self.node.is_ready() && self.node.committed() == self.node.last_received();
         whole && self.node.view().is_some_and(|view| view.joining.is_empty())
     }
 
     pub fn enter(&mut self, turn: Turn, view: View) {
         // The first view of all partitions comes at once; only what concerns batch jobs is worth a line each.
-        if self.node.machine().is_empty() {
+        if self.node.state_machine().is_empty() {
             debug!(self.log, "view entered"; "partition" => self.number, "view" => view.number);
         } else {
             info!(self.log, "view entered"; "partition" => self.number, "view" => view.number,
                 "members" => names(&view.members), "joining" => names(&view.joining));
         }
-        self.node.enter(turn.now, view);
+        self.node.install_view(turn.now, view);
         self.settle(turn);
     }
 
-    pub fn message(&mut self, turn: Turn, from: SocketAddr, msg: Msg) {
-        self.node.message(turn.now, from, msg);
+    pub fn message(&mut self, turn: Turn, from: SocketAddr, msg: ChainMessage) {
+        self.node.handle_message(turn.now, from, msg);
         self.settle(turn);
     }
 
     pub fn synced(&mut self, turn: Turn, ticket: u64) {
-        self.node.synced(turn.now, ticket);
+        self.node.handle_synced(turn.now, ticket);
         self.settle(turn);
     }
 
     /// To be called after everything that was done with the node: what it wants, and what follows from it.
     fn settle(&mut self, turn: Turn) {
         let mut committed = false;
-        for out in self.node.take() {
+        for out in self.node.take_effects() {
             match out {
-                Out::Send { to, msg } => self.acts.push(Act::Send(to, msg)),
-                Out::Write { ticket, write } => self.acts.push(Act::Write(ticket, write)),
-                Out::Committed { .. } => committed = true,
-                Out::Reset => {
-                    info!(self.log, "copy taken"; "partition" => self.number, "lots" => self.node.machine().len());
+                Effect::Send { to, message: msg } => self.acts.push(Act::Send(to, msg)),
+                Effect::Write {
+                    ticket,
+                    record: write,
+                } => self.acts.push(Act::Write(ticket, write)),
+                Effect::Committed { .. } => committed = true,
+                Effect::SnapshotInstalled => {
+                    info!(self.log, "copy taken"; "partition" => self.number, "lots" => self.node.state_machine().len());
                     self.head = None;
                 }
             }
@@ -235,7 +240,7 @@
 
     fn see_role(&mut self, turn: Turn) {
         let node = &self.node;
-        let active = node.active();
+        let active = node.is_active();
         // One that was the head stays so while the next view begins: its log is what the others follow.
         let head = node.is_head() && (active || self.role.head);
         let role = Role {
@@ -245,7 +250,7 @@
         };
         let caught_up = node.status().caught_up;
         if caught_up && !self.caught_up {
-            info!(self.log, "copy done"; "partition" => self.number, "received" => node.received());
+            info!(self.log, "copy done"; "partition" => self.number, "received" => node.last_received());
         }
         self.caught_up = caught_up;
         if role == self.role {
@@ -277,7 +282,7 @@
     }
 
     fn tell_role(&self, role: &'static str, view: u64) {
-        let batch_jobs = self.node.machine().len();
+        let batch_jobs = self.node.state_machine().len();
         if batch_jobs == 0 {
             debug!(self.log, "{}", role; "partition" => self.number, "view" => view);
         } else {
@@ -287,11 +292,11 @@
 
     fn begin_head(&mut self, turn: Turn) {
         let view = self.node.view().map_or(0, |view| view.number);
-        let owner = PartitionLeader::new(turn.now, view, self.node.machine(), turn.poll_ms);
+        let owner = PartitionLeader::new(turn.now, view, self.node.state_machine(), turn.poll_ms);
         self.quota.begin();
         self.head = Some(Head {
             owner,
-            open_from: self.node.received(),
+            open_from: self.node.last_received(),
         });
     }
 
@@ -334,7 +339,7 @@
 
     fn release_one(&mut self, turn: Turn, number: u64, wait: Wait<R>) {
         // The length of the view of the commit counts: one of a shorter view before may be told only now.
-        let enough = number <= self.node.committed_by(turn.least);
+        let enough = number <= self.node.committed_with_members(turn.least);
         match wait {
             Wait::Submit {
                 reply,
@@ -342,7 +347,7 @@
                 fresh,
             } => {
                 if let (true, Some(head)) = (fresh, self.head.as_mut()) {
-                    head.owner.taken(self.node.machine(), &batch_job);
+                    head.owner.taken(self.node.state_machine(), &batch_job);
                 }
                 let answer = if enough {
                     SubmitResponse::Accepted
@@ -390,7 +395,7 @@
 
     /// Waits until all is committed that this store has received, which may be at once.
     fn wait(&mut self, turn: Turn, wait: Wait<R>) {
-        let number = self.node.received();
+        let number = self.node.last_received();
         if number <= self.node.committed() {
             self.release_one(turn, number, wait);
         } else if self.waits.len() >= MOST_WAITING {
@@ -430,7 +435,7 @@
             .filter(|head| turn.leased && committed >= head.open_from)?;
         head.owner
             .open(turn.now)
-            .then_some((&mut head.owner, self.node.machine()))
+            .then_some((&mut head.owner, self.node.state_machine()))
     }
 
     /// Whether it is the head and in sync.
@@ -445,7 +450,7 @@
 
     /// Bounds the log that is kept for neighbours.
     pub fn limit_log(&mut self, bytes: u64) {
-        self.node.limit_log(bytes);
+        self.node.set_log_limit(bytes);
     }
 
     /// Time passes.
@@ -454,7 +459,7 @@
             self.node.tick(turn.now);
             self.settle(turn);
         }
-        let ready = self.node.ready();
+        let ready = self.node.is_ready();
         self.unready_since = if ready {
             None
         } else {
@@ -462,7 +467,7 @@
         };
         if ready && !self.is_full() {
             if let Some(head) = self.head.as_mut().filter(|head| !head.owner.idle()) {
-                let commands = head.owner.tick(turn.now, self.node.machine());
+                let commands = head.owner.tick(turn.now, self.node.state_machine());
                 if !commands.is_empty() {
                     self.propose(turn, commands);
                     self.settle(turn);
@@ -477,7 +482,7 @@
     }
 
     /// Whether the chain has commits to make and makes none: a member is gone, or its disk hangs.
-    fn is_stalled(&self, now: Ms) -> bool {
+    fn is_stalled(&self, now: Millis) -> bool {
         !self.uncommitted.is_empty() && now.saturating_sub(self.progress_at) >= STALLED_MS
     }
 
--- a/crates/batch/batch-store/src/part/calls.rs
+++ b/crates/batch/batch-store/src/part/calls.rs
@@ -8,13 +8,13 @@
     MAX_READ_BYTES, MAX_WAIT_MS,
 };
 use batch::{EndDecision, QuotaState, SubmitDecision};
-use chain_replication::Ms;
+use chain_replication::Millis;
 
 /// Results are proposed in pieces of about so many bytes.
 const PIECE: usize = 512 << 10;
 /// A chain that was not whole for so long takes no batch jobs: their clients find another store's partition no faster,
 /// but know at once that nothing was taken.
-const UNREADY_MS: Ms = 1_000;
+const UNREADY_MS: Millis = 1_000;
 
 impl<R: Answer> Part<R> {
     /// A batch job for the head.
@@ -24,7 +24,11 @@
             .is_some_and(|since| turn.now.saturating_sub(since) >= UNREADY_MS);
         if unready || self.is_stalled(turn.now) || self.is_full() || !self.enough(turn) {
             // `Busy` promises that nothing of it runs, which can't be said of a batch job that is in the table.
-            let known = self.node.machine().batch_job(&call.batch_job).is_some();
+            let known = self
+                .node
+                .state_machine()
+                .batch_job(&call.batch_job)
+                .is_some();
             let answer = if known {
                 SubmitResponse::Indeterminate
             } else {
@@ -55,7 +59,7 @@
         let batch_job = call.batch_job.clone();
         match head
             .owner
-            .submit(turn.now, self.node.machine(), call, turn.room, quota)
+            .submit(turn.now, self.node.state_machine(), call, turn.room, quota)
         {
             SubmitDecision::Reserve(call, tokens) => self.reserve(turn, call, tokens, reply),
             SubmitDecision::Answer(answer) => reply.answer(answer.encode()),
@@ -90,10 +94,12 @@
         let Some(head) = self.head.as_mut().filter(|_| !full) else {
             return reply.answer(EndResponse::Indeterminate.encode());
         };
-        match head
-            .owner
-            .end(turn.now, self.node.machine(), &call.host, &call.batch_job)
-        {
+        match head.owner.end(
+            turn.now,
+            self.node.state_machine(),
+            &call.host,
+            &call.batch_job,
+        ) {
             // Only the tail knows for certain that there is none: this head may have been left behind.
             EndDecision::Unknown if turn.leased => reply.answer(EndResponse::NotFound.encode()),
             EndDecision::Unknown => reply.answer(EndResponse::Indeterminate.encode()),
@@ -149,11 +155,11 @@
         self.wait(turn, Wait::Read { reply, call, until });
     }
 
-    pub(super) fn read_now(&mut self, turn: Turn, reply: R, call: ReadRequest, until: Ms) {
+    pub(super) fn read_now(&mut self, turn: Turn, reply: R, call: ReadRequest, until: Millis) {
         if !turn.leased {
             return reply.answer(ReadResponse::Unavailable.encode());
         }
-        let batch_jobs = self.node.machine();
+        let batch_jobs = self.node.state_machine();
         let may_grow = turn.now < until && self.reads.len() < MOST_WAITING;
         if may_grow
             && batch_jobs
@@ -200,7 +206,7 @@
     }
 
     fn found(&self, call: &ReadRequest) -> ReadResponse {
-        match self.node.machine().read(
+        match self.node.state_machine().read(
             &call.host,
             &call.batch_job,
             call.start_after,
@@ -220,7 +226,7 @@
         let mut at = 0;
         while let Some(read) = self.reads.get(at) {
             let call = &read.call;
-            let batch_jobs = self.node.machine();
+            let batch_jobs = self.node.state_machine();
             let grown = batch_jobs
                 .listed(&call.host, &call.batch_job)
                 .is_none_or(|listed| listed > call.start_after);
@@ -259,7 +265,7 @@
         } else {
             match self
                 .node
-                .machine()
+                .state_machine()
                 .body(&call.host, &call.batch_job, &call.item)
             {
                 Some(body) => ItemBodyResponse::Found { body },
@@ -274,6 +280,9 @@
     /// What of its holdings a holder must drop; none if this store can't say.
     pub fn hold(&mut self, turn: Turn, holder: u64, held: &[LeaseRef]) -> Option<Vec<LeaseRef>> {
         let head = self.head.as_mut().filter(|_| turn.leased)?;
-        Some(head.owner.hold(turn.now, self.node.machine(), holder, held))
+        Some(
+            head.owner
+                .hold(turn.now, self.node.state_machine(), holder, held),
+        )
     }
 }
--- a/crates/batch/batch-store/src/part/quota.rs
+++ b/crates/batch/batch-store/src/part/quota.rs
@@ -8,19 +8,19 @@
     RESERVE_PROGRESS, RESERVE_RESPONSE,
 };
 use batch::{max_queued_tokens, QuotaState, ReserveDecision};
-use chain_replication::Ms;
+use chain_replication::Millis;
 use compact_str::CompactString;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 /// The home partition is asked again after so long: a word may be lost, its head another one.
-const AGAIN_MS: Ms = 40;
+const AGAIN_MS: Millis = 40;
 /// A batch job waits so long for its grant: its gateway waits for one store for 700 ms, and must hear that nothing was taken.
-const PATIENCE_MS: Ms = 550;
+const PATIENCE_MS: Millis = 550;
 /// A home partition that has said nothing of an asking for so long, not even that a grant is being written, has no head that could
 /// answer soon, or one that can't know yet. The batch job is sent away then: its client comes again in a moment, and is served in
 /// time by its new try. It was asked again meanwhile.
-const UNHEARD_MS: Ms = 90;
+const UNHEARD_MS: Millis = 90;
 /// The most audits of a partition that wait for their commit.
 const MOST_AUDITS: usize = 4;
 /// The most batch jobs that wait for their grants in one partition.
@@ -28,10 +28,10 @@
 
 struct Asking<R> {
     call: ReserveRequest,
-    until: Ms,
-    asked_at: Ms,
+    until: Millis,
+    asked_at: Millis,
     /// When it was asked first, or said last that its word is about to follow.
-    heard_at: Ms,
+    heard_at: Millis,
     /// All tries of the batch job that have come meanwhile.
     tries: Vec<(SubmitRequest, R)>,
 }
@@ -160,7 +160,7 @@
         if !word.granted {
             return asking.answer(&SubmitResponse::QuotaExceeded);
         }
-        let may_take = self.node.ready() && !self.is_full() && self.enough(turn);
+        let may_take = self.node.is_ready() && !self.is_full() && self.enough(turn);
         for (call, reply) in asking.tries {
             let of_the_grant =
                 call.route == asking.call.route && tokens(&call) <= asking.call.tokens;
@@ -182,14 +182,14 @@
             .iter()
             .filter(|(_, wait)| matches!(wait, Wait::Audited { .. }))
             .count();
-        if !self.node.ready() || self.is_full() || waiting >= MOST_AUDITS {
+        if !self.node.is_ready() || self.is_full() || waiting >= MOST_AUDITS {
             self.late_audit = Some(call.clone());
             return;
         }
         let Some(head) = self.head.as_mut() else {
             return;
         };
-        let table = self.node.machine();
+        let table = self.node.state_machine();
         let settled = call
             .batch_jobs
             .iter()
@@ -222,14 +222,14 @@
 
     /// The newest audit that came while the chain could not take it.
     fn answer_late_audit(&mut self, turn: Turn) {
-        if let Some(call) = self.late_audit.take_if(|_| self.node.ready()) {
+        if let Some(call) = self.late_audit.take_if(|_| self.node.is_ready()) {
             self.audited(turn, &call);
         }
     }
 
     /// A batch job's head asks for tokens of a host of which this is the home partition.
     pub fn reserve_asked(&mut self, turn: Turn, call: ReserveRequest) {
-        if !self.node.ready() || self.is_full() {
+        if !self.node.is_ready() || self.is_full() {
             return;
         }
         // What is on its way to the disks already is answered once it is there.
@@ -244,9 +244,9 @@
         let Some(head) = self.head.as_mut() else {
             return;
         };
-        let decision = self
-            .quota
-            .reserve(turn.now, self.node.machine(), &mut head.owner, &call);
+        let decision =
+            self.quota
+                .reserve(turn.now, self.node.state_machine(), &mut head.owner, &call);
         match decision {
             ReserveDecision::Propose(_) => self.note(&call, soon),
             ReserveDecision::Undecided => self.note(&call, !self.quota.is_blind(turn.now)),
@@ -300,9 +300,9 @@
         let Some(head) = self.head.as_mut() else {
             return;
         };
-        if let Some(command) = self
-            .quota
-            .left(turn.now, self.node.machine(), &mut head.owner, word)
+        if let Some(command) =
+            self.quota
+                .left(turn.now, self.node.state_machine(), &mut head.owner, word)
         {
             self.propose(turn, vec![command]);
         }
@@ -334,10 +334,13 @@
     }
 
     fn ask_partitions(&mut self, turn: Turn) {
-        if self.head.is_none() || self.node.machine().reserved().is_empty() || !self.node.ready() {
+        if self.head.is_none()
+            || self.node.state_machine().reserved().is_empty()
+            || !self.node.is_ready()
+        {
             return;
         }
-        for call in self.quota.audits(turn.now, self.node.machine()) {
+        for call in self.quota.audits(turn.now, self.node.state_machine()) {
             self.acts.push(Act::TellHead(
                 usize::from(call.partition),
                 AUDIT,
--- a/crates/batch/batch-store/src/process.rs
+++ b/crates/batch/batch-store/src/process.rs
@@ -131,7 +131,7 @@
 struct Found {
     ring: WriteAheadLog,
     bytes: u64,
-    parts: Vec<(u16, chain_replication::Recovered)>,
+    parts: Vec<(u16, chain_replication::RecoveredLog)>,
     identity: u64,
 }
 
@@ -294,7 +294,7 @@
             .store
             .borrow()
             .held()
-            .map(|(_, node)| node.passed_over())
+            .map(|(_, node)| node.ignored_messages())
             .sum();
         let passed_over: (u64, u64) = (chains, self.state_table.borrow().ignored_messages());
         let is_more = passed_over != self.passed_over.get();
@@ -454,7 +454,7 @@
         least: faults_at_once(&settings.budget) + 1,
         most_bytes: usize::try_from(settings.limits.ram_mb * 1_000_000 / MEMORY_PART)
             .unwrap_or(usize::MAX)
-            .min(chain_replication::MOST_SNAPSHOT_BYTES as usize * 7 / 8),
+            .min(chain_replication::MAX_SNAPSHOT_BYTES as usize * 7 / 8),
         incarnation: draw(),
         answer_bytes_per_ms: (settings.limits.link_mbps * BYTES_PER_MS_OF_A_MBIT * ANSWER_SHARE)
             as u64,
@@ -470,7 +470,7 @@
     let store = Store::new(terms, parts, log.clone());
     let live = store
         .held()
-        .map(|(_, node)| node.machine().bytes() as u64)
+        .map(|(_, node)| node.state_machine().bytes() as u64)
         .sum();
     let process = Rc::new(Process {
         store: RefCell::new(store),
--- a/crates/batch/batch-store/tests/journal.rs
+++ b/crates/batch/batch-store/tests/journal.rs
@@ -12,7 +12,9 @@
 use batch::BatchJobTable;
 use batch_store::journal::{read_back, BadRecord, Journal, ReadBack};
 use bytes::Bytes;
-use chain_replication::{Machine as _, Member, Node, Out, Recovered, View, Write};
+use chain_replication::{
+    Effect, LogRecord, Member, RecoveredLog, Replica, StateMachine as _, View,
+};
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64;
 use std::collections::BTreeMap;
@@ -54,7 +56,7 @@
 
 struct Disk {
     journal: Journal,
-    nodes: BTreeMap<u16, Node<BatchJobTable>>,
+    nodes: BTreeMap<u16, Replica<BatchJobTable>>,
     now: u64,
 }
 
@@ -72,14 +74,14 @@
             .map(|(_, r)| r.body.len() as u64)
             .sum();
         let parts = read_back(opened.records).unwrap();
-        let node = |found| Node::new(me(), BatchJobTable::new(), found);
-        let nodes: BTreeMap<u16, Node<BatchJobTable>> = parts
+        let node = |found| Replica::new(me(), BatchJobTable::new(), found);
+        let nodes: BTreeMap<u16, Replica<BatchJobTable>> = parts
             .into_iter()
             .map(|(part, found)| (part, node(found)))
             .collect();
         let live = nodes
             .values()
-            .map(|node| node.machine().bytes() as u64)
+            .map(|node| node.state_machine().bytes() as u64)
             .sum();
         let mut disk = Disk {
             journal: Journal::new(opened.log, bytes, live),
@@ -93,8 +95,12 @@
     }
 
     fn act(&mut self, part: u16) {
-        for out in self.nodes.get_mut(&part).unwrap().take() {
-            if let Out::Write { ticket, write } = out {
+        for out in self.nodes.get_mut(&part).unwrap().take_effects() {
+            if let Effect::Write {
+                ticket,
+                record: write,
+            } = out
+            {
                 self.journal.write(part, ticket, &write);
             }
         }
@@ -104,8 +110,8 @@
         let node = self
             .nodes
             .entry(part)
-            .or_insert_with(|| Node::new(me(), BatchJobTable::new(), Recovered::default()));
-        node.enter(
+            .or_insert_with(|| Replica::new(me(), BatchJobTable::new(), RecoveredLog::default()));
+        node.install_view(
             self.now,
             View {
                 number,
@@ -134,7 +140,7 @@
         while self
             .nodes
             .values()
-            .any(|node| node.committed() < node.received() || !node.active())
+            .any(|node| node.committed() < node.last_received() || !node.is_active())
         {
             runtime.block_on(watch.changed()).unwrap();
             self.synced(*watch.borrow_and_update());
@@ -144,7 +150,7 @@
     fn synced(&mut self, at: u64) {
         for (part, ticket) in self.journal.synced(at) {
             if let Some(node) = self.nodes.get_mut(&part) {
-                node.synced(self.now, ticket);
+                node.handle_synced(self.now, ticket);
                 self.act(part);
             }
         }
@@ -160,7 +166,7 @@
     fn tables(&self) -> BTreeMap<u16, BatchJobTable> {
         self.nodes
             .iter()
-            .map(|(part, node)| (*part, node.machine().clone()))
+            .map(|(part, node)| (*part, node.state_machine().clone()))
             .collect()
     }
 }
@@ -211,7 +217,7 @@
             disk.nodes.remove(&3);
             disk.journal.void(3);
             disk.enter(3, 1);
-            assert!(disk.nodes[&3].machine().is_empty());
+            assert!(disk.nodes[&3].state_machine().is_empty());
         }
         for n in 0..400 {
             let part = [0, 0, 0, 3, 15][random.next_u64() as usize % 5];
@@ -271,7 +277,7 @@
 #[test]
 fn pieces_without_an_end_are_nothing_and_what_makes_no_sense_is_told() {
     let entry = |number, text: &'static str| {
-        Write::Entry {
+        LogRecord::Entry {
             view: 1,
             number,
             command: text.into(),
@@ -289,7 +295,7 @@
         record(2, 2, entry(3, "third").slice(..5)),
     ])
     .unwrap();
-    let numbers = |found: &Recovered| found.entries.iter().map(|e| e.1).collect::<Vec<_>>();
+    let numbers = |found: &RecoveredLog| found.entries.iter().map(|e| e.1).collect::<Vec<_>>();
     let found: Vec<_> = found
         .iter()
         .map(|(part, found)| (*part, numbers(found)))
@@ -312,7 +318,7 @@
         read_back(vec![record(1, 2, one.slice(1..))]),
         Err(BadRecord::Write { part: 2, .. })
     ));
-    let snapshot = Write::Snapshot {
+    let snapshot = LogRecord::Snapshot {
         view: 1,
         number: 1,
         body: Bytes::from_static(b"nonsense"),
@@ -337,8 +343,9 @@
     fn settles(&mut self) -> bool {
         for _ in 0..MOST_LOOKS {
             self.tick();
-            let whole =
-                |node: &Node<BatchJobTable>| node.committed() == node.received() && node.active();
+            let whole = |node: &Replica<BatchJobTable>| {
+                node.committed() == node.last_received() && node.is_active()
+            };
             if self.nodes.values().all(whole) && !self.journal.disk().behind {
                 return true;
             }
@@ -350,13 +357,13 @@
     /// Takes batch jobs of 250 kB until the table has so many bytes.
     fn fill(&mut self, part: u16, random: &mut Pcg64, bytes: usize) {
         let mut number = 0;
-        while self.nodes[&part].machine().bytes() < bytes {
+        while self.nodes[&part].state_machine().bytes() < bytes {
             number += 1;
             assert!(self.propose(part, big(random, format!("lot{number}"))));
             assert!(
                 self.settles(),
                 "stuck at {} bytes: {:?}",
-                self.nodes[&part].machine().bytes(),
+                self.nodes[&part].state_machine().bytes(),
                 self.journal.disk()
             );
         }
@@ -433,28 +440,28 @@
     disk.enter(3, 1);
     let capacity = disk.journal.disk().size;
     disk.fill(3, &mut random, capacity as usize * 2 / 5);
-    let body = Bytes::from(disk.nodes[&3].machine().snapshot());
-    let number = disk.nodes[&3].received();
+    let body = Bytes::from(disk.nodes[&3].state_machine().snapshot());
+    let number = disk.nodes[&3].last_received();
     for round in 2..6u64 {
         // RemainingTokens, and joined again: the whole state comes once more.
         disk.nodes.remove(&3);
         disk.journal.void(3);
         let snapshot = Some((1, number, body.to_vec()));
-        let recovered = Recovered {
+        let recovered = RecoveredLog {
             snapshot,
-            ..Recovered::default()
+            ..RecoveredLog::default()
         };
         disk.journal.write(
             3,
             1,
-            &Write::Snapshot {
+            &LogRecord::Snapshot {
                 view: 1,
                 number,
                 body: body.clone(),
             },
         );
         disk.nodes
-            .insert(3, Node::new(me(), BatchJobTable::new(), recovered));
+            .insert(3, Replica::new(me(), BatchJobTable::new(), recovered));
         // Its tickets begin behind that of the snapshot.
         disk.enter(3, round);
         assert!(
@@ -520,7 +527,7 @@
                 let table: &mut BatchJobTable = tables.entry(part).or_default();
                 table.apply(number, &command);
                 bytes += command.len() as u64;
-                let body = Write::Entry {
+                let body = LogRecord::Entry {
                     view: 1,
                     number,
                     command,
@@ -544,9 +551,9 @@
         let found = back.finish().unwrap();
         assert_eq!(found.len(), usize::from(parts));
         for (part, recovered) in found {
-            let node = Node::new(me(), BatchJobTable::new(), recovered);
+            let node = Replica::new(me(), BatchJobTable::new(), recovered);
             assert!(
-                node.machine() == &tables[&part],
+                node.state_machine() == &tables[&part],
                 "partition {part} of {parts}"
             );
         }
--- a/crates/batch/batch-store/tests/refused.rs
+++ b/crates/batch/batch-store/tests/refused.rs
@@ -6,7 +6,7 @@
 use batch::wire::*;
 use batch_store::{Answer, Effect, Odd, Store, Terms};
 use bytes::Bytes;
-use chain_replication::{Member, View, Write};
+use chain_replication::{LogRecord, Member, View};
 use proptest::prelude::*;
 use slog::{o, Discard, Logger};
 use std::cell::Cell;
@@ -122,10 +122,10 @@
     }
 }
 
-fn stands(store: &Store<Said>) -> Vec<(u16, Vec<Write>)> {
+fn stands(store: &Store<Said>) -> Vec<(u16, Vec<LogRecord>)> {
     store
         .held()
-        .map(|(part, node)| (part, node.whole()))
+        .map(|(part, node)| (part, node.snapshot_records()))
         .collect()
 }
 
--- a/crates/batch/batch-store/tests/store.rs
+++ b/crates/batch/batch-store/tests/store.rs
@@ -719,11 +719,11 @@
     assert!(one
         .store
         .held()
-        .all(|(_, node)| node.is_head() && node.active()));
+        .all(|(_, node)| node.is_head() && node.is_active()));
     assert!(one
         .store
         .held()
-        .any(|(_, node)| node.received() == 1 && node.committed() == 0));
+        .any(|(_, node)| node.last_received() == 1 && node.committed() == 0));
     one.grant(7_000, 7_000, 2);
     let fetched = one.call(7_000, FETCH, &fetch(1, 1_000));
     one.tick(7_100);
@@ -749,7 +749,10 @@
     );
     one.map(10_200, 3, &[2, 3], &[1]);
     assert_eq!(one.store.held().count(), PARTITIONS);
-    assert!(one.store.held().all(|(_, node)| node.machine().is_empty()));
+    assert!(one
+        .store
+        .held()
+        .all(|(_, node)| node.state_machine().is_empty()));
     // An older map changes nothing.
     one.map(10_300, 2, &[1], &[]);
     assert_eq!(one.store.map().map(|map| map.number), Some(3));
@@ -930,7 +933,7 @@
         .map(|part| {
             (
                 part,
-                chain_replication::Recovered {
+                chain_replication::RecoveredLog {
                     entries: entries.clone(),
                     ..Default::default()
                 },
@@ -955,7 +958,7 @@
     one.tick(100);
     assert!(together(&one) <= TOGETHER, "{}", together(&one));
     assert!(
-        one.store.held().all(|(_, node)| node.received() == 80),
+        one.store.held().all(|(_, node)| node.last_received() == 80),
         "nothing else is gone"
     );
 }
--- a/crates/batch/batch-store/tests/stored_data.rs
+++ b/crates/batch/batch-store/tests/stored_data.rs
@@ -142,7 +142,7 @@
         store.controllers(vec![controller()]);
         let live = store
             .held()
-            .map(|(_, node)| node.machine().bytes() as u64)
+            .map(|(_, node)| node.state_machine().bytes() as u64)
             .sum();
         let journal = Journal::new(opened.log, bytes, live);
         let identity = opened.identity;
@@ -213,8 +213,8 @@
     /// Until all that was handed over is on the disk.
     fn settle(&mut self) {
         self.until("all is on the disk", |disk| {
-            let committed = |(part, node): (u16, &chain_replication::Node<BatchJobTable>)| {
-                part == UNCOMMITTED || node.committed() == node.received() && node.active()
+            let committed = |(part, node): (u16, &chain_replication::Replica<BatchJobTable>)| {
+                part == UNCOMMITTED || node.committed() == node.last_received() && node.is_active()
             };
             !disk.journal.disk().behind && disk.store.held().all(committed)
         });
@@ -384,12 +384,12 @@
     let mut out = String::new();
     let line = &mut out;
     for (part, node) in disk.store.held() {
-        let (table, status) = (node.machine(), node.status());
+        let (table, status) = (node.state_machine(), node.status());
         writeln!(
             line,
             "partition {part}: in sync in view {}, entry {}, clock {}, jobs {}, bytes {}, refused {}",
             status.in_sync_view,
-            status.received,
+            status.last_received,
             table.clock(),
             table.len(),
             table.bytes(),
@@ -559,7 +559,7 @@
     let mut journal = Journal::new(opened.log, 0, 0);
     let entry = |number, bytes: usize| {
         let command = (0..bytes).map(|n| n as u8).collect::<Vec<u8>>().into();
-        chain_replication::Write::Entry {
+        chain_replication::LogRecord::Entry {
             view: 1,
             number,
             command,
--- a/crates/batch/batch-store/tests/world/losses.rs
+++ b/crates/batch/batch-store/tests/world/losses.rs
@@ -4,7 +4,7 @@
 
 use super::{addr, Disk, Event, Process, World};
 use batch::BatchJobTable;
-use chain_replication::{Member, Node, Recovered, Write};
+use chain_replication::{LogRecord, Member, RecoveredLog, Replica};
 use rand_pcg::rand_core::RngCore;
 
 /// `SyncS` of the deployment with the shortest one.
@@ -57,10 +57,10 @@
         let synced = self.disk.records.iter().take(self.disk.synced).rev();
         for (_, record) in synced.filter(|(p, _)| usize::from(*p) == part) {
             match record {
-                Some(Write::Entry { command, .. }) if holds_name(command, batch_job) => {
+                Some(LogRecord::Entry { command, .. }) if holds_name(command, batch_job) => {
                     return true
                 }
-                Some(Write::Snapshot { body, .. }) => return holds_name(body, batch_job),
+                Some(LogRecord::Snapshot { body, .. }) => return holds_name(body, batch_job),
                 Some(_) => {}
                 None => return false,
             }
@@ -73,9 +73,9 @@
         if let Some(store) = &self.store {
             return store
                 .node(part)
-                .is_some_and(|node| node.machine().batch_job(batch_job).is_some());
+                .is_some_and(|node| node.state_machine().batch_job(batch_job).is_some());
         }
-        let mut recovered = Recovered::default();
+        let mut recovered = RecoveredLog::default();
         for (_, record) in self
             .disk
             .records
@@ -84,7 +84,7 @@
         {
             match record {
                 Some(write) => recovered.replay(write.clone()),
-                None => recovered = Recovered::default(),
+                None => recovered = RecoveredLog::default(),
             }
         }
         let me = Member {
@@ -92,8 +92,8 @@
             addr: self.addr,
             since: 0,
         };
-        Node::new(me, BatchJobTable::new(), recovered)
-            .machine()
+        Replica::new(me, BatchJobTable::new(), recovered)
+            .state_machine()
             .batch_job(batch_job)
             .is_some()
     }
--- a/crates/batch/batch-store/tests/world/mod.rs
+++ b/crates/batch/batch-store/tests/world/mod.rs
@@ -9,7 +9,7 @@
 use batch::wire::{Heartbeat, Message, ResultEntry, MAX_PARTITIONS};
 use batch_store::{Answer, Effect, Store, Terms};
 use bytes::Bytes;
-use chain_replication::{Recovered, Write};
+use chain_replication::{LogRecord, RecoveredLog};
 use controller::Controller;
 use gateway::Gateways;
 use losses::{Losses, Planted, Setup};
@@ -160,7 +160,7 @@
 
 #[derive(Default)]
 struct Disk {
-    records: Vec<(u16, Option<Write>)>,
+    records: Vec<(u16, Option<LogRecord>)>,
     synced: usize,
     waiting: Vec<(usize, u16, u64, u64)>,
     busy_until: u64,
@@ -578,13 +578,13 @@
         if process.disk.settled {
             process.disk.synced = process.disk.records.len();
         }
-        let mut parts: Vec<Option<Recovered>> = (0..MAX_PARTITIONS).map(|_| None).collect();
+        let mut parts: Vec<Option<RecoveredLog>> = (0..MAX_PARTITIONS).map(|_| None).collect();
         for (part, record) in &process.disk.records {
             let recovered = &mut parts[usize::from(*part)];
             match record {
                 Some(write) => {
                     // As bytes and back, as a disk would have it.
-                    let write = Write::decode(&write.encode()).expect("a write");
+                    let write = LogRecord::decode(&write.encode()).expect("a write");
                     recovered.get_or_insert_default().replay(write);
                 }
                 None => *recovered = None,
@@ -825,9 +825,9 @@
         let node = process.store.as_ref()?.node(part)?;
         let view = self.controller.map.as_ref()?.partitions.get(part)?.number;
         let current =
-            node.active() && node.is_tail() && node.view().is_some_and(|v| v.number == view);
+            node.is_active() && node.is_tail() && node.view().is_some_and(|v| v.number == view);
         // A tail that is also the head has what it proposed, too.
-        (current && !node.is_head()).then(|| node.machine())
+        (current && !node.is_head()).then(|| node.state_machine())
     }
 
     /// The partition of a batch job by the map in force.
@@ -849,8 +849,8 @@
                     n.view().map(|v| v.number),
                     n.is_head(),
                     n.is_tail(),
-                    n.active(),
-                    n.machine().len(),
+                    n.is_active(),
+                    n.state_machine().len(),
                 )
             })
         };
@@ -866,7 +866,7 @@
             .processes
             .iter()
             .filter_map(|p| p.store.as_ref()?.node(self.part_of(host, batch_job)));
-        let mut batch_jobs = nodes.filter_map(|node| node.machine().batch_job(batch_job));
+        let mut batch_jobs = nodes.filter_map(|node| node.state_machine().batch_job(batch_job));
         batch_jobs.any(|batch_job| {
             batch_job
                 .items
@@ -891,7 +891,7 @@
                 .node(map.partition_of(&taken.host, &batch_job))
                 .expect("a partition");
             let kept = node
-                .machine()
+                .state_machine()
                 .batch_job(&batch_job)
                 .unwrap_or_else(|| panic!("{batch_job} was taken and is lost"));
             assert_eq!(kept.items.len(), taken.items, "{batch_job}");
@@ -899,7 +899,7 @@
                 assert_eq!(kept.order.len(), taken.items, "{batch_job} is not done");
             }
             let found = node
-                .machine()
+                .state_machine()
                 .read(&taken.host, &batch_job, 0, usize::MAX)
                 .expect("a batch job");
             let seen = self.seen.get(&batch_job).cloned().unwrap_or_default();
--- a/crates/batch/batch/src/leases.rs
+++ b/crates/batch/batch/src/leases.rs
@@ -1,7 +1,7 @@
 //! Who holds which item, and since when it was last said so.
 
 use crate::wire::LEASE_TIMEOUT_MS;
-use chain_replication::Ms;
+use chain_replication::Millis;
 use std::collections::HashMap;
 
 /// An item of a batch job: the batch job's key at its head, the item's index.
@@ -10,8 +10,8 @@
 /// One lease.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Lease {
-    pub(crate) granted: Ms,
-    renewed: Ms,
+    pub(crate) granted: Millis,
+    renewed: Millis,
 }
 
 /// All leases, by holder.
@@ -26,7 +26,7 @@
         self.count
     }
 
-    pub(crate) fn grant(&mut self, now: Ms, holder: u64, place: Place) {
+    pub(crate) fn grant(&mut self, now: Millis, holder: u64, place: Place) {
         let lease = Lease {
             granted: now,
             renewed: now,
@@ -42,7 +42,7 @@
         }
     }
 
-    pub(crate) fn renew(&mut self, now: Ms, holder: u64, place: Place) {
+    pub(crate) fn renew(&mut self, now: Millis, holder: u64, place: Place) {
         if let Some(lease) = self
             .holders
             .get_mut(&holder)
@@ -64,7 +64,7 @@
     }
 
     /// Ends the leases of which nothing was heard for long: the holder is gone, or never got the item.
-    pub(crate) fn expire(&mut self, now: Ms) -> Vec<Place> {
+    pub(crate) fn expire(&mut self, now: Millis) -> Vec<Place> {
         let mut expired = Vec::new();
         for held in self.holders.values_mut() {
             held.retain(|place, lease| {
--- a/crates/batch/batch/src/owner.rs
+++ b/crates/batch/batch/src/owner.rs
@@ -18,7 +18,7 @@
     SubmitResponse, MAX_FETCH_BYTES, MAX_ITEMS,
 };
 use bytes::Bytes;
-use chain_replication::{Ms, MOST_COMMAND_BYTES};
+use chain_replication::{Millis, MAX_COMMAND_BYTES};
 use compact_str::CompactString;
 use std::collections::{BTreeSet, HashMap};
 
@@ -110,10 +110,10 @@
 #[derive(Debug)]
 pub struct PartitionLeader {
     poll_ms: u64,
-    started: Ms,
+    started: Millis,
     clock_at_start: u64,
     clock_said: u64,
-    swept: Ms,
+    swept: Millis,
     next_lease: u64,
     next_key: u64,
     keys: HashMap<CompactString, u64>,
@@ -132,7 +132,7 @@
 
 impl PartitionLeader {
     /// The head's state of a view, made from the table as it stands. `poll_ms` is the users' `PollS`.
-    pub fn new(now: Ms, view: u64, batch_jobs: &BatchJobTable, poll_ms: u64) -> Self {
+    pub fn new(now: Millis, view: u64, batch_jobs: &BatchJobTable, poll_ms: u64) -> Self {
         let mut owner = Self {
             poll_ms,
             started: now,
@@ -159,13 +159,13 @@
     }
 
     /// The head's clock: the table's when it became head, and the time since.
-    pub fn clock(&self, now: Ms) -> u64 {
+    pub fn clock(&self, now: Millis) -> u64 {
         self.clock_at_start
             .saturating_add(now.saturating_sub(self.started))
     }
 
     /// Whether the time is over in which gateways say what they hold.
-    pub fn open(&self, now: Ms) -> bool {
+    pub fn open(&self, now: Millis) -> bool {
         now.saturating_sub(self.started) >= TAKEOVER_GRACE_MS
     }
 
@@ -264,7 +264,7 @@
     /// A batch job is submitted. `room`: whether memory and disk have room for one more.
     pub fn submit(
         &mut self,
-        now: Ms,
+        now: Millis,
         batch_jobs: &BatchJobTable,
         call: SubmitRequest,
         room: bool,
@@ -319,7 +319,7 @@
             items: call.items,
         };
         let command = self.command(&Command::Accept(take));
-        if command.is_empty() || command.len() > MOST_COMMAND_BYTES {
+        if command.is_empty() || command.len() > MAX_COMMAND_BYTES {
             return SubmitDecision::Answer(SubmitResponse::Invalid {
                 code: codes::TOO_LARGE,
             });
@@ -342,7 +342,7 @@
     /// get some), the routes in turn.
     pub fn fetch(
         &mut self,
-        now: Ms,
+        now: Millis,
         batch_jobs: &BatchJobTable,
         holder: u64,
         wants: &[RouteDemand],
@@ -392,7 +392,7 @@
 
     fn lease_next(
         &mut self,
-        now: Ms,
+        now: Millis,
         batch_jobs: &BatchJobTable,
         holder: u64,
         route: usize,
@@ -444,7 +444,7 @@
     /// another head gave it.
     pub fn hold(
         &mut self,
-        now: Ms,
+        now: Millis,
         batch_jobs: &BatchJobTable,
         holder: u64,
         held: &[LeaseRef],
@@ -460,7 +460,7 @@
 
     fn holds_on(
         &mut self,
-        now: Ms,
+        now: Millis,
         batch_jobs: &BatchJobTable,
         holder: u64,
         one: &LeaseRef,
@@ -515,7 +515,7 @@
 
     /// What became of leased items. The commands are to be proposed; the call is answered once they, and all
     /// before them, are committed.
-    pub fn done(&mut self, now: Ms, holder: u64, results: Vec<Completion>) -> Vec<Bytes> {
+    pub fn done(&mut self, now: Millis, holder: u64, results: Vec<Completion>) -> Vec<Bytes> {
         let mut listed = Vec::new();
         for done in results {
             if let Some(result) = self.done_one(now, holder, done) {
@@ -525,7 +525,7 @@
         self.results(now, listed)
     }
 
-    fn done_one(&mut self, now: Ms, holder: u64, done: Completion) -> Option<ItemResult> {
+    fn done_one(&mut self, now: Millis, holder: u64, done: Completion) -> Option<ItemResult> {
         let (place, soft) = self.soft(&done.batch_job, done.index)?;
         let (tries, due, route) = (soft.tries, soft.due, soft.route);
         let item = soft.items.get_mut(usize::from(place.1))?;
@@ -634,7 +634,7 @@
     }
 
     /// Commands for results, each of a bounded size.
-    fn results(&mut self, now: Ms, results: Vec<ItemResult>) -> Vec<Bytes> {
+    fn results(&mut self, now: Millis, results: Vec<ItemResult>) -> Vec<Bytes> {
         let mut commands = Vec::new();
         let mut part = Vec::new();
         let mut bytes = 0;
@@ -661,7 +661,7 @@
 
     /// A command that changes nothing: once it is committed, so is all that the head had received when it was proposed,
     /// and no head of a later view had begun before.
-    pub fn barrier(&mut self, now: Ms) -> Bytes {
+    pub fn barrier(&mut self, now: Millis) -> Bytes {
         self.command(&Command::AdvanceClock {
             clock: self.clock(now),
         })
@@ -683,7 +683,7 @@
     /// A client ends a batch job. From now on none of its items is given out, and holders are told to drop theirs.
     pub fn end(
         &mut self,
-        now: Ms,
+        now: Millis,
         batch_jobs: &BatchJobTable,
         host: &str,
         batch_job: &str,
@@ -710,7 +710,7 @@
     }
 
     /// How urgent the most urgent item is of the routes that are wanted; none if no item waits of them.
-    pub fn urgency(&self, now: Ms, wants: &[RouteDemand]) -> Option<Urgency> {
+    pub fn urgency(&self, now: Millis, wants: &[RouteDemand]) -> Option<Urgency> {
         let clock = self.clock(now);
         let queue = |want: &RouteDemand| {
             self.queue_of(&want.host, &want.route)
@@ -721,7 +721,7 @@
     }
 
     /// Whether an item waits of a route that is wanted.
-    pub fn has_for(&self, now: Ms, wants: &[RouteDemand]) -> bool {
+    pub fn has_for(&self, now: Millis, wants: &[RouteDemand]) -> bool {
         let waits = |want: &RouteDemand| {
             let queue = self
                 .queue_of(&want.host, &want.route)
--- a/crates/batch/batch/src/owner/time.rs
+++ b/crates/batch/batch/src/owner/time.rs
@@ -5,7 +5,7 @@
 use crate::table::BatchJobTable;
 use crate::wire::ResultStatus;
 use bytes::Bytes;
-use chain_replication::Ms;
+use chain_replication::Millis;
 use compact_str::CompactString;
 
 /// How often silent holders are looked for.
@@ -39,7 +39,7 @@
 
     /// What time brings: leases that ran out, items to be given up, batch jobs to be forgotten. To be called a few times
     /// a second while not [`PartitionLeader::idle`]; the commands are to be proposed.
-    pub fn tick(&mut self, now: Ms, batch_jobs: &BatchJobTable) -> Vec<Bytes> {
+    pub fn tick(&mut self, now: Millis, batch_jobs: &BatchJobTable) -> Vec<Bytes> {
         if now.saturating_sub(self.swept) >= SWEEP_MS {
             self.swept = now;
             for (key, index) in self.leases.expire(now) {
@@ -103,7 +103,7 @@
         }
     }
 
-    fn give_up_late(&mut self, now: Ms, clock: u64) -> Vec<Bytes> {
+    fn give_up_late(&mut self, now: Millis, clock: u64) -> Vec<Bytes> {
         let mut results = Vec::new();
         for _ in 0..PER_TURN {
             match self.give_up.first() {
--- a/crates/batch/batch/src/quota.rs
+++ b/crates/batch/batch/src/quota.rs
@@ -9,24 +9,24 @@
 use crate::table::BatchJobTable;
 use crate::wire::{AuditRequest, AuditResponse, AuditedJob, RemainingTokens, ReserveRequest};
 use bytes::Bytes;
-use chain_replication::Ms;
+use chain_replication::Millis;
 use compact_str::CompactString;
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 
 /// A partition is asked so often while a route is more than half full, so that a refusal rests on fresh words.
-const AUDIT_MS: Ms = 150;
+const AUDIT_MS: Millis = 150;
 /// And so often else: promises that came to nothing end by it.
-const AUDIT_IDLE_MS: Ms = 1_500;
+const AUDIT_IDLE_MS: Millis = 1_500;
 /// A partition that has not answered is asked again after so long: a frame may be lost, or its chain may wait for a disk, and each
 /// asking is a record on the disks of that chain.
-const UNANSWERED_MS: Ms = 600;
+const UNANSWERED_MS: Millis = 600;
 /// A refusal rests on words on audits that were sent no longer ago. Under the time after which the users' page counts.
-const FRESH_MS: Ms = 500;
+const FRESH_MS: Millis = 500;
 /// An asking that was refused stays refused for so long: one that was sent twice would reserve for nobody else.
-const REFUSED_MS: Ms = 1_000;
+const REFUSED_MS: Millis = 1_000;
 /// A partition that takes longer to answer is in trouble: an answer takes a commit of its chain, some syncs one after the other.
-const SLOW_ANSWER_MS: Ms = 150;
+const SLOW_ANSWER_MS: Millis = 150;
 /// The most batch jobs in one audit.
 const MOST_BATCH_JOBS: usize = 4_096;
 
@@ -44,9 +44,9 @@
 #[derive(Debug, Default)]
 struct Asked {
     /// The audit that is to be answered, and when it was sent.
-    audit: Option<(u64, Ms)>,
+    audit: Option<(u64, Millis)>,
     /// When the newest audit that was answered had been sent.
-    answered: Option<Ms>,
+    answered: Option<Millis>,
     /// A refusal waits for its word.
     wanted: bool,
 }
@@ -63,7 +63,7 @@
     asked_for: HashMap<CompactString, u64>,
     partitions: BTreeMap<u16, Asked>,
     /// The askings that were refused of late: when, by which process, and which of its.
-    refused: HashMap<CompactString, (Ms, u64, u64)>,
+    refused: HashMap<CompactString, (Millis, u64, u64)>,
     /// The limit of a route (host and name), as it was last said.
     most: BTreeMap<(CompactString, CompactString), u64>,
 }
@@ -100,7 +100,7 @@
     }
 
     /// Whether it won't be known soon whether tokens fit: a partition takes long to answer, and what it said last is old.
-    pub fn is_blind(&self, now: Ms) -> bool {
+    pub fn is_blind(&self, now: Millis) -> bool {
         let is_slow = |asked: &Asked| {
             let old = asked
                 .answered
@@ -115,14 +115,14 @@
     /// A batch job's head asks for tokens.
     pub fn reserve(
         &mut self,
-        now: Ms,
+        now: Millis,
         batch_jobs: &BatchJobTable,
         owner: &mut PartitionLeader,
         call: &ReserveRequest,
     ) -> ReserveDecision {
         self.count += 1;
         let again =
-            |(_, by, nonce): &(Ms, u64, u64)| (*by, *nonce) == (call.incarnation, call.nonce);
+            |(_, by, nonce): &(Millis, u64, u64)| (*by, *nonce) == (call.incarnation, call.nonce);
         if self.refused.get(&call.batch_job).is_some_and(again) {
             return ReserveDecision::Rejected;
         }
@@ -174,7 +174,7 @@
     }
 
     /// The audits that are due, of the partitions to which something is promised.
-    pub fn audits(&mut self, now: Ms, batch_jobs: &BatchJobTable) -> Vec<AuditRequest> {
+    pub fn audits(&mut self, now: Millis, batch_jobs: &BatchJobTable) -> Vec<AuditRequest> {
         let mut due: BTreeMap<u16, Vec<AuditedJob>> = BTreeMap::new();
         self.refused
             .retain(|_, (at, ..)| now.saturating_sub(*at) < REFUSED_MS);
@@ -190,7 +190,9 @@
             if let Some((_, sent)) = asked.audit {
                 return now.saturating_sub(sent) >= UNANSWERED_MS;
             }
-            let since = asked.answered.map_or(Ms::MAX, |at| now.saturating_sub(at));
+            let since = asked
+                .answered
+                .map_or(Millis::MAX, |at| now.saturating_sub(at));
             since >= every || asked.wanted && since >= AUDIT_MS
         };
         let mut decided: BTreeMap<u16, bool> = BTreeMap::new();
@@ -230,7 +232,7 @@
         audits
     }
 
-    fn audit(&mut self, now: Ms, partition: u16, batch_jobs: Vec<AuditedJob>) -> AuditRequest {
+    fn audit(&mut self, now: Millis, partition: u16, batch_jobs: Vec<AuditedJob>) -> AuditRequest {
         self.count += 1;
         let asked = self.partitions.entry(partition).or_default();
         asked.audit = Some((self.count, now));
@@ -249,7 +251,7 @@
     /// The word of a batch job's head. What follows from it is to be proposed.
     pub fn left(
         &mut self,
-        now: Ms,
+        now: Millis,
         batch_jobs: &BatchJobTable,
         owner: &mut PartitionLeader,
         word: &AuditResponse,
--- a/crates/batch/batch/src/table.rs
+++ b/crates/batch/batch/src/table.rs
@@ -11,7 +11,7 @@
 use binrw::io::{Cursor, Write};
 use binrw::{BinRead, BinWrite};
 use bytes::Bytes;
-use chain_replication::{BadSnapshot, Machine};
+use chain_replication::{SnapshotError, StateMachine};
 use compact_str::CompactString;
 use std::collections::BTreeMap;
 
@@ -578,7 +578,7 @@
     batch_job: BatchJob,
 }
 
-impl Machine for BatchJobTable {
+impl StateMachine for BatchJobTable {
     fn apply(&mut self, _number: u64, command: &[u8]) {
         match Command::decode(command) {
             Ok(command) => self.apply_command(command),
@@ -595,9 +595,9 @@
         }
     }
 
-    fn restore(&mut self, snapshot: &[u8]) -> Result<(), BadSnapshot> {
+    fn restore(&mut self, snapshot: &[u8]) -> Result<(), SnapshotError> {
         let restored =
-            Self::read_snapshot(snapshot).map_err(|error| BadSnapshot(error.to_string()))?;
+            Self::read_snapshot(snapshot).map_err(|error| SnapshotError(error.to_string()))?;
         *self = restored;
         Ok(())
     }
--- a/crates/batch/batch/src/wire/map.rs
+++ b/crates/batch/batch/src/wire/map.rs
@@ -6,7 +6,7 @@
 };
 use binrw::binrw;
 use bytes::Bytes;
-use chain_replication::{Status, View};
+use chain_replication::{ReplicaStatus, View};
 use compact_str::CompactString;
 use std::net::SocketAddr;
 
@@ -173,7 +173,7 @@
     /// The partition.
     pub partition: u16,
     /// Its chain's status.
-    pub status: Status,
+    pub status: ReplicaStatus,
     /// How many batch jobs it keeps.
     pub batch_jobs: u32,
     /// Bytes that its batch jobs will need at most.
@@ -245,7 +245,7 @@
 pub struct ChainFrame {
     /// The partition.
     pub partition: u16,
-    /// What `chain_replication::Msg` encodes to.
+    /// What `chain_replication::Message` encodes to.
     #[br(parse_with = bytes_of, args(8 << 20))]
     #[bw(write_with = put_bytes, args(8 << 20))]
     pub body: Bytes,
--- a/crates/batch/batch/tests/frame_bytes.rs
+++ b/crates/batch/batch/tests/frame_bytes.rs
@@ -8,7 +8,7 @@
 use batch::wire::*;
 use batch::{BatchJobTable, ItemState};
 use bytes::Bytes;
-use chain_replication::{Machine, Member, Status, View};
+use chain_replication::{Member, ReplicaStatus, StateMachine, View};
 use std::collections::BTreeMap;
 use std::fmt::{Debug, Write};
 use std::net::SocketAddr;
@@ -439,11 +439,11 @@
             ..map
         },
     );
-    let status = Status {
+    let status = ReplicaStatus {
         id: 1,
         view: 2,
         in_sync_view: 3,
-        received: 4,
+        last_received: 4,
         caught_up: true,
     };
     let heartbeat = Heartbeat {
--- a/crates/batch/batch/tests/owner.rs
+++ b/crates/batch/batch/tests/owner.rs
@@ -10,7 +10,7 @@
     TAKEOVER_GRACE_MS,
 };
 use bytes::Bytes;
-use chain_replication::Machine;
+use chain_replication::StateMachine;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64;
 use std::collections::{BTreeMap, BTreeSet};
@@ -600,7 +600,7 @@
     assert_eq!(commands.len(), 3);
     assert!(commands
         .iter()
-        .all(|command| command.len() < chain_replication::MOST_COMMAND_BYTES));
+        .all(|command| command.len() < chain_replication::MAX_COMMAND_BYTES));
     let mut huge = call("b", 8);
     for item in &mut huge.items {
         item.body = Bytes::from(vec![0; 600_000]);
--- a/crates/batch/batch/tests/quota.rs
+++ b/crates/batch/batch/tests/quota.rs
@@ -4,7 +4,7 @@
 use batch::wire::*;
 use batch::{BatchJobTable, PartitionLeader, QuotaLeader, ReserveDecision};
 use bytes::Bytes;
-use chain_replication::Machine;
+use chain_replication::StateMachine;
 use std::net::SocketAddr;
 
 const HOST: &str = "h.example";
--- a/crates/batch/batch/tests/table.rs
+++ b/crates/batch/batch/tests/table.rs
@@ -7,7 +7,7 @@
 use batch::wire::{Item, Message, ResultEntry, ResultStatus, MAX_READ_BYTES};
 use batch::{BatchJobTable, ItemState};
 use bytes::Bytes;
-use chain_replication::Machine;
+use chain_replication::StateMachine;
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
--- a/crates/batch/batch/tests/wire.rs
+++ b/crates/batch/batch/tests/wire.rs
@@ -6,7 +6,7 @@
 use batch::wire::*;
 use batch::BatchJobTable;
 use bytes::Bytes;
-use chain_replication::{Member, Status, View};
+use chain_replication::{Member, ReplicaStatus, View};
 use proptest::prelude::*;
 use std::fmt::Debug;
 
@@ -286,7 +286,7 @@
         map: 3,
         statuses: vec![PartitionStatus {
             partition: 1,
-            status: Status::default(),
+            status: ReplicaStatus::default(),
             batch_jobs: 4,
             bytes: 9,
         }],
@@ -449,8 +449,8 @@
     let _ = ChainFrame::decode(bytes);
     let _ = Command::decode(bytes);
     let mut batch_jobs = BatchJobTable::new();
-    chain_replication::Machine::apply(&mut batch_jobs, 1, bytes);
-    if chain_replication::Machine::restore(&mut batch_jobs, bytes).is_err() {
+    chain_replication::StateMachine::apply(&mut batch_jobs, 1, bytes);
+    if chain_replication::StateMachine::restore(&mut batch_jobs, bytes).is_err() {
         assert!(batch_jobs.is_empty() || Command::decode(bytes).is_ok());
     }
 }
--- a/crates/control/chain-replication/src/copy.rs
+++ b/crates/control/chain-replication/src/copy.rs
@@ -9,14 +9,14 @@
 
 use bytes::{Bytes, BytesMut};
 
-use crate::types::Ms;
-use crate::wire::{Body, SnapshotId};
+use crate::types::Millis;
+use crate::wire::{MessageBody, SnapshotId};
 
 /// Bytes of a part; only the last one of a snapshot is shorter.
-pub const PART_BYTES: usize = 64 * 1024;
+pub const CHUNK_BYTES: usize = 64 * 1024;
 /// Parts on their way to a taker, and parts that a taker holds beyond a gap: half a megabyte, some round trips of a
 /// machine's link.
-pub const PARTS_IN_FLIGHT: usize = 8;
+pub const CHUNKS_IN_FLIGHT: usize = 8;
 /// Parts that came beyond a gap before it counts as a loss and not as a change of order.
 const PARTS_BEYOND_A_LOSS: u32 = 2;
 
@@ -68,7 +68,7 @@
             sent: 0,
             sent_before: 0,
             begun: false,
-            window: PARTS_IN_FLIGHT,
+            window: CHUNKS_IN_FLIGHT,
             probe: None,
             repeated: false,
         }
@@ -86,7 +86,7 @@
 
     /// The same snapshot for a new view: nothing of it is on its way there.
     pub fn for_new_view(self) -> Self {
-        let window = PARTS_IN_FLIGHT;
+        let window = CHUNKS_IN_FLIGHT;
         let sent = self.acked;
         OutgoingCopy {
             held: 0,
@@ -159,7 +159,7 @@
             // It did not hold less, as it had seemed: what was sent before is on its way.
             self.sent = offset.max(self.sent_before);
         }
-        self.window = PARTS_IN_FLIGHT.min(self.window * 2);
+        self.window = CHUNKS_IN_FLIGHT.min(self.window * 2);
         self.probe = None;
         self.repeated = false;
     }
@@ -177,32 +177,32 @@
     /// Whether a part begins there.
     fn is_place(&self, offset: u32) -> bool {
         let offset = offset as usize;
-        offset.is_multiple_of(PART_BYTES) && (offset < self.body.len() || offset == 0)
+        offset.is_multiple_of(CHUNK_BYTES) && (offset < self.body.len() || offset == 0)
     }
 
     /// Parts that were not sent yet, as far as the bound on those in flight goes.
-    pub fn next_parts(&mut self) -> Vec<Body> {
+    pub fn next_parts(&mut self) -> Vec<MessageBody> {
         let mut parts = Vec::new();
         if self.body.is_empty() && !self.begun {
             parts.push(self.part_at(0));
         }
         self.begun = true;
-        while self.sent < self.acked + self.window * PART_BYTES && self.sent < self.body.len() {
+        while self.sent < self.acked + self.window * CHUNK_BYTES && self.sent < self.body.len() {
             parts.push(self.part_at(self.sent));
-            self.sent = self.body.len().min(self.sent + PART_BYTES);
+            self.sent = self.body.len().min(self.sent + CHUNK_BYTES);
         }
         parts
     }
 
     /// The parts that are in flight for too long, and the next ones if there is room.
-    pub fn parts_again(&mut self) -> Vec<Body> {
+    pub fn parts_again(&mut self) -> Vec<MessageBody> {
         if self.probe.is_some() {
             return vec![self.first_part_again()];
         }
-        let in_flight = (0..PARTS_IN_FLIGHT).map(|n| (n, self.acked + n * PART_BYTES));
+        let in_flight = (0..CHUNKS_IN_FLIGHT).map(|n| (n, self.acked + n * CHUNK_BYTES));
         let lost = in_flight
             .filter(|(n, at)| *at < self.sent && (*n == 0 || self.held & (1 << (n - 1)) == 0));
-        let mut parts: Vec<Body> = lost.map(|(_, at)| self.part_at(at)).collect();
+        let mut parts: Vec<MessageBody> = lost.map(|(_, at)| self.part_at(at)).collect();
         if self.body.is_empty() {
             parts.push(self.part_at(0));
         }
@@ -211,14 +211,14 @@
     }
 
     /// The first part that the taker lacks, by its last word.
-    pub fn first_part_again(&self) -> Body {
+    pub fn first_part_again(&self) -> MessageBody {
         self.part_at(self.probe.unwrap_or(self.acked))
     }
 
-    fn part_at(&self, offset: usize) -> Body {
-        let end = self.body.len().min(offset + PART_BYTES);
+    fn part_at(&self, offset: usize) -> MessageBody {
+        let end = self.body.len().min(offset + CHUNK_BYTES);
         // A snapshot's length fits its id, and so does a place in it.
-        Body::part(
+        MessageBody::snapshot_chunk(
             self.id,
             u32::try_from(offset).unwrap_or(u32::MAX),
             self.body.slice(offset..end),
@@ -233,7 +233,7 @@
     /// The view in which the last part came: in a later one, any other snapshot takes its place.
     pub view: u64,
     /// When the last new part came.
-    pub at: Ms,
+    pub at: Millis,
     /// All parts from the first one on.
     body: BytesMut,
     /// Parts beyond a gap, by their places.
@@ -241,7 +241,7 @@
 }
 
 impl IncomingCopy {
-    pub fn new(id: SnapshotId, view: u64, now: Ms) -> Self {
+    pub fn new(id: SnapshotId, view: u64, now: Millis) -> Self {
         IncomingCopy {
             id,
             view,
@@ -259,24 +259,24 @@
     /// Which of the parts after the one at [`IncomingCopy::offset`] have come, the next one first.
     pub fn held(&self) -> u8 {
         let first = self.body.len();
-        let places = self.beyond.keys().map(|at| (at - first) / PART_BYTES);
+        let places = self.beyond.keys().map(|at| (at - first) / CHUNK_BYTES);
         places
-            .filter(|n| (1..PARTS_IN_FLIGHT).contains(n))
+            .filter(|n| (1..CHUNKS_IN_FLIGHT).contains(n))
             .fold(0, |held, n| held | 1 << (n - 1))
     }
 
     pub fn is_whole(&self) -> bool {
-        self.body.len() == self.id.total as usize
+        self.body.len() == self.id.total_bytes as usize
     }
 
     /// Takes a part; false if it is none of this snapshot, or too far beyond what has come to be kept.
-    pub fn take(&mut self, now: Ms, offset: u32, bytes: &Bytes) -> bool {
-        let (offset, total) = (offset as usize, self.id.total as usize);
-        let whole_part = offset.is_multiple_of(PART_BYTES)
+    pub fn take(&mut self, now: Millis, offset: u32, bytes: &Bytes) -> bool {
+        let (offset, total) = (offset as usize, self.id.total_bytes as usize);
+        let whole_part = offset.is_multiple_of(CHUNK_BYTES)
             && offset <= total
-            && bytes.len() == PART_BYTES.min(total - offset);
+            && bytes.len() == CHUNK_BYTES.min(total - offset);
         let first = self.body.len();
-        if !whole_part || offset >= first + PARTS_IN_FLIGHT * PART_BYTES {
+        if !whole_part || offset >= first + CHUNKS_IN_FLIGHT * CHUNK_BYTES {
             return false;
         }
         if offset == first {
@@ -294,6 +294,6 @@
     /// The whole snapshot; none if it isn't the one that the sender named.
     pub fn into_body(self) -> Option<Bytes> {
         let body = self.body.freeze();
-        (crc32fast::hash(&body) == self.id.digest).then_some(body)
+        (crc32fast::hash(&body) == self.id.crc32).then_some(body)
     }
 }
--- a/crates/control/chain-replication/src/lib.rs
+++ b/crates/control/chain-replication/src/lib.rs
@@ -9,7 +9,7 @@
 //! (view and number), and two logs that agree on one entry agree on all before it.
 //!
 //! A member is *in sync* in a view once it holds, on its disk, all that the head held when the view began, and a
-//! record of that ([`Write::InSync`]). Before that it neither passes on nor acknowledges. A member for which
+//! record of that ([`LogRecord::InSync`]). Before that it neither passes on nor acknowledges. A member for which
 //! `in_sync_view >= since` holds everything that was ever acknowledged: nothing could be without it since.
 
 #![expect(
@@ -29,16 +29,18 @@
 mod types;
 mod wire;
 
-pub use copy::{PARTS_IN_FLIGHT, PART_BYTES};
-pub use log::log_limit;
-pub use next::{next_view, stays_on_fresh_word, Seen, FRESH_MS, MOST_JOINING};
-pub use node::{Node, MOST_COMMAND_BYTES, MOST_UNCOMMITTED_BYTES};
+pub use copy::{CHUNKS_IN_FLIGHT, CHUNK_BYTES};
+pub use log::fair_log_limit;
+pub use next::{
+    next_view, remaining_members_recently_seen, Observation, MAX_JOINING, RECENT_CONTACT_MS,
+};
+pub use node::{Replica, MAX_COMMAND_BYTES, MAX_UNCOMMITTED_BYTES};
 pub use pass::{BATCH_BYTES, WINDOW_BYTES};
 pub use types::{
-    BadSnapshot, Machine, Member, Ms, Out, Recovered, Status, View, Write, MOST_MEMBERS,
-    MOST_SNAPSHOT_BYTES,
+    Effect, LogRecord, Member, Millis, RecoveredLog, ReplicaStatus, SnapshotError, StateMachine,
+    View, MAX_MEMBERS, MAX_SNAPSHOT_BYTES,
 };
 pub use wire::{
-    from_bytes, read_addr, read_bytes, to_bytes, write_addr, write_bytes, BadBytes, Body, Item,
-    Msg, SnapshotId,
+    from_bytes, read_addr, read_bytes, to_bytes, write_addr, write_bytes, DecodeError, Entry,
+    Message, MessageBody, SnapshotId,
 };
--- a/crates/control/chain-replication/src/log.rs
+++ b/crates/control/chain-replication/src/log.rs
@@ -11,7 +11,7 @@
 /// While one after us takes a snapshot, and until it has the entries after it, so much is kept: else each snapshot would
 /// be out of date when it has come.
 const LOG_BYTES_LAGGING: u64 = 4 * LOG_BYTES;
-/// Bytes of log that all members of a process keep together, as far as [`log_limit`] is asked: a quarter of what the
+/// Bytes of log that all members of a process keep together, as far as [`fair_log_limit`] is asked: a quarter of what the
 /// smallest machine's process may use.
 const LOG_BYTES_TOGETHER: u64 = 64 * 1024 * 1024;
 /// However many members a process has, each keeps so much: twice what may be on its way to a neighbour.
@@ -19,10 +19,10 @@
 /// What an entry costs beside its command.
 const ENTRY_COST: u64 = 64;
 
-/// How much log each member of a process may keep, by what they all hold now ([`crate::Node::log_bytes`]): whoever holds
+/// How much log each member of a process may keep, by what they all hold now ([`crate::Replica::log_bytes`]): whoever holds
 /// less than the others keeps what it has, and the rest is divided among those that hold more. Without a limit if all of
 /// it is within the bound.
-pub fn log_limit(held: impl IntoIterator<Item = u64>) -> u64 {
+pub fn fair_log_limit(held: impl IntoIterator<Item = u64>) -> u64 {
     let mut held: Vec<u64> = held.into_iter().collect();
     held.sort_unstable();
     let mut left = LOG_BYTES_TOGETHER;
--- a/crates/control/chain-replication/src/next.rs
+++ b/crates/control/chain-replication/src/next.rs
@@ -1,34 +1,34 @@
 //! The rule by which the next view follows from what is seen of the machines. Pure.
 
-use crate::types::{Member, Ms, Status, View};
+use crate::types::{Member, Millis, ReplicaStatus, View};
 
 /// Joiners at a time: each costs the tail a copy of the whole table.
-pub const MOST_JOINING: usize = 2;
+pub const MAX_JOINING: usize = 2;
 
 /// Who was heard within so long is surely there: some heartbeats, and far less than the silence that makes one dead.
-pub const FRESH_MS: Ms = 400;
+pub const RECENT_CONTACT_MS: Millis = 400;
 
 /// What is seen of a process.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Seen {
+pub struct Observation {
     /// Its id and address; `since` is not heeded.
     pub member: Member,
     /// It is there.
     pub alive: bool,
     /// What it last said of itself.
-    pub status: Option<Status>,
+    pub status: Option<ReplicaStatus>,
     /// Its zone, as a number.
     pub zone: u64,
     /// It is about to stop: it goes to the end, or out.
-    pub leaving: bool,
+    pub draining: bool,
     /// It is being retired: it goes out once enough others are in sync.
-    pub unwanted: bool,
+    pub retiring: bool,
 }
 
 /// A member of the present view with what is seen of it.
 struct Standing<'a> {
     member: &'a Member,
-    seen: &'a Seen,
+    seen: &'a Observation,
     /// It holds all that was ever acknowledged.
     entitled: bool,
     /// It is in sync in the present view.
@@ -37,7 +37,7 @@
 
 impl Standing<'_> {
     fn stays(&self) -> bool {
-        !self.seen.leaving && !self.seen.unwanted
+        !self.seen.draining && !self.seen.retiring
     }
 }
 
@@ -48,17 +48,18 @@
 /// acknowledged; the first such is the head.
 pub fn next_view(
     now_view: &View,
-    seen: &[Seen],
+    seen: &[Observation],
     wanted_len: usize,
     least_len: usize,
 ) -> Option<View> {
     let find = |member: &Member| {
         let replaced =
-            |s: &Seen| s.alive && s.member.addr == member.addr && s.member.id != member.id;
+            |s: &Observation| s.alive && s.member.addr == member.addr && s.member.id != member.id;
         if seen.iter().any(replaced) {
             return None;
         }
-        seen.iter().find(|s| s.alive && s.member.is(member))
+        seen.iter()
+            .find(|s| s.alive && s.member.is_same_process(member))
     };
     let mut standing: Vec<Standing> = now_view
         .members
@@ -76,9 +77,12 @@
         .collect();
     // The head of a founding view has nothing to hold yet, and one that has said nothing yet was entitled when it was
     // made head. One that says that it no longer holds what it must has lost it.
-    let head_there = standing
-        .first()
-        .is_some_and(|s| now_view.members.first().is_some_and(|m| m.is(s.member)));
+    let head_there = standing.first().is_some_and(|s| {
+        now_view
+            .members
+            .first()
+            .is_some_and(|m| m.is_same_process(s.member))
+    });
     if let (true, Some(head)) = (head_there, standing.first_mut()) {
         head.entitled |= head.seen.status.is_none() || head.member.since == now_view.number;
     }
@@ -86,7 +90,7 @@
     // Who is retired or about to stop goes once enough others hold all.
     let usable = seen
         .iter()
-        .filter(|s| s.alive && !s.leaving && !s.unwanted)
+        .filter(|s| s.alive && !s.draining && !s.retiring)
         .count();
     let enough = usable.clamp(least_len.min(wanted_len), wanted_len).max(1);
     let staying = standing
@@ -95,7 +99,7 @@
         .count();
     standing.retain(|s| {
         let out =
-            s.seen.unwanted && staying >= enough || s.seen.leaving && staying >= least_len.max(1);
+            s.seen.retiring && staying >= enough || s.seen.draining && staying >= least_len.max(1);
         !out
     });
     // One too many, after one about to stop came back: the last goes.
@@ -103,9 +107,9 @@
         standing.pop();
     }
     // The rest of those about to stop goes to the end, so that the head stays when they stop.
-    let could_lead = standing.iter().any(|s| s.entitled && !s.seen.leaving);
+    let could_lead = standing.iter().any(|s| s.entitled && !s.seen.draining);
     if could_lead {
-        standing.sort_by_key(|s| s.seen.leaving);
+        standing.sort_by_key(|s| s.seen.draining);
     }
     let head = standing.iter().position(|s| s.entitled)?;
     let head = standing.remove(head);
@@ -122,7 +126,7 @@
 
     let mut joining = Vec::new();
     for joiner in &now_view.joining {
-        let Some(seen) = find(joiner).filter(|s| !s.leaving && !s.unwanted) else {
+        let Some(seen) = find(joiner).filter(|s| !s.draining && !s.retiring) else {
             continue;
         };
         if room == 0 {
@@ -142,16 +146,19 @@
             joining.push(joiner.clone());
         }
     }
-    while room > 0 && joining.len() < MOST_JOINING {
-        let fit = |s: &&Seen| {
+    while room > 0 && joining.len() < MAX_JOINING {
+        let fit = |s: &&Observation| {
             s.alive
-                && !s.leaving
-                && !s.unwanted
+                && !s.draining
+                && !s.retiring
                 && !members
                     .iter()
                     .chain(&joining)
                     .any(|m| m.addr == s.member.addr)
-                && !now_view.members.iter().any(|m| m.is(&s.member))
+                && !now_view
+                    .members
+                    .iter()
+                    .any(|m| m.is_same_process(&s.member))
         };
         // Another zone first, then the order in which they were given.
         let Some(best) = seen
@@ -179,7 +186,7 @@
             .joining
             .iter()
             .zip(&now_view.joining)
-            .all(|(a, b)| a.is(b));
+            .all(|(a, b)| a.is_same_process(b));
     (!same).then_some(next)
 }
 
@@ -189,15 +196,19 @@
 ///
 /// `silent_for_ms` is how long ago a member was there for certain, dated by the question that it answered, not by the
 /// arrival of a word that may have been long on its way; 0 for oneself.
-pub fn stays_on_fresh_word(
+pub fn remaining_members_recently_seen(
     now_view: &View,
     next: &View,
-    silent_for_ms: &dyn Fn(&Member) -> Ms,
+    silent_for_ms: &dyn Fn(&Member) -> Millis,
 ) -> bool {
-    let dropped = now_view.members.iter().any(|m| next.place(m).is_none());
+    let dropped = now_view.members.iter().any(|m| next.position(m).is_none());
     let head_changes = match (now_view.members.first(), next.members.first()) {
-        (Some(old), Some(new)) => !old.is(new),
+        (Some(old), Some(new)) => !old.is_same_process(new),
         _ => false,
     };
-    !(dropped || head_changes) || next.members.iter().all(|m| silent_for_ms(m) <= FRESH_MS)
+    !(dropped || head_changes)
+        || next
+            .members
+            .iter()
+            .all(|m| silent_for_ms(m) <= RECENT_CONTACT_MS)
 }
--- a/crates/control/chain-replication/src/node.rs
+++ b/crates/control/chain-replication/src/node.rs
@@ -8,14 +8,16 @@
 use crate::copy::IncomingCopy;
 use crate::log::Log;
 use crate::pass::Down;
-use crate::types::{Machine, Member, Ms, Out, Recovered, View, Write, MOST_MEMBERS};
-use crate::wire::{Body, Msg};
+use crate::types::{
+    Effect, LogRecord, Member, Millis, RecoveredLog, StateMachine, View, MAX_MEMBERS,
+};
+use crate::wire::{Message, MessageBody};
 
 /// A command's bytes at most: the largest configuration (4 MiB) with what identifies it. It has to fit a frame between
 /// peers (8 MiB) with room to spare.
-pub const MOST_COMMAND_BYTES: usize = 4 * 1024 * 1024 + 4 * 1024;
+pub const MAX_COMMAND_BYTES: usize = 4 * 1024 * 1024 + 4 * 1024;
 /// Bytes that may wait for their commit at the head: beyond it nothing more is taken, so memory stays bounded.
-pub const MOST_UNCOMMITTED_BYTES: u64 = 4 * 1024 * 1024;
+pub const MAX_UNCOMMITTED_BYTES: u64 = 4 * 1024 * 1024;
 
 /// What has to happen once a ticket's record is on disk.
 #[derive(Debug)]
@@ -41,7 +43,7 @@
 
 /// One member of a chain.
 #[derive(Debug)]
-pub struct Node<M> {
+pub struct Replica<M> {
     pub(crate) me: Member,
     pub(crate) machine: M,
     pub(crate) view: Option<View>,
@@ -50,7 +52,7 @@
     pub(crate) in_sync_view: u64,
     in_sync_asked: u64,
     pub(crate) log: Log,
-    /// Bytes of log at most, beside its own bounds: see [`Node::limit_log`].
+    /// Bytes of log at most, beside its own bounds: see [`Replica::set_log_limit`].
     pub(crate) log_limit: u64,
     /// All up to these is on our disk; in our table; on all disks.
     pub(crate) synced: u64,
@@ -59,7 +61,7 @@
     /// All up to this is on the disks of all members of this view, by the tail's word.
     pub(crate) on_all: u64,
     /// The same by the number of members, over all views of this process's life.
-    pub(crate) on_so_many: [u64; MOST_MEMBERS as usize + 1],
+    pub(crate) on_so_many: [u64; MAX_MEMBERS as usize + 1],
     /// Our whole log belongs to the history of this view's head.
     pub(crate) matched: bool,
     /// Who holds all up to this is in sync in this view.
@@ -68,7 +70,7 @@
     pub(crate) newest: u64,
     pub(crate) up: Option<Member>,
     /// When we last said what we have.
-    pub(crate) told_at: Option<Ms>,
+    pub(crate) told_at: Option<Millis>,
     /// What our disk held by our last word to the one before us.
     pub(crate) acked: u64,
     /// The one before us was told that we and all after us are in sync.
@@ -86,14 +88,14 @@
     epoch: u64,
     /// Our own snapshot could not be read: until we join anew we are no member, whatever the view says.
     state_lost: bool,
-    pub(crate) out: Vec<Out>,
+    pub(crate) out: Vec<Effect>,
 }
 
-impl<M: Machine> Node<M> {
+impl<M: StateMachine> Replica<M> {
     /// A node with what its disk holds; all of `recovered` must be synced. With a snapshot that can't be read it takes
     /// part in no view before it has joined anew; the owner checks that first if it wants to tell it as corruption.
-    pub fn new(me: Member, machine: M, recovered: Recovered) -> Self {
-        let mut node = Node {
+    pub fn new(me: Member, machine: M, recovered: RecoveredLog) -> Self {
+        let mut node = Replica {
             me,
             machine,
             view: None,
@@ -106,7 +108,7 @@
             applied: 0,
             committed: 0,
             on_all: 0,
-            on_so_many: [0; MOST_MEMBERS as usize + 1],
+            on_so_many: [0; MAX_MEMBERS as usize + 1],
             matched: false,
             needed: 0,
             newest: 0,
@@ -148,12 +150,12 @@
         node.synced = node.log.last();
         node.applied = node.log.last();
         node.view = recovered.view;
-        node.begin(None);
+        node.start_view(None);
         node
     }
 
     /// Takes up a newer view; others are left alone.
-    pub fn enter(&mut self, now: Ms, view: View) {
+    pub fn install_view(&mut self, now: Millis, view: View) {
         if self
             .view
             .as_ref()
@@ -161,21 +163,21 @@
         {
             return;
         }
-        self.write(Write::View { view: view.clone() }, Pending::View);
+        self.write(LogRecord::View { view: view.clone() }, Pending::View);
         self.view = Some(view);
-        self.begin(Some(now));
+        self.start_view(Some(now));
     }
 
     /// Finds its place in the view, new or as recovered, and greets its neighbours.
-    fn begin(&mut self, now: Option<Ms>) {
+    fn start_view(&mut self, now: Option<Millis>) {
         let Some(view) = self.view.as_ref() else {
             return;
         };
         let number = view.number;
-        let place = match view.place(&self.me) {
+        let place = match view.position(&self.me) {
             Some(_) if self.state_lost => Place::Outside,
             Some(place) => Place::Member(place),
-            None if view.joining.iter().any(|m| m.is(&self.me)) => Place::Joining,
+            None if view.joining.iter().any(|m| m.is_same_process(&self.me)) => Place::Joining,
             None => Place::Outside,
         };
         let up = neighbour_before(view, place);
@@ -223,14 +225,13 @@
     }
 
     /// Takes a command if it is the head and there is room; its number, under which it is applied here already.
-    pub fn propose(&mut self, _now: Ms, command: Bytes) -> Option<u64> {
+    pub fn propose(&mut self, _now: Millis, command: Bytes) -> Option<u64> {
         let view = self.view_number();
         let waiting = self
             .log
             .end_at(self.log.last())
             .saturating_sub(self.log.end_at(self.committed));
-        if !self.is_head() || command.len() > MOST_COMMAND_BYTES || waiting > MOST_UNCOMMITTED_BYTES
-        {
+        if !self.is_head() || command.len() > MAX_COMMAND_BYTES || waiting > MAX_UNCOMMITTED_BYTES {
             return None;
         }
         let number = self.log.last() + 1;
@@ -242,7 +243,7 @@
     }
 
     /// Takes a word of a peer.
-    pub fn message(&mut self, now: Ms, from: SocketAddr, msg: Msg) {
+    pub fn handle_message(&mut self, now: Millis, from: SocketAddr, msg: Message) {
         // Meant for another machine that had this address: nothing that it says is about us.
         if msg.to != self.me.id {
             self.passed_over += 1;
@@ -263,18 +264,18 @@
             .position(|d| d.peer.id == msg.from && d.peer.addr == from);
         self.passed_over += u64::from(!up && down.is_none());
         match msg.body {
-            Body::Ask if up => self.tell_what_we_have(now),
-            Body::Entries {
-                before,
-                before_view,
-                needed,
-                newest,
+            MessageBody::RequestPosition if up => self.tell_what_we_have(now),
+            MessageBody::AppendEntries {
+                previous: before,
+                previous_view: before_view,
+                catch_up_target: needed,
+                newest_synced: newest,
                 committed,
-                items,
+                entries: items,
             } if up => {
                 self.take_entries(now, (before, before_view), needed, newest, committed, items);
             }
-            Body::Part {
+            MessageBody::SnapshotChunk {
                 id,
                 offset,
                 checksum,
@@ -282,12 +283,12 @@
             } if up => {
                 self.take_part(now, id, offset, checksum, &bytes);
             }
-            Body::Have { number, last_view } => {
+            MessageBody::LogPosition { number, last_view } => {
                 if let Some(at) = down {
                     self.down_has(now, at, (number, last_view), None);
                 }
             }
-            Body::Resume {
+            MessageBody::ResumeSnapshot {
                 number,
                 last_view,
                 id,
@@ -297,7 +298,7 @@
                     self.down_has(now, at, (number, last_view), Some((id, offset)));
                 }
             }
-            Body::Ack {
+            MessageBody::Acknowledge {
                 synced,
                 committed,
                 in_sync,
@@ -306,7 +307,11 @@
                     self.down_acked(now, at, synced, committed, in_sync);
                 }
             }
-            Body::PartAck { id, offset, held } => {
+            MessageBody::ChunkAcknowledgement {
+                id,
+                offset,
+                received_beyond: held,
+            } => {
                 if let Some(at) = down {
                     self.down_took_part(now, at, id, offset, held);
                 }
@@ -316,7 +321,7 @@
     }
 
     /// All records up to this ticket are on disk.
-    pub fn synced(&mut self, now: Ms, ticket: u64) {
+    pub fn handle_synced(&mut self, now: Millis, ticket: u64) {
         while self.pending.front().is_some_and(|(t, _)| *t <= ticket) {
             match self.pending.pop_front() {
                 Some((_, Pending::Entries { epoch, number })) if epoch == self.epoch => {
@@ -331,7 +336,7 @@
         self.apply_up_to(self.synced);
         let on_all = self.on_all;
         self.settle();
-        if self.active() {
+        if self.is_active() {
             self.pump_all(now);
         }
         self.ack_after_sync(on_all);
@@ -344,9 +349,9 @@
             .trim(self.applied.min(self.synced), one_lags, self.log_limit);
     }
 
-    /// Bounds what it keeps of its log, where a process has many members: see [`crate::log_limit`]. What is not applied
+    /// Bounds what it keeps of its log, where a process has many members: see [`crate::fair_log_limit`]. What is not applied
     /// and on its disk is kept in any case.
-    pub fn limit_log(&mut self, bytes: u64) {
+    pub fn set_log_limit(&mut self, bytes: u64) {
         self.log_limit = bytes;
         self.trim_log();
     }
@@ -363,11 +368,11 @@
         if member && self.matched && self.synced >= self.needed && self.in_sync_asked < number {
             self.in_sync_asked = number;
             self.write(
-                Write::InSync { view: number },
+                LogRecord::InSync { view: number },
                 Pending::InSync { view: number },
             );
         }
-        if self.is_tail() && self.active() {
+        if self.is_tail() && self.is_active() {
             self.held_by_all(self.synced);
         }
     }
@@ -389,7 +394,7 @@
         };
         if number > self.committed || on_more {
             self.committed = self.committed.max(number);
-            self.out.push(Out::Committed {
+            self.out.push(Effect::Committed {
                 number: self.committed,
             });
         }
@@ -401,7 +406,7 @@
         let number = number.min(self.log.last());
         if number > self.committed {
             self.committed = number;
-            self.out.push(Out::Committed { number });
+            self.out.push(Effect::Committed { number });
         }
     }
 
@@ -434,10 +439,10 @@
         self.matched = true;
         // The sender was in sync, so its state has all that is needed.
         self.needed = self.needed.max(number);
-        self.out.push(Out::Reset);
+        self.out.push(Effect::SnapshotInstalled);
         let epoch = self.epoch;
         self.write(
-            Write::Snapshot {
+            LogRecord::Snapshot {
                 view: last_view,
                 number,
                 body,
@@ -450,7 +455,7 @@
     pub(crate) fn write_entry(&mut self, view: u64, number: u64, command: Bytes) {
         let epoch = self.epoch;
         self.write(
-            Write::Entry {
+            LogRecord::Entry {
                 view,
                 number,
                 command,
@@ -459,33 +464,36 @@
         );
     }
 
-    fn write(&mut self, write: Write, pending: Pending) {
+    fn write(&mut self, write: LogRecord, pending: Pending) {
         self.ticket += 1;
         self.pending.push_back((self.ticket, pending));
-        self.out.push(Out::Write {
+        self.out.push(Effect::Write {
             ticket: self.ticket,
-            write,
+            record: write,
         });
     }
 
-    pub(crate) fn send(&mut self, to: &Member, body: Body) {
-        let msg = Msg {
+    pub(crate) fn send(&mut self, to: &Member, body: MessageBody) {
+        let msg = Message {
             view: self.view_number(),
             from: self.me.id,
             to: to.id,
             body,
         };
-        self.out.push(Out::Send { to: to.addr, msg });
+        self.out.push(Effect::Send {
+            to: to.addr,
+            message: msg,
+        });
     }
 
     /// Time passes: what was not answered is said again.
-    pub fn tick(&mut self, now: Ms) {
+    pub fn tick(&mut self, now: Millis) {
         self.tick_up(now);
         self.tick_downs(now);
     }
 
     /// What the owner is to do.
-    pub fn take(&mut self) -> Vec<Out> {
+    pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.out)
     }
 }
--- a/crates/control/chain-replication/src/pass.rs
+++ b/crates/control/chain-replication/src/pass.rs
@@ -2,18 +2,18 @@
 
 use crate::copy::OutgoingCopy;
 use crate::log::LOG_BYTES;
-use crate::node::Node;
-use crate::types::{Machine, Member, Ms};
-use crate::wire::{Body, Item, SnapshotId};
+use crate::node::Replica;
+use crate::types::{Member, Millis, StateMachine};
+use crate::wire::{Entry, MessageBody, SnapshotId};
 
 /// A frame's commands, in bytes; a single larger one goes alone.
 pub const BATCH_BYTES: usize = 64 * 1024;
 /// Bytes on their way to a neighbour that it has not acknowledged: some round trips of a machine's link.
 pub const WINDOW_BYTES: u64 = 512 * 1024;
 /// Who does not answer is asked again so often.
-pub(crate) const ASK_MS: Ms = 200;
+pub(crate) const ASK_MS: Millis = 200;
 /// What was not acknowledged for so long is sent again: many syncs and round trips, far below a view's change.
-const RESEND_MS: Ms = 300;
+const RESEND_MS: Millis = 300;
 /// Bytes a millisecond that a link, and a member's share of a processor, carry at least: entries of megabytes are not
 /// sent again while the first copy of them is still on its way.
 const LEAST_LINK_RATE: u64 = 8_000;
@@ -39,7 +39,7 @@
     /// One that was on its way in an earlier view: it goes on if the taker holds a beginning of it.
     pub earlier_copy: Option<OutgoingCopy>,
     /// When something last went to it or came from it.
-    pub(crate) at: Option<Ms>,
+    pub(crate) at: Option<Millis>,
     /// How often the same was sent again since it last took something new.
     pub(crate) resends: u32,
 }
@@ -68,13 +68,13 @@
     }
 
     /// How long it may be silent before the same is sent again, with so many bytes on their way to it.
-    fn resend_after(&self, on_the_way: u64) -> Ms {
+    fn resend_after(&self, on_the_way: u64) -> Millis {
         (RESEND_MS + on_the_way / LEAST_LINK_RATE) << self.resends.min(MOST_DOUBLINGS)
     }
 
     /// How long nothing has gone to it nor come from it.
-    pub(crate) fn idle(&self, now: Ms) -> Ms {
-        self.at.map_or(Ms::MAX, |at| now.saturating_sub(at))
+    pub(crate) fn idle(&self, now: Millis) -> Millis {
+        self.at.map_or(Millis::MAX, |at| now.saturating_sub(at))
     }
 
     /// It has all up to this number.
@@ -86,10 +86,10 @@
     }
 }
 
-impl<M: Machine> Node<M> {
+impl<M: StateMachine> Replica<M> {
     /// Asks those after us who have not said what they have.
-    pub(crate) fn ask_downs(&mut self, now: Ms) {
-        if !self.active() {
+    pub(crate) fn ask_downs(&mut self, now: Millis) {
+        if !self.is_active() {
             return;
         }
         for at in 0..self.downs.len() {
@@ -99,7 +99,7 @@
             if down.next.is_none() && down.copy.is_none() {
                 down.at = Some(now);
                 let peer = down.peer.clone();
-                self.send(&peer, Body::Ask);
+                self.send(&peer, MessageBody::RequestPosition);
             }
         }
     }
@@ -107,12 +107,12 @@
     /// One after us says where its log ends, and what it holds of a snapshot.
     pub(crate) fn down_has(
         &mut self,
-        now: Ms,
+        now: Millis,
         at: usize,
         (number, last_view): (u64, u64),
         holds: Option<(SnapshotId, u32)>,
     ) {
-        if !self.active() {
+        if !self.is_active() {
             return;
         }
         let known = self.log.view_at(number) == Some(last_view);
@@ -141,13 +141,13 @@
 
     pub(crate) fn down_acked(
         &mut self,
-        now: Ms,
+        now: Millis,
         at: usize,
         synced: u64,
         committed: u64,
         in_sync: bool,
     ) {
-        if !self.active() {
+        if !self.is_active() {
             return;
         }
         let own = self.synced;
@@ -168,7 +168,7 @@
         self.pump(now, at);
     }
 
-    pub(crate) fn pump_all(&mut self, now: Ms) {
+    pub(crate) fn pump_all(&mut self, now: Millis) {
         self.ask_downs(now);
         for at in 0..self.downs.len() {
             if self
@@ -183,15 +183,15 @@
     }
 
     /// Sends what our disk holds, as far as the window goes.
-    fn pump(&mut self, now: Ms, at: usize) {
-        if !self.active() {
+    fn pump(&mut self, now: Millis, at: usize) {
+        if !self.is_active() {
             return;
         }
         while self.send_batch(now, at, false) {}
     }
 
     /// Sends one frame; false if there is nothing to send or no room. `always`: also an empty one.
-    fn send_batch(&mut self, now: Ms, at: usize, always: bool) -> bool {
+    fn send_batch(&mut self, now: Millis, at: usize, always: bool) -> bool {
         let Some(down) = self.downs.get_mut(at) else {
             return false;
         };
@@ -220,7 +220,7 @@
                 break;
             }
             bytes += entry.command.len() + 16;
-            items.push(Item {
+            items.push(Entry {
                 view: entry.view,
                 command: entry.command.clone(),
             });
@@ -230,13 +230,13 @@
         down.at = Some(now);
         let more = !items.is_empty();
         let peer = down.peer.clone();
-        let body = Body::Entries {
-            before,
-            before_view,
-            needed: self.needed,
-            newest: self.synced,
+        let body = MessageBody::AppendEntries {
+            previous: before,
+            previous_view: before_view,
+            catch_up_target: self.needed,
+            newest_synced: self.synced,
             committed: self.committed,
-            items,
+            entries: items,
         };
         self.send(&peer, body);
         more
@@ -255,8 +255,8 @@
     }
 
     /// Says again what was not answered.
-    pub(crate) fn tick_downs(&mut self, now: Ms) {
-        if !self.active() {
+    pub(crate) fn tick_downs(&mut self, now: Millis) {
+        if !self.is_active() {
             return;
         }
         for at in 0..self.downs.len() {
@@ -274,7 +274,7 @@
                 if idle >= ASK_MS {
                     down.at = Some(now);
                     let peer = down.peer.clone();
-                    self.send(&peer, Body::Ask);
+                    self.send(&peer, MessageBody::RequestPosition);
                 }
             } else {
                 let waits =
--- a/crates/control/chain-replication/src/pass_copy.rs
+++ b/crates/control/chain-replication/src/pass_copy.rs
@@ -3,21 +3,23 @@
 use bytes::Bytes;
 
 use crate::copy::{OutgoingCopy, Progress};
-use crate::node::Node;
+use crate::node::Replica;
 use crate::pass::{Down, ASK_MS};
-use crate::types::{Machine, Ms, MOST_SNAPSHOT_BYTES};
-use crate::wire::{Body, SnapshotId};
+use crate::types::{Millis, StateMachine, MAX_SNAPSHOT_BYTES};
+use crate::wire::{MessageBody, SnapshotId};
 
 impl Down {
     /// Takes over the copy that was on its way to the same process in the view before.
     pub fn take_over_copy(&mut self, before: &mut [Down]) {
-        let same = before.iter_mut().find(|down| down.peer.is(&self.peer));
+        let same = before
+            .iter_mut()
+            .find(|down| down.peer.is_same_process(&self.peer));
         let copy = same.and_then(|down| down.copy.take().or(down.earlier_copy.take()));
         self.earlier_copy = copy.map(OutgoingCopy::for_new_view);
     }
 }
 
-impl<M: Machine> Node<M> {
+impl<M: StateMachine> Replica<M> {
     /// A snapshot is of use only while our log goes on from it: one that was overtaken is made anew.
     pub(crate) fn keep_usable_copy(&mut self, at: usize) {
         let Some(down) = self.downs.get_mut(at) else {
@@ -33,7 +35,7 @@
             return;
         };
         let body = Bytes::from(self.machine.snapshot());
-        if body.len() > MOST_SNAPSHOT_BYTES as usize {
+        if body.len() > MAX_SNAPSHOT_BYTES as usize {
             return;
         }
         let copy = OutgoingCopy::new(self.applied, last_view, body);
@@ -44,7 +46,12 @@
 
     /// Goes on from what the taker holds. What it held already is no reason to send anything again: that has its own
     /// time, and a word may be older than the parts that are on their way. Only the first one that it lacks is.
-    pub(crate) fn copy_goes_on(&mut self, now: Ms, at: usize, holds: Option<(SnapshotId, u32)>) {
+    pub(crate) fn copy_goes_on(
+        &mut self,
+        now: Millis,
+        at: usize,
+        holds: Option<(SnapshotId, u32)>,
+    ) {
         let Some(down) = self.downs.get_mut(at) else {
             return;
         };
@@ -70,9 +77,9 @@
     /// Sends parts of a snapshot.
     pub(crate) fn send_parts(
         &mut self,
-        now: Ms,
+        now: Millis,
         at: usize,
-        which: impl FnOnce(&mut OutgoingCopy) -> Vec<Body>,
+        which: impl FnOnce(&mut OutgoingCopy) -> Vec<MessageBody>,
     ) {
         let synced = self.synced;
         let Some(down) = self.downs.get_mut(at) else {
@@ -95,7 +102,7 @@
 
     pub(crate) fn down_took_part(
         &mut self,
-        now: Ms,
+        now: Millis,
         at: usize,
         id: SnapshotId,
         offset: u32,
--- a/crates/control/chain-replication/src/query.rs
+++ b/crates/control/chain-replication/src/query.rs
@@ -2,13 +2,13 @@
 
 use bytes::Bytes;
 
-use crate::node::{Node, Place};
-use crate::types::{Machine, Status, View, Write};
+use crate::node::{Place, Replica};
+use crate::types::{LogRecord, ReplicaStatus, StateMachine, View};
 
-impl<M: Machine> Node<M> {
+impl<M: StateMachine> Replica<M> {
     /// The table. At the head it has all that was proposed, elsewhere all that the own disk holds; a tail's table is
-    /// committed (read it only while [`Node::active`]).
-    pub fn machine(&self) -> &M {
+    /// committed (read it only while [`Replica::is_active`]).
+    pub fn state_machine(&self) -> &M {
         &self.machine
     }
 
@@ -37,17 +37,17 @@
     }
 
     /// The newest view that a peer spoke of: above its own, the owner should ask for it.
-    pub fn newest_heard(&self) -> u64 {
+    pub fn newest_view_observed(&self) -> u64 {
         self.newer_seen
     }
 
     /// Words that were passed over since the start: of another view, of no neighbour in it, or for another identity.
-    pub fn passed_over(&self) -> u64 {
+    pub fn ignored_messages(&self) -> u64 {
         self.passed_over
     }
 
     /// The newest entry held.
-    pub fn received(&self) -> u64 {
+    pub fn last_received(&self) -> u64 {
         self.log.last()
     }
 
@@ -57,9 +57,9 @@
     }
 
     /// All up to this was committed in a view of so many members or more, as far as is known here: what an owner may
-    /// acknowledge. It can lag behind [`Node::committed`] where the chain had shrunk, and catches up with an
+    /// acknowledge. It can lag behind [`Replica::committed`] where the chain had shrunk, and catches up with an
     /// `Out::Committed` of a longer view.
-    pub fn committed_by(&self, members: usize) -> u64 {
+    pub fn committed_with_members(&self, members: usize) -> u64 {
         self.on_so_many
             .get(members..)
             .and_then(|most| most.iter().max().copied())
@@ -72,36 +72,36 @@
     }
 
     /// What it says of itself.
-    pub fn status(&self) -> Status {
-        Status {
+    pub fn status(&self) -> ReplicaStatus {
+        ReplicaStatus {
             id: self.me.id,
             view: self.view_number(),
             in_sync_view: self.in_sync_view,
-            received: self.log.last(),
+            last_received: self.log.last(),
             caught_up: self.caught_up(),
         }
     }
 
     /// A member in sync in its view, by its disk: it passes on and acknowledges.
-    pub fn active(&self) -> bool {
+    pub fn is_active(&self) -> bool {
         let view = self.view_number();
         matches!(self.place, Place::Member(_)) && view > 0 && self.in_sync_view == view
     }
 
     /// It and all after it are in sync in this view: at the head, that commits can happen.
-    pub fn ready(&self) -> bool {
-        self.active() && self.downs.iter().all(|d| d.joining || d.in_sync)
+    pub fn is_ready(&self) -> bool {
+        self.is_active() && self.downs.iter().all(|d| d.joining || d.in_sync)
     }
 
     /// Records that hold all that this node has, for a file begun anew: view, in sync, state, entries after it.
-    pub fn whole(&self) -> Vec<Write> {
+    pub fn snapshot_records(&self) -> Vec<LogRecord> {
         let mut records = Vec::new();
         if let Some(view) = &self.view {
-            records.push(Write::View { view: view.clone() });
+            records.push(LogRecord::View { view: view.clone() });
         }
         if let Some(view) = self.log.view_at(self.applied) {
             let body = Bytes::from(self.machine.snapshot());
-            records.push(Write::Snapshot {
+            records.push(LogRecord::Snapshot {
                 view,
                 number: self.applied,
                 body,
@@ -109,7 +109,7 @@
         }
         for number in self.applied + 1..=self.log.last() {
             if let Some(entry) = self.log.get(number) {
-                records.push(Write::Entry {
+                records.push(LogRecord::Entry {
                     view: entry.view,
                     number,
                     command: entry.command.clone(),
@@ -117,7 +117,7 @@
             }
         }
         if self.in_sync_view > 0 {
-            records.push(Write::InSync {
+            records.push(LogRecord::InSync {
                 view: self.in_sync_view,
             });
         }
--- a/crates/control/chain-replication/src/receive.rs
+++ b/crates/control/chain-replication/src/receive.rs
@@ -3,41 +3,41 @@
 use bytes::Bytes;
 
 use crate::copy::IncomingCopy;
-use crate::node::{Node, Place, MOST_UNCOMMITTED_BYTES};
+use crate::node::{Place, Replica, MAX_UNCOMMITTED_BYTES};
 use crate::pass::{ASK_MS, WINDOW_BYTES};
-use crate::types::{Machine, Ms, MOST_SNAPSHOT_BYTES};
-use crate::wire::{part_checksum, Body, Item, SnapshotId};
+use crate::types::{Millis, StateMachine, MAX_SNAPSHOT_BYTES};
+use crate::wire::{chunk_checksum, Entry, MessageBody, SnapshotId};
 
 /// A gap is asked about so often at most: the frames behind a lost one all show the same gap.
-const GAP_MS: Ms = 50;
+const GAP_MS: Millis = 50;
 /// A snapshot of which no part came for so long: what we hold is said again until it goes on.
-const STALLED_COPY_MS: Ms = 1_500;
+const STALLED_COPY_MS: Millis = 1_500;
 /// A joiner so near to the newest is caught up: a view change hands it the rest within a few frames.
 const CAUGHT_UP_WITHIN: u64 = 256;
 /// And by so many bytes, judged by the size of the entries that it holds: as a member it is waited for, so it must not
 /// lack more than a chain may have uncommitted anyway.
-const CAUGHT_UP_WITHIN_BYTES: u64 = MOST_UNCOMMITTED_BYTES;
+const CAUGHT_UP_WITHIN_BYTES: u64 = MAX_UNCOMMITTED_BYTES;
 
-impl<M: Machine> Node<M> {
+impl<M: StateMachine> Replica<M> {
     /// Says to the one before us where our log ends, and what of a snapshot has come.
-    pub(crate) fn tell_what_we_have(&mut self, now: Ms) {
+    pub(crate) fn tell_what_we_have(&mut self, now: Millis) {
         let Some(up) = self.up.clone() else { return };
         self.told_at = Some(now);
         let (number, last_view) = (self.log.last(), self.log.last_view());
         let begun = self.incoming.as_ref().filter(|copy| copy.offset() > 0);
         let word = match begun {
-            Some(copy) => Body::Resume {
+            Some(copy) => MessageBody::ResumeSnapshot {
                 number,
                 last_view,
                 id: copy.id,
                 offset: copy.offset(),
             },
-            None => Body::Have { number, last_view },
+            None => MessageBody::LogPosition { number, last_view },
         };
         self.send(&up, word);
     }
 
-    fn tell_of_gap(&mut self, now: Ms) {
+    fn tell_of_gap(&mut self, now: Millis) {
         if self
             .told_at
             .is_none_or(|at| now.saturating_sub(at) >= GAP_MS)
@@ -48,12 +48,12 @@
 
     pub(crate) fn take_entries(
         &mut self,
-        now: Ms,
+        now: Millis,
         (before, before_view): (u64, u64),
         needed: u64,
         newest: u64,
         committed: u64,
-        items: Vec<Item>,
+        items: Vec<Entry>,
     ) {
         let last = self.log.last();
         let end = before.saturating_add(items.len() as u64);
@@ -101,11 +101,11 @@
             return;
         }
         self.acked = self.synced;
-        let in_sync = self.ready();
+        let in_sync = self.is_ready();
         self.told_in_sync |= in_sync;
         self.send(
             &up,
-            Body::Ack {
+            MessageBody::Acknowledge {
                 synced: self.synced,
                 committed: self.on_all,
                 in_sync,
@@ -122,7 +122,7 @@
             .saturating_sub(self.log.end_at(self.acked));
         let last = self.is_tail() || self.place == Place::Joining;
         let due = self.synced > self.acked && (last || held >= WINDOW_BYTES / 4);
-        if due || self.on_all > on_all_before || self.ready() && !self.told_in_sync {
+        if due || self.on_all > on_all_before || self.is_ready() && !self.told_in_sync {
             self.ack_up();
         }
     }
@@ -130,13 +130,13 @@
     /// Takes a part of a snapshot. One that is spoilt is as good as lost.
     pub(crate) fn take_part(
         &mut self,
-        now: Ms,
+        now: Millis,
         id: SnapshotId,
         offset: u32,
         checksum: u32,
         bytes: &Bytes,
     ) {
-        if checksum != part_checksum(&id, offset, bytes) {
+        if checksum != chunk_checksum(&id, offset, bytes) {
             return;
         }
         if self.matched && id.number <= self.log.last() {
@@ -151,7 +151,7 @@
                 .incoming
                 .as_ref()
                 .is_some_and(|copy| copy.view == view && copy.id.number > id.number);
-            if is_old || id.total > MOST_SNAPSHOT_BYTES {
+            if is_old || id.total_bytes > MAX_SNAPSHOT_BYTES {
                 return;
             }
             if offset > 0 {
@@ -171,10 +171,10 @@
             return;
         }
         if !copy.is_whole() {
-            let word = Body::PartAck {
+            let word = MessageBody::ChunkAcknowledgement {
                 id,
                 offset: copy.offset(),
-                held: copy.held(),
+                received_beyond: copy.held(),
             };
             let Some(up) = self.up.clone() else { return };
             self.send(&up, word);
@@ -190,7 +190,7 @@
     }
 
     /// Says again what we have while the one before us has not gone on from there.
-    pub(crate) fn tick_up(&mut self, now: Ms) {
+    pub(crate) fn tick_up(&mut self, now: Millis) {
         let due = self
             .told_at
             .is_none_or(|at| now.saturating_sub(at) >= ASK_MS);
--- a/crates/control/chain-replication/src/types.rs
+++ b/crates/control/chain-replication/src/types.rs
@@ -6,17 +6,17 @@
 use bytes::Bytes;
 
 use crate::wire::{
-    from_bytes, read_addr, read_bytes, to_bytes, write_addr, write_bytes, BadBytes, Msg,
+    from_bytes, read_addr, read_bytes, to_bytes, write_addr, write_bytes, DecodeError, Message,
 };
 
 /// Milliseconds on a steady clock.
-pub type Ms = u64;
+pub type Millis = u64;
 
 /// Members of a view at most: chains are 2 to 4 long; the rest is room for what a faulty peer may say.
-pub const MOST_MEMBERS: u32 = 16;
+pub const MAX_MEMBERS: u32 = 16;
 
 /// A snapshot's bytes at most: half of what the smallest machine's process may use is left for all the rest.
-pub const MOST_SNAPSHOT_BYTES: u32 = 64 * 1024 * 1024;
+pub const MAX_SNAPSHOT_BYTES: u32 = 64 * 1024 * 1024;
 
 /// A process with the disk it holds. It is the same one only while both `id` and `addr` are the same: founders all
 /// have the id 0, and a machine that lost its disk comes back at its address with another id.
@@ -36,7 +36,7 @@
 
 impl Member {
     /// Whether this is the same disk at the same address, whatever `since` says.
-    pub fn is(&self, other: &Member) -> bool {
+    pub fn is_same_process(&self, other: &Member) -> bool {
         self.id == other.id && self.addr == other.addr
     }
 }
@@ -48,13 +48,13 @@
 pub struct View {
     /// Rises by one a view.
     pub number: u64,
-    #[br(temp, assert(member_count <= MOST_MEMBERS))]
+    #[br(temp, assert(member_count <= MAX_MEMBERS))]
     #[bw(calc = members.len() as u32)]
     member_count: u32,
     /// Head first, tail last.
     #[br(count = member_count)]
     pub members: Vec<Member>,
-    #[br(temp, assert(joining_count <= MOST_MEMBERS))]
+    #[br(temp, assert(joining_count <= MAX_MEMBERS))]
     #[bw(calc = joining.len() as u32)]
     joining_count: u32,
     /// These get copies from the tail and are not waited for.
@@ -64,31 +64,31 @@
 
 impl View {
     /// The place of a member in the chain, 0 is the head.
-    pub fn place(&self, member: &Member) -> Option<usize> {
-        self.members.iter().position(|m| m.is(member))
+    pub fn position(&self, member: &Member) -> Option<usize> {
+        self.members.iter().position(|m| m.is_same_process(member))
     }
 }
 
 /// A snapshot that the table can't read; the state stays as it was.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("1201: the snapshot can't be read: {0}")]
-pub struct BadSnapshot(pub String);
+pub struct SnapshotError(pub String);
 
 /// The replicated table. `apply` must do the same everywhere, whatever the bytes are.
-pub trait Machine {
+pub trait StateMachine {
     /// Takes the command of this number.
     fn apply(&mut self, number: u64, command: &[u8]);
     /// The whole state as bytes.
     fn snapshot(&self) -> Vec<u8>;
     /// Takes a whole state in place of its own, or leaves its own as it was.
-    fn restore(&mut self, snapshot: &[u8]) -> Result<(), BadSnapshot>;
+    fn restore(&mut self, snapshot: &[u8]) -> Result<(), SnapshotError>;
 }
 
 /// What a member says of itself to whoever settles the next view. Each figure stays true once said.
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Status {
+pub struct ReplicaStatus {
     /// Its id.
     pub id: u64,
     /// The newest view it has entered, 0 if none.
@@ -96,21 +96,21 @@
     /// The newest view in which it was in sync, by its disk.
     pub in_sync_view: u64,
     /// The newest entry it holds.
-    pub received: u64,
+    pub last_received: u64,
     /// A joiner that holds all but the newest, in this view.
     #[br(map = |x: u8| x != 0)]
     #[bw(map = |x: &bool| u8::from(*x))]
     pub caught_up: bool,
 }
 
-impl Status {
+impl ReplicaStatus {
     /// As bytes for a peer.
     pub fn encode(&self) -> Bytes {
         to_bytes(self)
     }
 
     /// From a peer's bytes.
-    pub fn decode(bytes: &[u8]) -> Result<Status, BadBytes> {
+    pub fn decode(bytes: &[u8]) -> Result<ReplicaStatus, DecodeError> {
         from_bytes(bytes)
     }
 }
@@ -119,7 +119,7 @@
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Write {
+pub enum LogRecord {
     /// The view that was entered.
     #[brw(magic = 1u8)]
     View {
@@ -140,12 +140,12 @@
         /// Its number; the one before is on disk, or in the snapshot.
         number: u64,
         /// The command.
-        #[br(parse_with = read_bytes, args(MOST_SNAPSHOT_BYTES))]
+        #[br(parse_with = read_bytes, args(MAX_SNAPSHOT_BYTES))]
         #[bw(write_with = write_bytes)]
         command: Bytes,
     },
     /// A whole state. All entries before it in the file are void, also those with higher numbers; who writes one to
-    /// save room writes the entries after it again (see `Node::whole`).
+    /// save room writes the entries after it again (see `Replica::snapshot_records`).
     #[brw(magic = 4u8)]
     Snapshot {
         /// The view of the last entry in it.
@@ -153,20 +153,20 @@
         /// The number of the last entry in it.
         number: u64,
         /// The state.
-        #[br(parse_with = read_bytes, args(MOST_SNAPSHOT_BYTES))]
+        #[br(parse_with = read_bytes, args(MAX_SNAPSHOT_BYTES))]
         #[bw(write_with = write_bytes)]
         body: Bytes,
     },
 }
 
-impl Write {
+impl LogRecord {
     /// As bytes for a disk record.
     pub fn encode(&self) -> Bytes {
         to_bytes(self)
     }
 
     /// From a disk record's bytes.
-    pub fn decode(bytes: &[u8]) -> Result<Write, BadBytes> {
+    pub fn decode(bytes: &[u8]) -> Result<LogRecord, DecodeError> {
         from_bytes(bytes)
     }
 }
@@ -174,7 +174,7 @@
 /// What the disk holds at the start. The owner syncs what it has read before it makes a node of it: a process that
 /// was killed may have left records that a loss of power would still take away.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Recovered {
+pub struct RecoveredLog {
     /// The newest view entered.
     pub view: Option<View>,
     /// The newest view in which it was in sync.
@@ -185,12 +185,12 @@
     pub entries: Vec<(u64, u64, Bytes)>,
 }
 
-impl Recovered {
+impl RecoveredLog {
     /// Takes the records in the order in which they were written. What a torn tail left out is left out by the
     /// caller; an entry that does not follow is dropped, with all after it.
-    pub fn replay(&mut self, write: Write) {
-        match write {
-            Write::View { view } => {
+    pub fn replay(&mut self, record: LogRecord) {
+        match record {
+            LogRecord::View { view } => {
                 if self
                     .view
                     .as_ref()
@@ -199,18 +199,18 @@
                     self.view = Some(view);
                 }
             }
-            Write::InSync { view } => self.in_sync_view = self.in_sync_view.max(view),
-            Write::Entry {
+            LogRecord::InSync { view } => self.in_sync_view = self.in_sync_view.max(view),
+            LogRecord::Entry {
                 view,
                 number,
                 command,
             } => {
-                let last = self.last();
+                let last = self.last_number();
                 if number == last.saturating_add(1) {
                     self.entries.push((view, number, command));
                 }
             }
-            Write::Snapshot { view, number, body } => {
+            LogRecord::Snapshot { view, number, body } => {
                 // Entries before it are void even where it holds fewer: it may be another's state, put in place of a
                 // history that was given up.
                 self.entries.clear();
@@ -232,7 +232,11 @@
     ///
     /// # Errors
     /// The snapshot can't be read; all stays as it was.
-    pub fn fold<M: Machine>(&mut self, mut empty: M, keep_bytes: u64) -> Result<(), BadSnapshot> {
+    pub fn compact<M: StateMachine>(
+        &mut self,
+        mut empty: M,
+        keep_bytes: u64,
+    ) -> Result<(), SnapshotError> {
         let mut left = self.entry_bytes();
         let older = self.entries.iter().take_while(|(_, _, command)| {
             let goes = left > keep_bytes;
@@ -261,7 +265,7 @@
     }
 
     /// The number of the newest entry.
-    pub fn last(&self) -> u64 {
+    pub fn last_number(&self) -> u64 {
         match (self.entries.last(), &self.snapshot) {
             (Some(entry), _) => entry.1,
             (None, Some(snapshot)) => snapshot.1,
@@ -272,27 +276,27 @@
 
 /// What the owner is to do, in this order.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Out {
+pub enum Effect {
     /// Tell a peer; may be lost.
     Send {
         /// Its peer address.
         to: SocketAddr,
         /// What is said.
-        msg: Msg,
+        message: Message,
     },
-    /// Write and sync, in order; then `Node::synced(ticket)`, which covers all tickets up to it.
+    /// Write and sync, in order; then `Replica::handle_synced(ticket)`, which covers all tickets up to it.
     Write {
         /// Rises by one a record.
         ticket: u64,
         /// The record.
-        write: Write,
+        record: LogRecord,
     },
     /// All up to this number is on all disks of the view; said again where it is so in a longer one. Who counts the
-    /// members asks `Node::committed_by`: views may have changed since this was put down.
+    /// members asks `Replica::committed_with_members`: views may have changed since this was put down.
     Committed {
         /// The number.
         number: u64,
     },
     /// The state was restored from another's: soft state is void.
-    Reset,
+    SnapshotInstalled,
 }
--- a/crates/control/chain-replication/src/wire.rs
+++ b/crates/control/chain-replication/src/wire.rs
@@ -7,20 +7,20 @@
 use binrw::{binrw, BinRead, BinResult, BinWrite, Error};
 use bytes::Bytes;
 
-use crate::types::MOST_SNAPSHOT_BYTES;
+use crate::types::MAX_SNAPSHOT_BYTES;
 
 /// Entries of a frame at most; a frame is cut by bytes long before, this bounds what a faulty peer may say.
-const MOST_ITEMS: u32 = 65_536;
+const MAX_ENTRIES_PER_FRAME: u32 = 65_536;
 
 /// Bytes that can't be read.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum BadBytes {
+pub enum DecodeError {
     /// A field is wrong or the bytes end too soon.
     #[error("1202: not readable: {0}")]
-    Unreadable(String),
+    Malformed(String),
     /// More bytes than the layout has.
     #[error("1203: {0} bytes too many")]
-    Long(usize),
+    TrailingBytes(usize),
 }
 
 /// Any value of ours as bytes.
@@ -37,17 +37,17 @@
 }
 
 /// Any value of ours from bytes, all of which must belong to it.
-pub fn from_bytes<T>(bytes: &[u8]) -> Result<T, BadBytes>
+pub fn from_bytes<T>(bytes: &[u8]) -> Result<T, DecodeError>
 where
     T: for<'a> BinRead<Args<'a> = ()> + ReadEndian,
 {
     let mut input = Cursor::new(bytes);
-    let value = T::read(&mut input).map_err(|error| BadBytes::Unreadable(error.to_string()))?;
+    let value = T::read(&mut input).map_err(|error| DecodeError::Malformed(error.to_string()))?;
     let rest = bytes
         .len()
         .saturating_sub(usize::try_from(input.position()).unwrap_or(usize::MAX));
     if rest > 0 {
-        return Err(BadBytes::Long(rest));
+        return Err(DecodeError::TrailingBytes(rest));
     }
     Ok(value)
 }
@@ -122,11 +122,11 @@
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Item {
+pub struct Entry {
     /// The view in which it was numbered.
     pub view: u64,
     /// The command.
-    #[br(parse_with = read_bytes, args(MOST_SNAPSHOT_BYTES))]
+    #[br(parse_with = read_bytes, args(MAX_SNAPSHOT_BYTES))]
     #[bw(write_with = write_bytes)]
     pub command: Bytes,
 }
@@ -141,21 +141,21 @@
     /// The view in which that was numbered.
     pub last_view: u64,
     /// Its bytes.
-    #[br(assert(total <= MOST_SNAPSHOT_BYTES))]
-    pub total: u32,
+    #[br(assert(total_bytes <= MAX_SNAPSHOT_BYTES))]
+    pub total_bytes: u32,
     /// The crc32 of its bytes.
-    pub digest: u32,
+    pub crc32: u32,
 }
 
 impl SnapshotId {
-    /// The name of this state, which must be no longer than [`MOST_SNAPSHOT_BYTES`].
+    /// The name of this state, which must be no longer than [`MAX_SNAPSHOT_BYTES`].
     pub fn of(number: u64, last_view: u64, body: &[u8]) -> SnapshotId {
-        let total = u32::try_from(body.len()).unwrap_or(u32::MAX);
+        let total_bytes = u32::try_from(body.len()).unwrap_or(u32::MAX);
         SnapshotId {
             number,
             last_view,
-            total,
-            digest: crc32fast::hash(body),
+            total_bytes,
+            crc32: crc32fast::hash(body),
         }
     }
 }
@@ -164,7 +164,7 @@
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Msg {
+pub struct Message {
     /// The sender's view.
     pub view: u64,
     /// The sender's id.
@@ -172,17 +172,17 @@
     /// The id for which it is meant: another may have come to that address.
     pub to: u64,
     /// What is said.
-    pub body: Body,
+    pub body: MessageBody,
 }
 
-/// The words of [`Msg`].
+/// The words of [`Message`].
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Body {
+pub enum MessageBody {
     /// To the one before: my log ends here, go on from there.
     #[brw(magic = 1u8)]
-    Have {
+    LogPosition {
         /// The number of my last entry.
         number: u64,
         /// The view in which that was numbered.
@@ -190,30 +190,30 @@
     },
     /// To the one after: tell me what you have.
     #[brw(magic = 2u8)]
-    Ask,
+    RequestPosition,
     /// To the one after: entries, perhaps none.
     #[brw(magic = 3u8)]
-    Entries {
+    AppendEntries {
         /// The number of the entry before the first.
-        before: u64,
+        previous: u64,
         /// The view in which that was numbered.
-        before_view: u64,
+        previous_view: u64,
         /// Who holds all up to this is in sync in this view.
-        needed: u64,
+        catch_up_target: u64,
         /// The newest that the sender's disk holds.
-        newest: u64,
+        newest_synced: u64,
         /// All up to this was committed, in this view or before it.
         committed: u64,
-        #[br(temp, assert(count <= MOST_ITEMS))]
-        #[bw(calc = items.len() as u32)]
+        #[br(temp, assert(count <= MAX_ENTRIES_PER_FRAME))]
+        #[bw(calc = entries.len() as u32)]
         count: u32,
         /// The entries, in order.
         #[br(count = count)]
-        items: Vec<Item>,
+        entries: Vec<Entry>,
     },
     /// To the one before: what my disk holds, and what is committed.
     #[brw(magic = 4u8)]
-    Ack {
+    Acknowledge {
         /// All up to this is on my disk.
         synced: u64,
         /// All up to this is on the disks of all members of this view.
@@ -225,31 +225,31 @@
     },
     /// To the one after: a part of a snapshot. Numbers 5 and 6 were parts without a checksum and their answers.
     #[brw(magic = 7u8)]
-    Part {
+    SnapshotChunk {
         /// Which snapshot.
         id: SnapshotId,
         /// Where this part begins.
         offset: u32,
-        /// Of all of the above and the bytes, see [`Body::part`].
+        /// Of all of the above and the bytes, see [`MessageBody::snapshot_chunk`].
         checksum: u32,
         /// The part.
-        #[br(parse_with = read_bytes, args(MOST_SNAPSHOT_BYTES))]
+        #[br(parse_with = read_bytes, args(MAX_SNAPSHOT_BYTES))]
         #[bw(write_with = write_bytes)]
         bytes: Bytes,
     },
     /// To the one before: so much of that snapshot has come.
     #[brw(magic = 8u8)]
-    PartAck {
+    ChunkAcknowledgement {
         /// Which snapshot.
         id: SnapshotId,
         /// All before this offset has come; the part that begins here has not.
         offset: u32,
         /// Of the parts after that one those whose bits are set have come, the lowest bit for the first of them.
-        held: u8,
+        received_beyond: u8,
     },
     /// To the one before: my log ends here, and of that snapshot I hold a beginning: go on from there.
     #[brw(magic = 9u8)]
-    Resume {
+    ResumeSnapshot {
         /// The number of my last entry.
         number: u64,
         /// The view in which that was numbered.
@@ -261,11 +261,11 @@
     },
 }
 
-impl Body {
+impl MessageBody {
     /// A part of a snapshot with its checksum.
-    pub fn part(id: SnapshotId, offset: u32, bytes: Bytes) -> Body {
-        let checksum = part_checksum(&id, offset, &bytes);
-        Body::Part {
+    pub fn snapshot_chunk(id: SnapshotId, offset: u32, bytes: Bytes) -> MessageBody {
+        let checksum = chunk_checksum(&id, offset, &bytes);
+        MessageBody::SnapshotChunk {
             id,
             offset,
             checksum,
@@ -275,25 +275,25 @@
 }
 
 /// The checksum of a part: it covers which part of which snapshot this is, too.
-pub(crate) fn part_checksum(id: &SnapshotId, offset: u32, bytes: &[u8]) -> u32 {
+pub(crate) fn chunk_checksum(id: &SnapshotId, offset: u32, bytes: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(&id.number.to_be_bytes());
     hasher.update(&id.last_view.to_be_bytes());
-    hasher.update(&id.total.to_be_bytes());
-    hasher.update(&id.digest.to_be_bytes());
+    hasher.update(&id.total_bytes.to_be_bytes());
+    hasher.update(&id.crc32.to_be_bytes());
     hasher.update(&offset.to_be_bytes());
     hasher.update(bytes);
     hasher.finalize()
 }
 
-impl Msg {
+impl Message {
     /// As bytes for a frame.
     pub fn encode(&self) -> Bytes {
         to_bytes(self)
     }
 
     /// From a frame's bytes.
-    pub fn decode(bytes: &[u8]) -> Result<Msg, BadBytes> {
+    pub fn decode(bytes: &[u8]) -> Result<Message, DecodeError> {
         from_bytes(bytes)
     }
 }
--- a/crates/control/chain-replication/tests/byte_layout.rs
+++ b/crates/control/chain-replication/tests/byte_layout.rs
@@ -6,7 +6,9 @@
 use std::net::SocketAddr;
 
 use bytes::Bytes;
-use chain_replication::{BadBytes, Body, Item, Member, Msg, SnapshotId, Status, View, Write};
+use chain_replication::{
+    DecodeError, Entry, LogRecord, Member, Message, MessageBody, ReplicaStatus, SnapshotId, View,
+};
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
@@ -24,7 +26,7 @@
 fn assert_layout<T: PartialEq + Debug>(
     value: T,
     encode: impl Fn(&T) -> Bytes,
-    decode: impl Fn(&[u8]) -> Result<T, BadBytes>,
+    decode: impl Fn(&[u8]) -> Result<T, DecodeError>,
     layout: &str,
 ) {
     let bytes = unhex(layout);
@@ -35,19 +37,19 @@
     }
 }
 
-fn assert_message(body: Body, layout: &str) {
-    let message = Msg {
+fn assert_message(body: MessageBody, layout: &str) {
+    let message = Message {
         view: 0x0102,
         from: 0x0304,
         to: 0x0506,
         body,
     };
     let layout = format!("0000000000000102 0000000000000304 0000000000000506 {layout}");
-    assert_layout(message, Msg::encode, Msg::decode, &layout);
+    assert_layout(message, Message::encode, Message::decode, &layout);
 }
 
-fn assert_record(record: Write, layout: &str) {
-    assert_layout(record, Write::encode, Write::decode, layout);
+fn assert_record(record: LogRecord, layout: &str) {
+    assert_layout(record, LogRecord::encode, LogRecord::decode, layout);
 }
 
 fn member(id: u64, addr: &str, since: u64) -> Member {
@@ -62,15 +64,15 @@
     SnapshotId {
         number: 300,
         last_view: 7,
-        total: 3,
-        digest: 0x8899_aabb,
+        total_bytes: 3,
+        crc32: 0x8899_aabb,
     }
 }
 
 #[test]
 fn log_position_of_a_successor() {
     assert_message(
-        Body::Have {
+        MessageBody::LogPosition {
             number: 0x1122,
             last_view: 9,
         },
@@ -80,29 +82,29 @@
 
 #[test]
 fn request_for_the_log_position() {
-    assert_message(Body::Ask, "02");
+    assert_message(MessageBody::RequestPosition, "02");
 }
 
 #[test]
 fn entries_and_an_empty_probe() {
     let items = vec![
-        Item {
+        Entry {
             view: 8,
             command: Bytes::from_static(b"abc"),
         },
-        Item {
+        Entry {
             view: 9,
             command: Bytes::new(),
         },
     ];
     assert_message(
-        Body::Entries { before: 1, before_view: 2, needed: 3, newest: 4, committed: 5, items },
+        MessageBody::AppendEntries { previous: 1, previous_view: 2, catch_up_target: 3, newest_synced: 4, committed: 5, entries: items },
         "03 0000000000000001 0000000000000002 0000000000000003 0000000000000004 0000000000000005 00000002
          0000000000000008 00000003 616263
          0000000000000009 00000000",
     );
     assert_message(
-        Body::Entries { before: 1, before_view: 2, needed: 3, newest: 4, committed: 5, items: vec![] },
+        MessageBody::AppendEntries { previous: 1, previous_view: 2, catch_up_target: 3, newest_synced: 4, committed: 5, entries: vec![] },
         "03 0000000000000001 0000000000000002 0000000000000003 0000000000000004 0000000000000005 00000000",
     );
 }
@@ -110,7 +112,7 @@
 #[test]
 fn acknowledgement_with_and_without_being_in_sync() {
     assert_message(
-        Body::Ack {
+        MessageBody::Acknowledge {
             synced: 0x0a,
             committed: 0x0b,
             in_sync: true,
@@ -118,7 +120,7 @@
         "04 000000000000000a 000000000000000b 01",
     );
     assert_message(
-        Body::Ack {
+        MessageBody::Acknowledge {
             synced: 0x0a,
             committed: 0x0b,
             in_sync: false,
@@ -130,7 +132,7 @@
 #[test]
 fn chunk_of_a_snapshot_with_its_checksum() {
     assert_message(
-        Body::part(snapshot_id(), 0x0001_0000, Bytes::from_static(b"xyz")),
+        MessageBody::snapshot_chunk(snapshot_id(), 0x0001_0000, Bytes::from_static(b"xyz")),
         "07 000000000000012c 0000000000000007 00000003 8899aabb 00010000 d6214f0a 00000003 78797a",
     );
 }
@@ -138,10 +140,10 @@
 #[test]
 fn acknowledgement_of_chunks() {
     assert_message(
-        Body::PartAck {
+        MessageBody::ChunkAcknowledgement {
             id: snapshot_id(),
             offset: 0x0002_0000,
-            held: 0x81,
+            received_beyond: 0x81,
         },
         "08 000000000000012c 0000000000000007 00000003 8899aabb 00020000 81",
     );
@@ -150,7 +152,7 @@
 #[test]
 fn log_position_with_the_beginning_of_a_snapshot() {
     assert_message(
-        Body::Resume {
+        MessageBody::ResumeSnapshot {
             number: 4,
             last_view: 2,
             id: snapshot_id(),
@@ -167,7 +169,7 @@
         let mut bytes = unhex("0000000000000001 0000000000000002 0000000000000003");
         bytes.push(unused);
         bytes.extend([0; 40]);
-        assert!(Msg::decode(&bytes).is_err(), "{unused}");
+        assert!(Message::decode(&bytes).is_err(), "{unused}");
     }
 }
 
@@ -175,7 +177,7 @@
 fn name_of_a_snapshot_holds_its_length_and_crc32() {
     let id = SnapshotId::of(1, 2, b"123456789");
     assert_eq!(
-        (id.number, id.last_view, id.total, id.digest),
+        (id.number, id.last_view, id.total_bytes, id.crc32),
         (1, 2, 9, 0xcbf4_3926)
     );
 }
@@ -183,21 +185,21 @@
 #[test]
 fn state_that_a_member_publishes() {
     assert_layout(
-        Status {
+        ReplicaStatus {
             id: 1,
             view: 2,
             in_sync_view: 3,
-            received: 4,
+            last_received: 4,
             caught_up: true,
         },
-        Status::encode,
-        Status::decode,
+        ReplicaStatus::encode,
+        ReplicaStatus::decode,
         "0000000000000001 0000000000000002 0000000000000003 0000000000000004 01",
     );
     assert_layout(
-        Status::default(),
-        Status::encode,
-        Status::decode,
+        ReplicaStatus::default(),
+        ReplicaStatus::encode,
+        ReplicaStatus::decode,
         "0000000000000000 0000000000000000 0000000000000000 0000000000000000 00",
     );
 }
@@ -213,7 +215,7 @@
         joining: vec![member(9, "127.0.0.1:80", 5)],
     };
     assert_record(
-        Write::View { view },
+        LogRecord::View { view },
         "01 0000000000000005
          00000002
          0000000000000000 04 0a010203 1db0 0000000000000001
@@ -225,9 +227,9 @@
 
 #[test]
 fn other_records_on_disk() {
-    assert_record(Write::InSync { view: 0x77 }, "02 0000000000000077");
+    assert_record(LogRecord::InSync { view: 0x77 }, "02 0000000000000077");
     assert_record(
-        Write::Entry {
+        LogRecord::Entry {
             view: 6,
             number: 0x0102_0304,
             command: Bytes::from_static(b"set"),
@@ -235,7 +237,7 @@
         "03 0000000000000006 0000000001020304 00000003 736574",
     );
     assert_record(
-        Write::Snapshot {
+        LogRecord::Snapshot {
             view: 6,
             number: 12,
             body: Bytes::from_static(&[0, 255]),
@@ -245,13 +247,13 @@
     for unused in [0, 5, 255] {
         let mut bytes = vec![unused];
         bytes.extend([0; 40]);
-        assert!(Write::decode(&bytes).is_err(), "{unused}");
+        assert!(LogRecord::decode(&bytes).is_err(), "{unused}");
     }
 }
 
 #[test]
 fn errors_of_what_cannot_be_read_keep_their_codes() {
-    let said = |bytes: &[u8]| Write::decode(bytes).unwrap_err().to_string();
+    let said = |bytes: &[u8]| LogRecord::decode(bytes).unwrap_err().to_string();
     assert!(said(&[]).starts_with("1202: "), "{}", said(&[]));
     assert!(said(&unhex("02 00")).starts_with("1202: "));
     assert!(said(&unhex("02 0000000000000077 00")).starts_with("1203: "));
--- a/crates/control/chain-replication/tests/catch_up_world/checks.rs
+++ b/crates/control/chain-replication/tests/catch_up_world/checks.rs
@@ -28,12 +28,12 @@
         }
         let found = process
             .node
-            .machine()
+            .state_machine()
             .digests
             .get(number as usize - 1)
             .copied();
         if found != Some(digest) {
-            let held = process.node.machine().digests.len();
+            let held = process.node.state_machine().digests.len();
             self.broke(format!(
                 "{head} leads view {} with {held} changes, {number} were acknowledged",
                 self.view.number
@@ -86,7 +86,8 @@
                     .map(|s| {
                         (
                             s,
-                            self.process(s).map(|p| (p.node.status(), p.node.ready())),
+                            self.process(s)
+                                .map(|p| (p.node.status(), p.node.is_ready())),
                         )
                     })
                     .collect();
@@ -111,8 +112,8 @@
             let tables: Vec<&Vec<u64>> = (0..w.seats.len())
                 .filter(|s| w.is_member(*s))
                 .filter_map(|s| w.process(s))
-                .filter(|p| p.node.active() && p.node.committed() == p.node.received())
-                .map(|p| &p.node.machine().digests)
+                .filter(|p| p.node.is_active() && p.node.committed() == p.node.last_received())
+                .map(|p| &p.node.state_machine().digests)
                 .collect();
             w.view.members.len() == WANTED
                 && w.view.joining.is_empty()
--- a/crates/control/chain-replication/tests/catch_up_world/disk.rs
+++ b/crates/control/chain-replication/tests/catch_up_world/disk.rs
@@ -1,7 +1,7 @@
 //! A disk of 64 MB with slow syncs, which is written anew as a controller's is: what the world asks of it, and a model of
 //! it by the same rule. The real ring stands beside it (`ring.rs`).
 
-use chain_replication::{Node, Recovered, Write};
+use chain_replication::{LogRecord, RecoveredLog, Replica};
 
 use super::table::Table;
 use super::{Us, MS};
@@ -18,13 +18,13 @@
 /// A member's disk.
 pub trait Disk {
     /// Appends a record; [`Disk::end_sync`] says when its ticket is safe.
-    fn write(&mut self, ticket: u64, write: Write);
+    fn write(&mut self, ticket: u64, write: LogRecord);
     /// How long the sync takes that begins now, if one is due.
     fn begin_sync(&mut self) -> Option<Us>;
     /// The newest ticket that is safe now.
     fn end_sync(&mut self) -> Option<u64>;
     /// Writes all that counts anew where that is due; true if it began.
-    fn compact(&mut self, node: &Node<Table>) -> bool;
+    fn compact(&mut self, node: &Replica<Table>) -> bool;
     /// Bytes from the oldest record in use to the end.
     fn used(&self) -> u64;
     /// What is wrong for good: it holds more than it may, or it gives back something else than what it kept.
@@ -34,7 +34,7 @@
     /// The power goes: what was not synced is gone, or a part of it stays.
     fn lose_power(&mut self, dice: u64);
     /// What a process that starts reads, and syncs.
-    fn start(&mut self) -> Recovered;
+    fn start(&mut self) -> RecoveredLog;
     /// The table that a loss of power would leave.
     fn safe_table(&self) -> Table;
 }
@@ -42,7 +42,7 @@
 #[derive(Debug, Default)]
 pub struct ModelDisk {
     /// With the node's ticket, none for what was written anew; and the file in which each stands.
-    records: Vec<(Option<u64>, Write, u64)>,
+    records: Vec<(Option<u64>, LogRecord, u64)>,
     /// So many are safe from a loss of power.
     safe: usize,
     /// A sync under way covers so many.
@@ -54,17 +54,17 @@
     offset: u64,
 }
 
-fn cost(write: &Write) -> u64 {
+fn cost(write: &LogRecord) -> u64 {
     RECORD_HEAD
         + match write {
-            Write::Entry { command, .. } => command.len() as u64,
-            Write::Snapshot { body, .. } => body.len() as u64,
+            LogRecord::Entry { command, .. } => command.len() as u64,
+            LogRecord::Snapshot { body, .. } => body.len() as u64,
             _ => 100,
         }
 }
 
 impl ModelDisk {
-    fn put(&mut self, ticket: Option<u64>, write: Write) {
+    fn put(&mut self, ticket: Option<u64>, write: LogRecord) {
         let bytes = cost(&write);
         if self.offset + bytes > FILE_BYTES {
             self.file += 1;
@@ -80,12 +80,12 @@
             .records
             .iter()
             .map(|(ticket, write, _)| match write {
-                Write::Entry { number, .. } => format!("e{number}"),
-                Write::Snapshot { number, .. } => {
+                LogRecord::Entry { number, .. } => format!("e{number}"),
+                LogRecord::Snapshot { number, .. } => {
                     format!("s{number}{}", if ticket.is_none() { "*" } else { "" })
                 }
-                Write::View { view } => format!("v{}", view.number),
-                Write::InSync { view } => format!("i{view}"),
+                LogRecord::View { view } => format!("v{}", view.number),
+                LogRecord::InSync { view } => format!("i{view}"),
             })
             .collect();
         format!(
@@ -97,8 +97,8 @@
         )
     }
 
-    fn recovered(&self, count: usize) -> Recovered {
-        let mut recovered = Recovered::default();
+    fn recovered(&self, count: usize) -> RecoveredLog {
+        let mut recovered = RecoveredLog::default();
         for (_, write, _) in &self.records[..count] {
             recovered.replay(write.clone());
         }
@@ -107,7 +107,7 @@
 }
 
 impl Disk for ModelDisk {
-    fn write(&mut self, ticket: u64, write: Write) {
+    fn write(&mut self, ticket: u64, write: LogRecord) {
         self.put(Some(ticket), write);
     }
 
@@ -133,7 +133,7 @@
         ticket
     }
 
-    fn compact(&mut self, node: &Node<Table>) -> bool {
+    fn compact(&mut self, node: &Replica<Table>) -> bool {
         if let Some((first, last)) = self.compacting {
             if self.safe < last {
                 return false;
@@ -147,7 +147,7 @@
             return false;
         }
         let first = self.records.len();
-        for write in node.whole() {
+        for write in node.snapshot_records() {
             self.put(None, write);
         }
         self.compacting = Some((first, self.records.len()));
@@ -191,7 +191,7 @@
         self.syncing = None;
     }
 
-    fn start(&mut self) -> Recovered {
+    fn start(&mut self) -> RecoveredLog {
         self.safe = self.records.len();
         self.syncing = None;
         // A compaction that was not ended is not continued: the next one covers it.
--- a/crates/control/chain-replication/tests/catch_up_world/events.rs
+++ b/crates/control/chain-replication/tests/catch_up_world/events.rs
@@ -1,13 +1,20 @@
 //! What happens at a time.
 
-use chain_replication::Msg;
+use chain_replication::Message;
 
 use super::Us;
 
 #[derive(Debug)]
 pub enum Event {
-    Message { from: usize, to: usize, msg: Msg },
-    Synced { seat: usize, incarnation: u64 },
+    Message {
+        from: usize,
+        to: usize,
+        msg: Message,
+    },
+    Synced {
+        seat: usize,
+        incarnation: u64,
+    },
     Tick,
     Propose,
     Trouble,
--- a/crates/control/chain-replication/tests/catch_up_world/machines.rs
+++ b/crates/control/chain-replication/tests/catch_up_world/machines.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use chain_replication::{Body, Member, Msg, Node, Out};
+use chain_replication::{Effect, Member, Message, MessageBody, Replica};
 use rand_pcg::rand_core::RngCore as _;
 
 use super::events::Event;
@@ -26,7 +26,7 @@
             ..Table::default()
         };
         s.process = Some(Process {
-            node: Node::new(me, table, recovered),
+            node: Replica::new(me, table, recovered),
             waiting: BTreeSet::new(),
         });
         s.heard_at = now;
@@ -98,7 +98,7 @@
             return;
         };
         if let Some(ticket) = ticket {
-            process.node.synced(now / MS, ticket);
+            process.node.handle_synced(now / MS, ticket);
         }
         self.drain(seat);
         let s = &mut self.seats[seat];
@@ -127,24 +127,27 @@
             let Some(process) = self.seats[seat].process.as_mut() else {
                 return;
             };
-            let outs = process.node.take();
+            let outs = process.node.take_effects();
             if outs.is_empty() {
                 break;
             }
             for out in outs {
                 match out {
-                    Out::Send { to, msg } => self.send(seat, self.seat_of(to), msg),
-                    Out::Write { ticket, write } => {
+                    Effect::Send { to, message: msg } => self.send(seat, self.seat_of(to), msg),
+                    Effect::Write {
+                        ticket,
+                        record: write,
+                    } => {
                         let early = self.faults.synced_early;
                         let s = &mut self.seats[seat];
                         s.disk.write(ticket, write);
                         if let (true, Some(process)) = (early, s.process.as_mut()) {
-                            process.node.synced(now / MS, ticket);
+                            process.node.handle_synced(now / MS, ticket);
                         }
                         self.begin_sync(seat);
                     }
-                    Out::Committed { .. } => {}
-                    Out::Reset => self.figures.snapshots += 1,
+                    Effect::Committed { .. } => {}
+                    Effect::SnapshotInstalled => self.figures.snapshots += 1,
                 }
             }
         }
@@ -152,7 +155,7 @@
         self.check_in_sync(seat);
     }
 
-    pub(super) fn send(&mut self, from: usize, to: usize, mut msg: Msg) {
+    pub(super) fn send(&mut self, from: usize, to: usize, mut msg: Message) {
         let bytes = size_of(&msg);
         self.figures.bytes += bytes;
         if std::env::var("CATCH_UP_TRACE").is_ok() {
@@ -166,7 +169,7 @@
         if let Some(joining) = self.seats[to].joining.as_mut() {
             joining.bytes += bytes;
         }
-        let part = matches!(msg.body, Body::Part { .. });
+        let part = matches!(msg.body, MessageBody::SnapshotChunk { .. });
         if self.cut(from) || self.cut(to) || part && self.faults.no_snapshots {
             return;
         }
--- a/crates/control/chain-replication/tests/catch_up_world/mod.rs
+++ b/crates/control/chain-replication/tests/catch_up_world/mod.rs
@@ -20,7 +20,7 @@
 use std::net::SocketAddr;
 
 use bytes::Bytes;
-use chain_replication::{Body, Machine, Member, Msg, Node, Status, View};
+use chain_replication::{Member, Message, MessageBody, Replica, ReplicaStatus, StateMachine, View};
 use disk::{Disk, ModelDisk};
 use events::{Event, Queued};
 use rand_pcg::rand_core::{RngCore, SeedableRng};
@@ -44,7 +44,7 @@
 const KEPT_LOG_BYTES: u64 = 8 << 20;
 
 pub struct Process {
-    pub node: Node<Table>,
+    pub node: Replica<Table>,
     /// Proposed here as head and not acknowledged yet.
     waiting: BTreeSet<u64>,
 }
@@ -60,7 +60,7 @@
     /// Rises with each start: what was meant for the process before does not reach the next.
     incarnation: u64,
     heard_at: Us,
-    status: Status,
+    status: ReplicaStatus,
     in_sync_checked: u64,
     /// Since when it joins without a disturbance, and what was sent to it since.
     joining: Option<Joining>,
@@ -130,7 +130,7 @@
             cut_until: 0,
             incarnation: 0,
             heard_at: 0,
-            status: Status::default(),
+            status: ReplicaStatus::default(),
             in_sync_checked: 0,
             joining: None,
         });
@@ -190,7 +190,7 @@
         let head = self.view.members.first()?;
         let seat = self.seat_of(head.addr);
         let node = &self.process(seat)?.node;
-        let leads = self.seats[seat].id == head.id && node.is_head() && node.ready();
+        let leads = self.seats[seat].id == head.id && node.is_head() && node.is_ready();
         (leads && node.view().is_some_and(|v| v.number == self.view.number)).then_some(seat)
     }
 
@@ -240,11 +240,14 @@
                 }
                 let (now, addr) = (self.now / MS, self.seats[from].addr);
                 if let Some(process) = self.seats[to].process.as_mut() {
-                    let carries = matches!(msg.body, Body::Entries { .. } | Body::Part { .. });
+                    let carries = matches!(
+                        msg.body,
+                        MessageBody::AppendEntries { .. } | MessageBody::SnapshotChunk { .. }
+                    );
                     if self.faults.accepts_old_view && carries {
                         msg.view = process.node.view().map_or(0, |v| v.number).max(msg.view);
                     }
-                    process.node.message(now, addr, msg);
+                    process.node.handle_message(now, addr, msg);
                     self.drain(to);
                 }
             }
@@ -269,8 +272,8 @@
 }
 
 /// One bit of a part is another.
-fn spoil(msg: &mut Msg) {
-    if let Body::Part { bytes, .. } = &mut msg.body {
+fn spoil(msg: &mut Message) {
+    if let MessageBody::SnapshotChunk { bytes, .. } = &mut msg.body {
         let mut other = bytes.to_vec();
         if let Some(byte) = other.last_mut() {
             *byte ^= 1;
@@ -279,44 +282,50 @@
     }
 }
 
-fn kind_of(body: &Body) -> String {
+fn kind_of(body: &MessageBody) -> String {
     match body {
-        Body::Have { number, last_view } => format!("Have({number} of {last_view})"),
-        Body::Ask => "Ask".to_owned(),
-        Body::Entries {
-            before,
-            before_view,
-            items,
+        MessageBody::LogPosition { number, last_view } => format!("Have({number} of {last_view})"),
+        MessageBody::RequestPosition => "Ask".to_owned(),
+        MessageBody::AppendEntries {
+            previous: before,
+            previous_view: before_view,
+            entries: items,
             ..
         } => {
             format!("Entries({before} of {before_view} + {})", items.len())
         }
-        Body::Ack {
+        MessageBody::Acknowledge {
             synced,
             committed,
             in_sync,
         } => format!("Ack({synced} {committed} {in_sync})"),
-        Body::Part { id, offset, .. } => format!("Part({} {offset}/{})", id.number, id.total),
-        Body::PartAck { id, offset, held } => format!("PartAck({} {offset} {held:b})", id.number),
-        Body::Resume {
+        MessageBody::SnapshotChunk { id, offset, .. } => {
+            format!("Part({} {offset}/{})", id.number, id.total_bytes)
+        }
+        MessageBody::ChunkAcknowledgement {
+            id,
+            offset,
+            received_beyond: held,
+        } => format!("PartAck({} {offset} {held:b})", id.number),
+        MessageBody::ResumeSnapshot {
             number, id, offset, ..
         } => format!("Resume({number}: {} {offset})", id.number),
     }
 }
 
-fn size_of(msg: &Msg) -> u64 {
+fn size_of(msg: &Message) -> u64 {
     let bytes = match &msg.body {
-        Body::Entries { items, .. } => {
+        MessageBody::AppendEntries { entries: items, .. } => {
             items.iter().map(|i| i.command.len() + 12).sum::<usize>() + 60
         }
-        Body::Part { bytes, .. } => bytes.len() + 60,
+        MessageBody::SnapshotChunk { bytes, .. } => bytes.len() + 60,
         _ => 60,
     };
     bytes as u64
 }
 
 /// A table that stands for the control state: its digests say which changes it took, its newest body weighs.
-pub fn replayed(recovered: chain_replication::Recovered) -> Table {
+pub fn replayed(recovered: chain_replication::RecoveredLog) -> Table {
     let mut table = Table::default();
     if let Some((_, _, body)) = &recovered.snapshot {
         table.restore(body).expect("a snapshot that was written");
--- a/crates/control/chain-replication/tests/catch_up_world/operator.rs
+++ b/crates/control/chain-replication/tests/catch_up_world/operator.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use bytes::Bytes;
-use chain_replication::{Member, Node};
+use chain_replication::{Member, Replica};
 
 use super::table::Table;
 use super::{Process, World, LEAST, MS};
@@ -54,7 +54,7 @@
         };
         s.incarnation += 1;
         s.process = Some(Process {
-            node: Node::new(me, table, s.disk.start()),
+            node: Replica::new(me, table, s.disk.start()),
             waiting: BTreeSet::new(),
         });
         self.drain(seat);
@@ -71,10 +71,10 @@
             process.waiting.clear();
             return;
         }
-        let committed = process.node.committed_by(LEAST);
+        let committed = process.node.committed_with_members(LEAST);
         let later = process.waiting.split_off(&(committed + 1));
         let done = std::mem::replace(&mut process.waiting, later);
-        let digests = process.node.machine().digests.clone();
+        let digests = process.node.state_machine().digests.clone();
         for number in done {
             let digest = digests.get(number as usize - 1).copied().unwrap_or(0);
             if self
--- a/crates/control/chain-replication/tests/catch_up_world/ring.rs
+++ b/crates/control/chain-replication/tests/catch_up_world/ring.rs
@@ -5,7 +5,7 @@
 use std::collections::VecDeque;
 
 use bytes::Bytes;
-use chain_replication::{Node, Recovered, Write};
+use chain_replication::{LogRecord, RecoveredLog, Replica};
 use write_ahead_log::{prepare, Options, Record, SharedState, StdMonitor, WriteAheadLog, Writer};
 
 use super::disk::{Disk, FILES_MOST, FILE_BYTES, RATE, SYNC};
@@ -35,14 +35,14 @@
     disk: MemoryDisk,
     open: Option<Open>,
     /// Not taken by the ring yet: the node's ticket, none for what is written anew.
-    queue: VecDeque<(Option<u64>, Write)>,
+    queue: VecDeque<(Option<u64>, LogRecord)>,
     /// On their way: the ring's tickets, and the node's.
     waiting: VecDeque<(u64, Option<u64>)>,
     /// Bytes of them.
     unsynced_bytes: u64,
     syncing: bool,
     /// What is in the ring and not released, by its tickets.
-    kept: VecDeque<(u64, Write)>,
+    kept: VecDeque<(u64, LogRecord)>,
     /// The newest ticket that was said to be on disk.
     said: u64,
     /// Tickets before it are released.
@@ -56,11 +56,11 @@
     broken: Option<String>,
 }
 
-fn bytes_of(write: &Write) -> u64 {
+fn bytes_of(write: &LogRecord) -> u64 {
     match write {
-        Write::Entry { command, .. } => command.len() as u64,
-        Write::Snapshot { body, .. } => body.len() as u64,
-        Write::View { .. } | Write::InSync { .. } => 100,
+        LogRecord::Entry { command, .. } => command.len() as u64,
+        LogRecord::Snapshot { body, .. } => body.len() as u64,
+        LogRecord::View { .. } | LogRecord::InSync { .. } => 100,
     }
 }
 
@@ -137,7 +137,7 @@
     }
 
     /// What comes back holds all that was said to be on disk, and else a beginning of what was written.
-    fn check(&self, found: &[(u64, Write)]) -> Result<(), String> {
+    fn check(&self, found: &[(u64, LogRecord)]) -> Result<(), String> {
         let mut found = found.iter().filter(|(at, _)| *at >= self.low);
         for (at, write) in &self.kept {
             match found.next() {
@@ -157,7 +157,7 @@
         })
     }
 
-    fn open(&mut self) -> Result<Vec<(u64, Write)>, String> {
+    fn open(&mut self) -> Result<Vec<(u64, LogRecord)>, String> {
         let opened = prepare::<_, StdMonitor<SharedState>>(self.disk.clone(), OPTIONS, 1)
             .map_err(|error| error.to_string())?;
         self.open = Some(Open {
@@ -172,7 +172,7 @@
             .map(|(at, record)| {
                 Ok((
                     at,
-                    Write::decode(&record.body).map_err(|error| error.to_string())?,
+                    LogRecord::decode(&record.body).map_err(|error| error.to_string())?,
                 ))
             })
             .collect()
@@ -180,7 +180,7 @@
 }
 
 impl Disk for RingDisk {
-    fn write(&mut self, ticket: u64, write: Write) {
+    fn write(&mut self, ticket: u64, write: LogRecord) {
         self.queue.push_back((Some(ticket), write));
         self.flush();
     }
@@ -213,7 +213,7 @@
         ticket
     }
 
-    fn compact(&mut self, node: &Node<Table>) -> bool {
+    fn compact(&mut self, node: &Replica<Table>) -> bool {
         let newest = self.newest_synced();
         let Some(open) = &self.open else { return false };
         let waits = !self.waiting.is_empty() || !self.queue.is_empty();
@@ -231,8 +231,11 @@
             return false;
         };
         self.waiting.push_back((first, None));
-        self.queue
-            .extend(node.whole().into_iter().map(|write| (None, write)));
+        self.queue.extend(
+            node.snapshot_records()
+                .into_iter()
+                .map(|write| (None, write)),
+        );
         self.compacting = Some(first);
         self.releases = Some(first);
         if self.faults.releases_early {
@@ -272,7 +275,7 @@
         self.disk = self.disk.after_power_loss(&mut self.rng);
     }
 
-    fn start(&mut self) -> Recovered {
+    fn start(&mut self) -> RecoveredLog {
         // A process that begins anew without a word: as after a kill.
         if self.open.is_some() {
             self.lose_process(0);
@@ -307,7 +310,7 @@
         self.low = found.first().map_or(0, |(at, _)| *at);
         self.kept = found.into();
         self.said = self.newest_synced();
-        let mut recovered = Recovered::default();
+        let mut recovered = RecoveredLog::default();
         self.kept
             .iter()
             .for_each(|(_, write)| recovered.replay(write.clone()));
@@ -315,7 +318,7 @@
     }
 
     fn safe_table(&self) -> Table {
-        let mut recovered = Recovered::default();
+        let mut recovered = RecoveredLog::default();
         let safe = self.kept.iter().take_while(|(at, _)| *at <= self.said);
         safe.for_each(|(_, write)| recovered.replay(write.clone()));
         super::replayed(recovered)
--- a/crates/control/chain-replication/tests/catch_up_world/table.rs
+++ b/crates/control/chain-replication/tests/catch_up_world/table.rs
@@ -1,7 +1,7 @@
 //! The replicated table of the runs: it takes one body in place of the one before, as a configuration does.
 
 use bytes::Bytes;
-use chain_replication::{BadSnapshot, Machine};
+use chain_replication::{SnapshotError, StateMachine};
 
 #[derive(Debug, Clone, Default)]
 pub struct Table {
@@ -19,7 +19,7 @@
         .map_or(0, u64::from_be_bytes)
 }
 
-impl Machine for Table {
+impl StateMachine for Table {
     fn apply(&mut self, number: u64, command: &[u8]) {
         assert_eq!(
             number,
@@ -47,8 +47,8 @@
         bytes
     }
 
-    fn restore(&mut self, snapshot: &[u8]) -> Result<(), BadSnapshot> {
-        let short = || BadSnapshot("cut short".to_owned());
+    fn restore(&mut self, snapshot: &[u8]) -> Result<(), SnapshotError> {
+        let short = || SnapshotError("cut short".to_owned());
         let count = word(snapshot) as usize;
         let digests = snapshot.get(8..8 + 8 * count).ok_or_else(short)?;
         let rest = snapshot.get(8 + 8 * count..).ok_or_else(short)?;
--- a/crates/control/chain-replication/tests/catch_up_world/views.rs
+++ b/crates/control/chain-replication/tests/catch_up_world/views.rs
@@ -1,6 +1,6 @@
 //! The choice of the next view: the real rule, over what was last heard of each machine.
 
-use chain_replication::{next_view, stays_on_fresh_word, Member, Seen, View};
+use chain_replication::{next_view, remaining_members_recently_seen, Member, Observation, View};
 
 use super::{Joining, World, FAILURE_TIMEOUT, KEPT_LOG_BYTES, LEAST, MS, WANTED};
 
@@ -23,7 +23,7 @@
                     .view()
                     .is_none_or(|v| v.number < current.number)
             {
-                process.node.enter(now / MS, current);
+                process.node.install_view(now / MS, current);
             }
             self.drain(seat);
         }
@@ -48,7 +48,7 @@
             return;
         };
         let silent = |m: &Member| (self.now - self.seats[self.seat_of(m.addr)].heard_at) / MS;
-        if !stays_on_fresh_word(&self.view, &next, &silent) {
+        if !remaining_members_recently_seen(&self.view, &next, &silent) {
             return;
         }
         let acked = self.acked.last_key_value().map_or(0, |(number, _)| *number);
@@ -61,7 +61,7 @@
         }
     }
 
-    fn seen(&self) -> Vec<Seen> {
+    fn seen(&self) -> Vec<Observation> {
         let seats = self.seats.iter().enumerate();
         seats
             .map(|(zone, s)| {
@@ -69,7 +69,7 @@
                 if self.faults.claims_entitled {
                     status.in_sync_view = u64::MAX;
                 }
-                Seen {
+                Observation {
                     member: Member {
                         id: s.id,
                         addr: s.addr,
@@ -78,8 +78,8 @@
                     alive: self.now - s.heard_at <= FAILURE_TIMEOUT && s.id == status.id,
                     status: Some(status).filter(|status| status.id == s.id),
                     zone: zone as u64,
-                    leaving: false,
-                    unwanted: false,
+                    draining: false,
+                    retiring: false,
                 }
             })
             .collect()
--- a/crates/control/chain-replication/tests/chain.rs
+++ b/crates/control/chain-replication/tests/chain.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use bytes::Bytes;
-use chain_replication::{Body, Msg, MOST_COMMAND_BYTES};
+use chain_replication::{Message, MessageBody, MAX_COMMAND_BYTES};
 use common::{member, view, Net};
 
 fn three() -> Net {
@@ -11,7 +11,7 @@
     net.enter(&view(1, &[(1, 1), (2, 1), (3, 1)], &[]));
     net.settle();
     net.pass(500);
-    assert!(net.node(1).ready());
+    assert!(net.node(1).is_ready());
     net.said.clear();
     net
 }
@@ -105,7 +105,7 @@
     assert!((40..45).contains(&taken), "{taken}");
     let mut net = three();
     assert_eq!(
-        net.propose_bytes(1, Bytes::from(vec![0; MOST_COMMAND_BYTES + 1])),
+        net.propose_bytes(1, Bytes::from(vec![0; MAX_COMMAND_BYTES + 1])),
         None
     );
     assert_eq!(net.propose(2, "not the head"), None);
@@ -150,7 +150,7 @@
         net.pass(500);
         net.back(n);
         net.pass(1_000);
-        assert!(net.node(1).ready(), "member {n}");
+        assert!(net.node(1).is_ready(), "member {n}");
         assert_eq!(net.propose(1, "c"), Some(3));
         net.settle();
         net.pass(500);
@@ -173,7 +173,7 @@
     net.sync(3);
     net.settle();
     net.pass(500);
-    assert!(net.node(2).is_head() && net.node(2).ready());
+    assert!(net.node(2).is_head() && net.node(2).is_ready());
     assert_eq!(net.propose(2, "c"), Some(3));
     net.settle();
     assert_eq!(
@@ -193,7 +193,7 @@
     let next = view(2, &[(2, 1), (3, 1)], &[]);
     let now = net.now;
     for n in [2, 3] {
-        net.node(n).enter(now, next.clone());
+        net.node(n).install_view(now, next.clone());
         net.drain(n);
     }
     net.settle();
@@ -203,13 +203,13 @@
     net.pass(1_000);
     assert_eq!(net.seat(1).committed, 1, "the others are of another view");
     // It hears of a newer view and takes nothing more; then it learns the view and joins again.
-    let heard = Msg {
+    let heard = Message {
         view: 2,
         from: 2,
         to: 1,
-        body: Body::Ask,
+        body: MessageBody::RequestPosition,
     };
-    net.node(1).message(now, member(2, 0).addr, heard);
+    net.node(1).handle_message(now, member(2, 0).addr, heard);
     assert!(!net.node(1).is_head());
     assert_eq!(net.propose(1, "no"), None);
     let next = view(3, &[(2, 1), (3, 1)], &[1]);
@@ -239,7 +239,7 @@
     net.back(4);
     let now = net.now;
     net.node(4)
-        .enter(now, view(2, &[(1, 1), (2, 1), (3, 1)], &[4]));
+        .install_view(now, view(2, &[(1, 1), (2, 1), (3, 1)], &[4]));
     net.drain(4);
     net.settle();
     assert_eq!(net.words(4), "a b");
@@ -288,7 +288,7 @@
     net.enter(&next);
     let mut dropped = 0;
     while let Some((_, _, msg)) = net.mail.front() {
-        if matches!(msg.body, Body::Part { .. }) && dropped < 1 {
+        if matches!(msg.body, MessageBody::SnapshotChunk { .. }) && dropped < 1 {
             net.mail.pop_front();
             dropped += 1;
             continue;
@@ -328,7 +328,7 @@
     net2.back(1);
     let now = net2.now;
     net2.node(1)
-        .enter(now, view(2, &[(1, 1), (2, 2), (3, 1)], &[]));
+        .install_view(now, view(2, &[(1, 1), (2, 2), (3, 1)], &[]));
     net2.drain(1);
     net2.settle();
     net2.pass(1_000);
@@ -336,7 +336,7 @@
         (net2.words(2), net2.words(3)),
         ("a b".to_owned(), "a b".to_owned())
     );
-    assert!(net2.node(1).ready());
+    assert!(net2.node(1).is_ready());
 }
 
 #[test]
@@ -346,26 +346,27 @@
     let frame = net.mail.pop_front().map(|m| m.2).expect("a frame");
     let now = net.now;
     for wrong in [
-        Msg {
+        Message {
             to: 9,
             ..frame.clone()
         },
-        Msg {
+        Message {
             from: 9,
             ..frame.clone()
         },
-        Msg {
+        Message {
             view: 0,
             ..frame.clone()
         },
     ] {
-        net.node(2).message(now, member(1, 0).addr, wrong);
+        net.node(2).handle_message(now, member(1, 0).addr, wrong);
     }
-    net.node(2).message(now, member(3, 0).addr, frame.clone());
+    net.node(2)
+        .handle_message(now, member(3, 0).addr, frame.clone());
     net.drain(2);
-    assert_eq!(net.node(2).received(), 0);
-    net.node(2).message(now, member(1, 0).addr, frame);
-    assert_eq!(net.node(2).received(), 1);
+    assert_eq!(net.node(2).last_received(), 0);
+    net.node(2).handle_message(now, member(1, 0).addr, frame);
+    assert_eq!(net.node(2).last_received(), 1);
 }
 
 #[test]
@@ -376,8 +377,8 @@
         net.settle();
     }
     for n in 1..=3 {
-        let mut disk = chain_replication::Recovered::default();
-        for write in net.node(n).whole() {
+        let mut disk = chain_replication::RecoveredLog::default();
+        for write in net.node(n).snapshot_records() {
             disk.replay(write);
         }
         net.seat(n).disk = disk;
@@ -408,8 +409,8 @@
     assert_eq!(
         (
             net.seat(1).committed,
-            net.node(1).committed_by(1),
-            net.node(1).committed_by(2)
+            net.node(1).committed_with_members(1),
+            net.node(1).committed_with_members(2)
         ),
         (1, 1, 0)
     );
@@ -420,21 +421,24 @@
     net.pass(500);
     assert_eq!(net.node(2).status().in_sync_view, 2);
     assert_eq!(
-        (net.node(1).committed_by(2), net.node(1).ready()),
+        (
+            net.node(1).committed_with_members(2),
+            net.node(1).is_ready()
+        ),
         (0, false)
     );
     net.back(3);
     let now = net.now;
     net.node(3)
-        .enter(now, view(2, &[(1, 1), (2, 2), (3, 2)], &[]));
+        .install_view(now, view(2, &[(1, 1), (2, 2), (3, 2)], &[]));
     net.drain(3);
     net.settle();
     net.pass(500);
     assert_eq!(
         (
-            net.node(1).committed_by(3),
-            net.node(1).committed_by(4),
-            net.node(1).ready()
+            net.node(1).committed_with_members(3),
+            net.node(1).committed_with_members(4),
+            net.node(1).is_ready()
         ),
         (1, 0, true)
     );
--- a/crates/control/chain-replication/tests/common/mod.rs
+++ b/crates/control/chain-replication/tests/common/mod.rs
@@ -6,14 +6,15 @@
 
 use bytes::Bytes;
 use chain_replication::{
-    BadSnapshot, Body, Machine, Member, Msg, Node, Out, Recovered, View, Write,
+    Effect, LogRecord, Member, Message, MessageBody, RecoveredLog, Replica, SnapshotError,
+    StateMachine, View,
 };
 
 /// The table: the commands, in order.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Words(pub Vec<String>);
 
-impl Machine for Words {
+impl StateMachine for Words {
     fn apply(&mut self, number: u64, command: &[u8]) {
         assert_eq!(number as usize, self.0.len() + 1);
         // Long commands only weigh: their start is kept.
@@ -23,8 +24,8 @@
     fn snapshot(&self) -> Vec<u8> {
         self.0.join("\n").into_bytes()
     }
-    fn restore(&mut self, snapshot: &[u8]) -> Result<(), BadSnapshot> {
-        let text = std::str::from_utf8(snapshot).map_err(|e| BadSnapshot(e.to_string()))?;
+    fn restore(&mut self, snapshot: &[u8]) -> Result<(), SnapshotError> {
+        let text = std::str::from_utf8(snapshot).map_err(|e| SnapshotError(e.to_string()))?;
         self.0 = if text.is_empty() {
             Vec::new()
         } else {
@@ -54,10 +55,10 @@
 }
 
 pub struct Seat {
-    pub node: Node<Words>,
+    pub node: Replica<Words>,
     /// Written and not synced.
-    pub unsynced: Vec<(u64, Write)>,
-    pub disk: Recovered,
+    pub unsynced: Vec<(u64, LogRecord)>,
+    pub disk: RecoveredLog,
     pub committed: u64,
     pub resets: u32,
     /// Syncs happen at once.
@@ -69,7 +70,7 @@
 pub struct Net {
     pub now: u64,
     pub seats: Vec<Seat>,
-    pub mail: VecDeque<(u64, u64, Msg)>,
+    pub mail: VecDeque<(u64, u64, Message)>,
     /// All that was said, by its kind.
     pub said: Vec<String>,
     pub largest: usize,
@@ -82,17 +83,21 @@
     }
 }
 
-pub fn kind(body: &Body) -> String {
+pub fn kind(body: &MessageBody) -> String {
     match body {
-        Body::Have { number, .. } => format!("Have({number})"),
-        Body::Ask => "Ask".to_owned(),
-        Body::Entries { before, items, .. } => format!("Entries({before}+{})", items.len()),
-        Body::Ack {
+        MessageBody::LogPosition { number, .. } => format!("Have({number})"),
+        MessageBody::RequestPosition => "Ask".to_owned(),
+        MessageBody::AppendEntries {
+            previous: before,
+            entries: items,
+            ..
+        } => format!("Entries({before}+{})", items.len()),
+        MessageBody::Acknowledge {
             synced, committed, ..
         } => format!("Ack({synced},{committed})"),
-        Body::Part { offset, .. } => format!("Part({offset})"),
-        Body::PartAck { offset, .. } => format!("PartAck({offset})"),
-        Body::Resume { offset, .. } => format!("Resume({offset})"),
+        MessageBody::SnapshotChunk { offset, .. } => format!("Part({offset})"),
+        MessageBody::ChunkAcknowledgement { offset, .. } => format!("PartAck({offset})"),
+        MessageBody::ResumeSnapshot { offset, .. } => format!("Resume({offset})"),
     }
 }
 
@@ -100,9 +105,9 @@
     pub fn new(count: u64) -> Net {
         let seats = (1..=count)
             .map(|n| Seat {
-                node: Node::new(member(n, 0), Words::default(), Recovered::default()),
+                node: Replica::new(member(n, 0), Words::default(), RecoveredLog::default()),
                 unsynced: Vec::new(),
-                disk: Recovered::default(),
+                disk: RecoveredLog::default(),
                 committed: 0,
                 resets: 0,
                 syncs: true,
@@ -122,7 +127,7 @@
         &mut self.seats[n as usize - 1]
     }
 
-    pub fn node(&mut self, n: u64) -> &mut Node<Words> {
+    pub fn node(&mut self, n: u64) -> &mut Replica<Words> {
         &mut self.seat(n).node
     }
 
@@ -130,7 +135,7 @@
         for n in 1..=self.seats.len() as u64 {
             if self.seat(n).up {
                 let now = self.now;
-                self.node(n).enter(now, view.clone());
+                self.node(n).install_view(now, view.clone());
                 self.drain(n);
             }
         }
@@ -138,13 +143,13 @@
 
     pub fn drain(&mut self, n: u64) {
         loop {
-            let outs = self.node(n).take();
+            let outs = self.node(n).take_effects();
             if outs.is_empty() {
                 return;
             }
             for out in outs {
                 match out {
-                    Out::Send { to, msg } => {
+                    Effect::Send { to, message: msg } => {
                         let bytes = msg.encode();
                         self.largest = self.largest.max(bytes.len());
                         self.said
@@ -152,15 +157,18 @@
                         self.mail.push_back((
                             n,
                             n_of(to),
-                            Msg::decode(&bytes).expect("what was written"),
+                            Message::decode(&bytes).expect("what was written"),
                         ));
                     }
-                    Out::Write { ticket, write } => {
-                        let write = Write::decode(&write.encode()).expect("what was written");
+                    Effect::Write {
+                        ticket,
+                        record: write,
+                    } => {
+                        let write = LogRecord::decode(&write.encode()).expect("what was written");
                         self.seat(n).unsynced.push((ticket, write));
                     }
-                    Out::Committed { number } => self.seat(n).committed = number,
-                    Out::Reset => self.seat(n).resets += 1,
+                    Effect::Committed { number } => self.seat(n).committed = number,
+                    Effect::SnapshotInstalled => self.seat(n).resets += 1,
                 }
             }
             if self.seat(n).syncs {
@@ -179,7 +187,7 @@
         for (_, write) in std::mem::take(&mut seat.unsynced) {
             seat.disk.replay(write);
         }
-        seat.node.synced(now, ticket);
+        seat.node.handle_synced(now, ticket);
     }
 
     pub fn sync(&mut self, n: u64) {
@@ -194,7 +202,7 @@
         };
         if to >= 1 && to as usize <= self.seats.len() && self.seat(to).up {
             let now = self.now;
-            self.node(to).message(now, member(from, 0).addr, msg);
+            self.node(to).handle_message(now, member(from, 0).addr, msg);
             self.drain(to);
         }
         true
@@ -241,12 +249,12 @@
     pub fn back(&mut self, n: u64) {
         let disk = self.seat(n).disk.clone();
         let seat = self.seat(n);
-        seat.node = Node::new(member(n, 0), Words::default(), disk);
+        seat.node = Replica::new(member(n, 0), Words::default(), disk);
         seat.up = true;
         self.drain(n);
     }
 
     pub fn words(&mut self, n: u64) -> String {
-        self.node(n).machine().0.join(" ")
+        self.node(n).state_machine().0.join(" ")
     }
 }
