--- a/crates/control/chain-replication/tests/copies.rs
+++ b/crates/control/chain-replication/tests/copies.rs
@@ -4,14 +4,14 @@
 mod common;
 
 use bytes::Bytes;
-use chain_replication::{Body, Msg, Recovered, PARTS_IN_FLIGHT, PART_BYTES};
+use chain_replication::{Message, MessageBody, RecoveredLog, CHUNKS_IN_FLIGHT, CHUNK_BYTES};
 use common::{member, view, Net};
 
 /// Words of the table that is copied, and bytes of each in a snapshot.
 const WORDS: u64 = 40_000;
 const WORD_BYTES: usize = 17;
 /// Parts of its snapshot.
-const PARTS: usize = (WORDS as usize * WORD_BYTES - 1).div_ceil(PART_BYTES);
+const PARTS: usize = (WORDS as usize * WORD_BYTES - 1).div_ceil(CHUNK_BYTES);
 const TAIL: u64 = 3;
 const JOINER: u64 = 4;
 
@@ -29,7 +29,7 @@
 fn three_with_a_long_table() -> Net {
     let text: Vec<String> = (0..WORDS).map(|n| format!("{n:016}")).collect();
     let founded = view(1, &[(1, 1), (2, 1), (3, 1)], &[]);
-    let disk = Recovered {
+    let disk = RecoveredLog {
         view: Some(founded),
         in_sync_view: 1,
         snapshot: Some((1, WORDS, text.join("\n").into_bytes())),
@@ -42,7 +42,7 @@
         net.back(n);
     }
     net.pass(1_000);
-    assert!(net.node(1).ready());
+    assert!(net.node(1).is_ready());
     net.said.clear();
     net
 }
@@ -51,8 +51,8 @@
     net.enter(&view(2, &[(1, 1), (2, 1), (3, 1)], &[JOINER]));
 }
 
-fn is_part(msg: &Msg) -> bool {
-    matches!(msg.body, Body::Part { .. })
+fn is_part(msg: &Message) -> bool {
+    matches!(msg.body, MessageBody::SnapshotChunk { .. })
 }
 
 /// Parts that members have sent to the joiner.
@@ -84,20 +84,26 @@
     }
 }
 
-fn spoil(msg: &mut Msg, fault: Fault) {
+fn spoil(msg: &mut Message, fault: Fault) {
     match (&mut msg.body, fault) {
         (
-            Body::Resume {
+            MessageBody::ResumeSnapshot {
                 number, last_view, ..
             },
             Fault::ForgetsParts,
         ) => {
-            msg.body = Body::Have {
+            msg.body = MessageBody::LogPosition {
                 number: *number,
                 last_view: *last_view,
             };
         }
-        (Body::PartAck { held, .. }, Fault::HearsOfNoGap) => *held = 0,
+        (
+            MessageBody::ChunkAcknowledgement {
+                received_beyond: held,
+                ..
+            },
+            Fault::HearsOfNoGap,
+        ) => *held = 0,
         _ => {}
     }
 }
@@ -179,7 +185,7 @@
         let places = broken_off_after(parts, Fault::None);
         let lowest = places.iter().min().copied();
         assert!(
-            lowest >= Some(parts * PART_BYTES),
+            lowest >= Some(parts * CHUNK_BYTES),
             "{parts} parts had come: {places:?}"
         );
         // One may be sent by the sender's own time and by the taker's word.
@@ -200,13 +206,13 @@
         net.back(JOINER);
         let now = net.now;
         net.node(JOINER)
-            .enter(now, view(2, &[(1, 1), (2, 1), (3, 1)], &[JOINER]));
+            .install_view(now, view(2, &[(1, 1), (2, 1), (3, 1)], &[JOINER]));
         net.drain(JOINER);
         let before = net.said.len();
         net.pass(3_000);
         assert_copied(&mut net, &format!("taker restarted after {parts} parts"));
         let places = places_since(&net, before);
-        let bound = PARTS..=PARTS + PARTS_IN_FLIGHT;
+        let bound = PARTS..=PARTS + CHUNKS_IN_FLIGHT;
         assert!(
             bound.contains(&places.len()),
             "{parts} parts had come: {places:?}"
@@ -236,7 +242,7 @@
     let places = sent_in_a_new_view(Fault::None);
     assert_eq!(
         (places.len(), places.first()),
-        (PARTS - 6, Some(&(6 * PART_BYTES))),
+        (PARTS - 6, Some(&(6 * CHUNK_BYTES))),
         "{places:?}"
     );
 }
@@ -260,7 +266,7 @@
         assert_copied(&mut net, &format!("sender restarted after {parts} parts"));
         let places = places_since(&net, before);
         assert!(
-            places.iter().all(|at| *at >= parts * PART_BYTES),
+            places.iter().all(|at| *at >= parts * CHUNK_BYTES),
             "{parts} parts had come: {places:?}"
         );
     }
@@ -282,9 +288,9 @@
         // The joiner's link stands still; the table changes, and the tail comes back with it in its snapshot.
         assert!(net.propose(1, "newer").is_some());
         pass_cut_off(&mut net, 500);
-        let mut disk = Recovered::default();
+        let mut disk = RecoveredLog::default();
         net.node(TAIL)
-            .whole()
+            .snapshot_records()
             .into_iter()
             .for_each(|write| disk.replay(write));
         net.seat(TAIL).disk = disk;
@@ -367,7 +373,7 @@
         }
         let mail = net.mail.front_mut().expect("a word");
         spoil(&mut mail.2, fault);
-        let here = matches!(mail.2.body, Body::Part { offset, .. } if offset as usize == lost * PART_BYTES);
+        let here = matches!(mail.2.body, MessageBody::SnapshotChunk { offset, .. } if offset as usize == lost * CHUNK_BYTES);
         if here && !is_lost {
             is_lost = true;
             net.mail.pop_front();
@@ -389,7 +395,7 @@
         );
     }
     // Without the first one nothing says that there is a copy: those in flight with it are sent again.
-    assert!(sent_with_one_lost(0, Fault::None) <= PARTS + PARTS_IN_FLIGHT);
+    assert!(sent_with_one_lost(0, Fault::None) <= PARTS + CHUNKS_IN_FLIGHT);
 }
 
 #[test]
@@ -401,7 +407,7 @@
 fn words_and_parts_that_come_twice_and_late_begin_nothing_twice() {
     let mut net = three_with_a_long_table();
     join(&mut net);
-    let mut late: Vec<(u64, u64, Msg)> = Vec::new();
+    let mut late: Vec<(u64, u64, Message)> = Vec::new();
     let mut turns = 0u64;
     while let Some(mail) = net.mail.front().cloned() {
         turns += 1;
@@ -429,7 +435,7 @@
     assert_copied(&mut net, "doubled");
     let sent = parts_sent(&net);
     // Each of the joiner's first words may have one part sent again, and what had come late some more.
-    assert!(sent <= PARTS + PARTS_IN_FLIGHT, "{sent} parts of {PARTS}");
+    assert!(sent <= PARTS + CHUNKS_IN_FLIGHT, "{sent} parts of {PARTS}");
     // And once more when all is there.
     net.mail.extend(late);
     net.pass(2_000);
@@ -445,7 +451,7 @@
     while net.step() {
         most = most.max(net.mail.iter().filter(|mail| is_part(&mail.2)).count());
     }
-    assert_eq!(most, PARTS_IN_FLIGHT);
+    assert_eq!(most, CHUNKS_IN_FLIGHT);
     // And to one that says again and again where its log ends, no more than to one that says it once.
     let mut net = three_with_a_long_table();
     join(&mut net);
@@ -458,12 +464,12 @@
     while net.step() {
         net.mail.retain(|mail| !is_part(&mail.2));
     }
-    assert_eq!(parts_sent(&net), PARTS_IN_FLIGHT);
+    assert_eq!(parts_sent(&net), CHUNKS_IN_FLIGHT);
     for _ in 0..20 {
         net.mail.push_back(word.clone());
         net.step();
     }
-    assert_eq!(parts_sent(&net), PARTS_IN_FLIGHT);
+    assert_eq!(parts_sent(&net), CHUNKS_IN_FLIGHT);
 }
 
 #[test]
@@ -478,8 +484,8 @@
             net.pass(50);
             continue;
         };
-        if let Body::Part { offset, bytes, .. } = &mut msg.body {
-            if *offset as usize / PART_BYTES % 4 == 1 && spoilt < PARTS / 4 {
+        if let MessageBody::SnapshotChunk { offset, bytes, .. } = &mut msg.body {
+            if *offset as usize / CHUNK_BYTES % 4 == 1 && spoilt < PARTS / 4 {
                 let mut other = bytes.to_vec();
                 other[100] ^= 1;
                 *bytes = Bytes::from(other);
@@ -506,15 +512,15 @@
             net.pass(50);
             continue;
         };
-        if let Body::Part {
+        if let MessageBody::SnapshotChunk {
             id, offset, bytes, ..
         } = &msg.body
         {
-            if !changed && *offset as usize == 3 * PART_BYTES {
+            if !changed && *offset as usize == 3 * CHUNK_BYTES {
                 changed = true;
                 let mut other = bytes.to_vec();
                 other[..WORD_BYTES].copy_from_slice(b"other\nother\nother");
-                msg.body = Body::part(*id, *offset, Bytes::from(other));
+                msg.body = MessageBody::snapshot_chunk(*id, *offset, Bytes::from(other));
             }
         }
         net.step();
@@ -531,29 +537,30 @@
     join(&mut net);
     until_it_holds(&mut net, 2, Fault::None);
     let first = net.mail.iter().find_map(|(_, _, msg)| match &msg.body {
-        Body::Part { id, bytes, .. } => Some((*id, bytes.clone())),
+        MessageBody::SnapshotChunk { id, bytes, .. } => Some((*id, bytes.clone())),
         _ => None,
     });
     let (id, bytes) = first.expect("a part on its way");
     let held = net.words(JOINER);
-    let all = u32::try_from(PART_BYTES).expect("a part fits");
+    let all = u32::try_from(CHUNK_BYTES).expect("a part fits");
     let odd = [
         (2 * all + 1, bytes.clone()),
         (2 * all, bytes.slice(..100)),
-        (2 * all, Bytes::from(vec![0; 2 * PART_BYTES])),
-        (id.total, Bytes::new()),
+        (2 * all, Bytes::from(vec![0; 2 * CHUNK_BYTES])),
+        (id.total_bytes, Bytes::new()),
         (u32::MAX - 1, bytes.clone()),
-        (id.total / all * all, bytes),
+        (id.total_bytes / all * all, bytes),
     ];
     for (offset, bytes) in odd {
         let now = net.now;
-        let msg = Msg {
+        let msg = Message {
             view: 2,
             from: TAIL,
             to: JOINER,
-            body: Body::part(id, offset, bytes),
+            body: MessageBody::snapshot_chunk(id, offset, bytes),
         };
-        net.node(JOINER).message(now, member(TAIL, 0).addr, msg);
+        net.node(JOINER)
+            .handle_message(now, member(TAIL, 0).addr, msg);
         net.drain(JOINER);
     }
     assert_eq!(net.words(JOINER), held);
--- a/crates/control/chain-replication/tests/crash_points.rs
+++ b/crates/control/chain-replication/tests/crash_points.rs
@@ -36,7 +36,7 @@
     };
     let disks: Vec<String> = (1..=3)
         .map(|n| {
-            if net.seat(n).disk.last() == 2 {
+            if net.seat(n).disk.last_number() == 2 {
                 "x".to_owned()
             } else {
                 "-".to_owned()
@@ -87,7 +87,7 @@
             (words.clone(), words.clone()),
             "{line}"
         );
-        assert!(net.node(1).ready(), "{line}");
+        assert!(net.node(1).is_ready(), "{line}");
         assert_eq!(net.seat(1).committed, if there { 2 } else { 1 }, "{line}");
     }
 }
@@ -103,15 +103,15 @@
                 net.back(*n);
             }
             // The others' statuses are enough for the rule to name a head.
-            let seen: Vec<chain_replication::Seen> = left
+            let seen: Vec<chain_replication::Observation> = left
                 .iter()
-                .map(|n| chain_replication::Seen {
+                .map(|n| chain_replication::Observation {
                     member: member(*n, 0),
                     alive: true,
                     status: Some(net.node(*n).status()),
                     zone: *n,
-                    leaving: false,
-                    unwanted: false,
+                    draining: false,
+                    retiring: false,
                 })
                 .collect();
             let now_view = view(1, &[(1, 1), (2, 1), (3, 1)], &[]);
@@ -121,7 +121,7 @@
             net.settle();
             net.pass(1_000);
             let head = left[0];
-            assert!(net.node(head).ready(), "{line}, {gone} gone");
+            assert!(net.node(head).is_ready(), "{line}, {gone} gone");
             if acknowledged {
                 assert_eq!(net.words(head), "a x", "{line}, {gone} gone");
             }
--- a/crates/control/chain-replication/tests/lagging.rs
+++ b/crates/control/chain-replication/tests/lagging.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use bytes::Bytes;
-use chain_replication::{Body, Msg, SnapshotId, MOST_COMMAND_BYTES};
+use chain_replication::{Message, MessageBody, SnapshotId, MAX_COMMAND_BYTES};
 use common::{member, view, Net};
 
 /// Three members whose log has let its beginning go, and a machine that joins.
@@ -35,7 +35,7 @@
 }
 
 /// Hands over all mail but for the joiner's, which is held back.
-fn settle_but_for_joiner(net: &mut Net) -> Vec<(u64, u64, Msg)> {
+fn settle_but_for_joiner(net: &mut Net) -> Vec<(u64, u64, Message)> {
     let mut held = Vec::new();
     while let Some(mail) = net.mail.pop_front() {
         if mail.1 == 4 {
@@ -53,7 +53,7 @@
     while !net
         .mail
         .iter()
-        .any(|(_, to, msg)| *to == 4 && matches!(msg.body, Body::Part { .. }))
+        .any(|(_, to, msg)| *to == 4 && matches!(msg.body, MessageBody::SnapshotChunk { .. }))
     {
         assert!(net.step(), "no part was sent");
     }
@@ -117,15 +117,18 @@
         }
         let mut turns = 0;
         while let Some((from, to, mut msg)) = net.mail.pop_front() {
-            if let Body::Part {
+            if let MessageBody::SnapshotChunk {
                 id, offset, bytes, ..
             } = &msg.body
             {
                 // Whole and of the right name, and yet no table.
-                assert!(id.total as usize == bytes.len(), "one part is all of it");
+                assert!(
+                    id.total_bytes as usize == bytes.len(),
+                    "one part is all of it"
+                );
                 let bytes = Bytes::from(vec![0xFF; bytes.len()]);
                 let id = SnapshotId::of(id.number, id.last_view, &bytes);
-                msg.body = Body::part(id, *offset, bytes);
+                msg.body = MessageBody::snapshot_chunk(id, *offset, bytes);
                 parts += 1;
             }
             net.mail.push_front((from, to, msg));
@@ -149,8 +152,8 @@
 fn a_member_whose_own_snapshot_cannot_be_read_neither_leads_nor_counts_as_in_sync() {
     for n in [1, 2, 3] {
         let mut net = late_joiner(60);
-        let writes = net.node(n).whole();
-        let mut disk = chain_replication::Recovered::default();
+        let writes = net.node(n).snapshot_records();
+        let mut disk = chain_replication::RecoveredLog::default();
         writes.into_iter().for_each(|write| disk.replay(write));
         disk.snapshot = disk
             .snapshot
@@ -161,7 +164,7 @@
         net.back(n);
         net.pass(2_000);
         assert!(
-            !net.node(n).is_head() && !net.node(n).active(),
+            !net.node(n).is_head() && !net.node(n).is_active(),
             "member {n}"
         );
         assert_eq!(net.propose(n, "from nothing"), None);
@@ -185,7 +188,7 @@
 #[test]
 fn a_large_entry_is_not_sent_again_before_it_can_have_come() {
     let mut net = late_joiner(0);
-    net.propose_bytes(1, Bytes::from(vec![b'x'; MOST_COMMAND_BYTES]));
+    net.propose_bytes(1, Bytes::from(vec![b'x'; MAX_COMMAND_BYTES]));
     let sent = |net: &Net| {
         net.said
             .iter()
@@ -225,19 +228,19 @@
         held.extend(settle_but_for_joiner(&mut net));
     }
     // It hears how far the others are while the entries are still on their way: it lacks 12 MB.
-    let frame = Body::Entries {
-        before: net.node(4).received(),
-        before_view: 1,
-        needed: 20,
-        newest: net.node(3).received(),
+    let frame = MessageBody::AppendEntries {
+        previous: net.node(4).last_received(),
+        previous_view: 1,
+        catch_up_target: 20,
+        newest_synced: net.node(3).last_received(),
         committed: 20,
-        items: Vec::new(),
+        entries: Vec::new(),
     };
     let now = net.now;
-    net.node(4).message(
+    net.node(4).handle_message(
         now,
         member(3, 0).addr,
-        Msg {
+        Message {
             view: 2,
             from: 3,
             to: 4,
@@ -286,15 +289,15 @@
         let Some(mail) = net.mail.pop_front() else {
             continue;
         };
-        if let Body::PartAck { offset, .. } = &mail.2.body {
+        if let MessageBody::ChunkAcknowledgement { offset, .. } = &mail.2.body {
             taken = *offset;
         }
-        let part = matches!(mail.2.body, Body::Part { .. });
+        let part = matches!(mail.2.body, MessageBody::SnapshotChunk { .. });
         net.mail.push_front(mail);
         net.step();
         if part {
             net.mail
-                .retain(|(_, _, msg)| !matches!(msg.body, Body::Part { .. }));
+                .retain(|(_, _, msg)| !matches!(msg.body, MessageBody::SnapshotChunk { .. }));
         }
         if taken > 0 {
             break;
@@ -320,7 +323,7 @@
     let mut turn = 0;
     while let Some(mail) = net.mail.pop_front() {
         turn += 1;
-        if matches!(mail.2.body, Body::Part { .. }) {
+        if matches!(mail.2.body, MessageBody::SnapshotChunk { .. }) {
             old.push(mail.clone());
             if turn % 3 == 0 {
                 // It comes a second time, and after the next.
@@ -344,7 +347,7 @@
     net.settle();
     net.pass(500);
     assert_eq!((net.words(4), net.seat(4).resets), (net.words(3), 1));
-    assert!(net.node(1).ready());
+    assert!(net.node(1).is_ready());
 }
 
 /// On a link that is full each copy of the same frames delays what would answer them.
--- a/crates/control/chain-replication/tests/log_budget.rs
+++ b/crates/control/chain-replication/tests/log_budget.rs
@@ -2,7 +2,9 @@
 //! few of them are busy.
 
 use bytes::Bytes;
-use chain_replication::{log_limit, BadSnapshot, Machine, Member, Node, Out, Recovered, View};
+use chain_replication::{
+    fair_log_limit, Effect, Member, RecoveredLog, Replica, SnapshotError, StateMachine, View,
+};
 use proptest::prelude::*;
 
 const MIB: u64 = 1 << 20;
@@ -12,27 +14,27 @@
 
 struct Nothing;
 
-impl Machine for Nothing {
+impl StateMachine for Nothing {
     fn apply(&mut self, _number: u64, _command: &[u8]) {}
     fn snapshot(&self) -> Vec<u8> {
         Vec::new()
     }
-    fn restore(&mut self, _snapshot: &[u8]) -> Result<(), BadSnapshot> {
+    fn restore(&mut self, _snapshot: &[u8]) -> Result<(), SnapshotError> {
         Ok(())
     }
 }
 
 /// Chains of one member each, as of one process.
-fn members(count: usize) -> Vec<Node<Nothing>> {
+fn members(count: usize) -> Vec<Replica<Nothing>> {
     let me = Member {
         id: 1,
         addr: ([10, 0, 0, 1], 7_000).into(),
         since: 1,
     };
-    let mut nodes: Vec<Node<Nothing>> = Vec::new();
+    let mut nodes: Vec<Replica<Nothing>> = Vec::new();
     for _ in 0..count {
-        let mut node = Node::new(me.clone(), Nothing, Recovered::default());
-        node.enter(
+        let mut node = Replica::new(me.clone(), Nothing, RecoveredLog::default());
+        node.install_view(
             1,
             View {
                 number: 1,
@@ -47,23 +49,23 @@
 }
 
 /// All that it wrote is on its disk.
-fn sync(node: &mut Node<Nothing>) {
+fn sync(node: &mut Replica<Nothing>) {
     loop {
-        let newest = node.take().iter().rev().find_map(|out| match out {
-            Out::Write { ticket, .. } => Some(*ticket),
+        let newest = node.take_effects().iter().rev().find_map(|out| match out {
+            Effect::Write { ticket, .. } => Some(*ticket),
             _ => None,
         });
         let Some(ticket) = newest else { return };
-        node.synced(1, ticket);
+        node.handle_synced(1, ticket);
     }
 }
 
-fn together(nodes: &[Node<Nothing>]) -> u64 {
-    nodes.iter().map(Node::log_bytes).sum()
+fn together(nodes: &[Replica<Nothing>]) -> u64 {
+    nodes.iter().map(Replica::log_bytes).sum()
 }
 
 /// Each of the first `busy` takes so many commands, one a round; the limit is set anew each round.
-fn play(nodes: &mut [Node<Nothing>], busy: usize, rounds: usize, limited: bool) -> u64 {
+fn play(nodes: &mut [Replica<Nothing>], busy: usize, rounds: usize, limited: bool) -> u64 {
     let command = Bytes::from(vec![7; COMMAND]);
     let mut most = 0;
     for _ in 0..rounds {
@@ -73,8 +75,8 @@
         }
         most = most.max(together(nodes));
         if limited {
-            let limit = log_limit(nodes.iter().map(Node::log_bytes));
-            nodes.iter_mut().for_each(|node| node.limit_log(limit));
+            let limit = fair_log_limit(nodes.iter().map(Replica::log_bytes));
+            nodes.iter_mut().for_each(|node| node.set_log_limit(limit));
         }
     }
     most
@@ -124,7 +126,7 @@
 proptest! {
     #[test]
     fn a_limit_keeps_all_together_within_the_bound(held in proptest::collection::vec(0u64..40 * MIB, 0..80)) {
-        let limit = log_limit(held.iter().copied());
+        let limit = fair_log_limit(held.iter().copied());
         let after: u64 = held.iter().map(|bytes| limit.min(*bytes)).sum();
         prop_assert!(after <= TOGETHER.max(held.len() as u64 * LEAST));
         // Nobody is limited without need.
--- a/crates/control/chain-replication/tests/next_view.rs
+++ b/crates/control/chain-replication/tests/next_view.rs
@@ -2,29 +2,29 @@
 
 mod common;
 
-use chain_replication::{next_view, Seen, Status, View};
+use chain_replication::{next_view, Observation, ReplicaStatus, View};
 use common::{member, view};
 
-fn seen(n: u64, now: &View) -> Seen {
+fn seen(n: u64, now: &View) -> Observation {
     let in_view = now.members.iter().any(|m| m.id == n);
-    let status = Status {
+    let status = ReplicaStatus {
         id: n,
         view: now.number,
         in_sync_view: if in_view { now.number } else { 0 },
-        received: 10,
+        last_received: 10,
         caught_up: false,
     };
-    Seen {
+    Observation {
         member: member(n, 0),
         alive: true,
         status: Some(status),
         zone: n,
-        leaving: false,
-        unwanted: false,
+        draining: false,
+        retiring: false,
     }
 }
 
-fn all(now: &View, count: u64) -> Vec<Seen> {
+fn all(now: &View, count: u64) -> Vec<Observation> {
     (1..=count).map(|n| seen(n, now)).collect()
 }
 
@@ -141,17 +141,17 @@
 fn who_is_leaving_goes_out_or_to_the_end() {
     let now = three();
     let mut s = all(&now, 3);
-    s[0].leaving = true;
+    s[0].draining = true;
     assert_eq!(told(next_view(&now, &s, 3, 2)), "6: 2@1 3@4 joining []");
     // Without it there would be too few: it stays, at the end, until it stops.
     let now = view(5, &[(1, 1), (2, 1)], &[]);
     let mut s = all(&now, 2);
-    s[0].leaving = true;
+    s[0].draining = true;
     assert_eq!(told(next_view(&now, &s, 2, 2)), "6: 2@1 1@1 joining []");
     let now = view(6, &[(2, 1), (1, 1)], &[]);
     let mut s = all(&now, 2);
-    s[0].leaving = true;
-    s[1].leaving = true;
+    s[0].draining = true;
+    s[1].draining = true;
     assert_eq!(
         told(next_view(&now, &s, 2, 2)),
         "none",
@@ -163,14 +163,14 @@
 fn the_retired_goes_once_enough_others_hold_all() {
     let now = three();
     let mut s = all(&now, 4);
-    s[1].unwanted = true;
+    s[1].retiring = true;
     assert_eq!(
         told(next_view(&now, &s, 3, 2)),
         "6: 1@1 2@1 3@4 joining [4]"
     );
     let now = view(7, &[(1, 1), (2, 1), (3, 4), (4, 7)], &[]);
     let mut s = all(&now, 4);
-    s[1].unwanted = true;
+    s[1].retiring = true;
     s[3].status.as_mut().unwrap().in_sync_view = 0;
     assert_eq!(
         told(next_view(&now, &s, 3, 2)),
@@ -182,7 +182,7 @@
     // Where no other machine is there, two are enough.
     let now = three();
     let mut s = all(&now, 3);
-    s[1].unwanted = true;
+    s[1].retiring = true;
     assert_eq!(told(next_view(&now, &s, 3, 2)), "6: 1@1 3@4 joining []");
 }
 
--- a/crates/control/chain-replication/tests/recovered.rs
+++ b/crates/control/chain-replication/tests/recovered.rs
@@ -3,12 +3,12 @@
 mod common;
 
 use bytes::Bytes;
-use chain_replication::{Machine as _, Node, Recovered, View, Write};
+use chain_replication::{LogRecord, RecoveredLog, Replica, StateMachine as _, View};
 use common::{member, Words};
 use proptest::prelude::*;
 
 /// Records as a member writes them: entries, a view, its state anew with what comes after it, another's state.
-fn history() -> impl Strategy<Value = Vec<Write>> {
+fn history() -> impl Strategy<Value = Vec<LogRecord>> {
     let step = prop_oneof![
         6 => (1usize..40).prop_map(Step::Entry),
         1 => Just(Step::View),
@@ -36,14 +36,14 @@
     table
 }
 
-fn written(steps: Vec<Step>) -> Vec<Write> {
+fn written(steps: Vec<Step>) -> Vec<LogRecord> {
     let (mut view, mut words, mut writes) = (1, Vec::<Bytes>::new(), Vec::new());
-    let entry = |number: usize, words: &[Bytes]| Write::Entry {
+    let entry = |number: usize, words: &[Bytes]| LogRecord::Entry {
         view: 1,
         number: number as u64,
         command: words[number - 1].clone(),
     };
-    let snapshot = |words: &[Bytes]| Write::Snapshot {
+    let snapshot = |words: &[Bytes]| LogRecord::Snapshot {
         view: 1,
         number: words.len() as u64,
         body: Bytes::from(table(words).snapshot()),
@@ -58,14 +58,14 @@
             }
             Step::View => {
                 view += 1;
-                writes.push(Write::View {
+                writes.push(LogRecord::View {
                     view: View {
                         number: view,
                         members: vec![],
                         joining: vec![],
                     },
                 });
-                writes.push(Write::InSync { view });
+                writes.push(LogRecord::InSync { view });
             }
             Step::Anew(newest) => {
                 let older = words.len().saturating_sub(newest);
@@ -83,8 +83,8 @@
     writes
 }
 
-fn node(recovered: Recovered) -> Node<Words> {
-    Node::new(member(1, 1), Words::default(), recovered)
+fn node(recovered: RecoveredLog) -> Replica<Words> {
+    Replica::new(member(1, 1), Words::default(), recovered)
 }
 
 proptest! {
@@ -94,38 +94,38 @@
         keep in 0u64..200,
         every in 1usize..20,
     ) {
-        let (mut plain, mut folded) = (Recovered::default(), Recovered::default());
+        let (mut plain, mut folded) = (RecoveredLog::default(), RecoveredLog::default());
         for (at, write) in writes.into_iter().enumerate() {
             plain.replay(write.clone());
             folded.replay(write);
             if at % every == 0 {
-                folded.fold(Words::default(), keep).unwrap();
+                folded.compact(Words::default(), keep).unwrap();
                 prop_assert!(folded.entry_bytes() <= keep);
             }
         }
-        prop_assert_eq!(folded.last(), plain.last());
+        prop_assert_eq!(folded.last_number(), plain.last_number());
         prop_assert_eq!((&folded.view, folded.in_sync_view), (&plain.view, plain.in_sync_view));
         let (plain, folded) = (node(plain), node(folded));
-        prop_assert_eq!(folded.machine(), plain.machine());
-        prop_assert_eq!((folded.received(), folded.applied()), (plain.received(), plain.applied()));
+        prop_assert_eq!(folded.state_machine(), plain.state_machine());
+        prop_assert_eq!((folded.last_received(), folded.applied()), (plain.last_received(), plain.applied()));
         prop_assert_eq!(folded.status(), plain.status());
     }
 }
 
 #[test]
 fn a_state_that_cannot_be_read_is_left_as_it_is() {
-    let mut recovered = Recovered::default();
-    recovered.replay(Write::Snapshot {
+    let mut recovered = RecoveredLog::default();
+    recovered.replay(LogRecord::Snapshot {
         view: 1,
         number: 2,
         body: Bytes::from_static(&[0xFF]),
     });
-    recovered.replay(Write::Entry {
+    recovered.replay(LogRecord::Entry {
         view: 1,
         number: 3,
         command: Bytes::from_static(b"a"),
     });
     let before = recovered.clone();
-    assert!(recovered.fold(Words::default(), 0).is_err());
+    assert!(recovered.compact(Words::default(), 0).is_err());
     assert_eq!(recovered, before);
 }
--- a/crates/control/chain-replication/tests/strangers.rs
+++ b/crates/control/chain-replication/tests/strangers.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use bytes::Bytes;
-use chain_replication::{Body, Item, Msg, SnapshotId, Write};
+use chain_replication::{Entry, LogRecord, Message, MessageBody, SnapshotId};
 use common::*;
 use proptest::prelude::*;
 use std::net::SocketAddr;
@@ -25,11 +25,11 @@
     net
 }
 
-fn stands(net: &mut Net, n: u64) -> (Vec<Write>, Words, u64, bool) {
+fn stands(net: &mut Net, n: u64) -> (Vec<LogRecord>, Words, u64, bool) {
     let node = net.node(n);
     (
-        node.whole(),
-        node.machine().clone(),
+        node.snapshot_records(),
+        node.state_machine().clone(),
         node.committed(),
         node.is_head(),
     )
@@ -42,14 +42,14 @@
     let mut net = chain_of_three();
     let before = stands(&mut net, 1);
     assert!(before.3, "the first is head");
-    let msg = Msg {
+    let msg = Message {
         view: u64::MAX,
         from: 9,
         to: 7,
-        body: Body::Ask,
+        body: MessageBody::RequestPosition,
     };
     let now = net.now;
-    net.node(1).message(now, member(9, 0).addr, msg);
+    net.node(1).handle_message(now, member(9, 0).addr, msg);
     net.drain(1);
     assert_eq!(stands(&mut net, 1), before);
     assert!(net.propose(1, "d").is_some(), "it goes on as head");
@@ -60,56 +60,61 @@
         SnapshotId {
             number,
             last_view,
-            total,
-            digest,
+            total_bytes: total,
+            crc32: digest,
         }
     })
 }
 
-fn body() -> impl Strategy<Value = Body> {
+fn body() -> impl Strategy<Value = MessageBody> {
     let bytes = || proptest::collection::vec(any::<u8>(), 0..20).prop_map(Bytes::from);
     let items = proptest::collection::vec((0u64..4, bytes()), 0..4);
     prop_oneof![
-        (0u64..6, 0u64..4).prop_map(|(number, last_view)| Body::Have { number, last_view }),
-        Just(Body::Ask),
+        (0u64..6, 0u64..4)
+            .prop_map(|(number, last_view)| MessageBody::LogPosition { number, last_view }),
+        Just(MessageBody::RequestPosition),
         ([0u64..6, 0..4, 0..6, 0..8, 0..8], items).prop_map(
             |([before, before_view, needed, newest, committed], items)| {
                 let items = items
                     .into_iter()
-                    .map(|(view, command)| Item { view, command })
+                    .map(|(view, command)| Entry { view, command })
                     .collect();
-                Body::Entries {
-                    before,
-                    before_view,
-                    needed,
-                    newest,
+                MessageBody::AppendEntries {
+                    previous: before,
+                    previous_view: before_view,
+                    catch_up_target: needed,
+                    newest_synced: newest,
                     committed,
-                    items,
+                    entries: items,
                 }
             }
         ),
-        (0u64..8, 0u64..8, any::<bool>()).prop_map(|(synced, committed, in_sync)| Body::Ack {
-            synced,
-            committed,
-            in_sync
+        (0u64..8, 0u64..8, any::<bool>()).prop_map(|(synced, committed, in_sync)| {
+            MessageBody::Acknowledge {
+                synced,
+                committed,
+                in_sync,
+            }
         }),
         (snapshot_id(), 0u32..40, bytes())
-            .prop_map(|(id, offset, bytes)| Body::part(id, offset, bytes)),
+            .prop_map(|(id, offset, bytes)| MessageBody::snapshot_chunk(id, offset, bytes)),
         (snapshot_id(), 0u32..40, any::<u32>(), bytes()).prop_map(
-            |(id, offset, checksum, bytes)| Body::Part {
+            |(id, offset, checksum, bytes)| MessageBody::SnapshotChunk {
                 id,
                 offset,
                 checksum,
                 bytes
             }
         ),
-        (snapshot_id(), 0u32..40, any::<u8>()).prop_map(|(id, offset, held)| Body::PartAck {
-            id,
-            offset,
-            held
+        (snapshot_id(), 0u32..40, any::<u8>()).prop_map(|(id, offset, held)| {
+            MessageBody::ChunkAcknowledgement {
+                id,
+                offset,
+                received_beyond: held,
+            }
         }),
         (0u64..6, 0u64..4, snapshot_id(), 0u32..40).prop_map(|(number, last_view, id, offset)| {
-            Body::Resume {
+            MessageBody::ResumeSnapshot {
                 number,
                 last_view,
                 id,
@@ -129,19 +134,19 @@
         let mut net = chain_of_three();
         let before = stands(&mut net, n);
         let neighbour = if n == 1 { 2 } else { n - 1 };
-        let good = Msg { view: 2, from: neighbour, to: n, body };
+        let good = Message { view: 2, from: neighbour, to: n, body };
         let addr = member(neighbour, 0).addr;
         let (from, msg) = match which {
-            0 => (addr, Msg { view: 1, ..good }),
-            1 => (addr, Msg { from: 8, ..good }),
+            0 => (addr, Message { view: 1, ..good }),
+            1 => (addr, Message { from: 8, ..good }),
             2 => (SocketAddr::from(([10, 0, 0, 9], 7000)), good),
-            _ => (addr, Msg { to: 8, view: 3, ..good }),
+            _ => (addr, Message { to: 8, view: 3, ..good }),
         };
         let now = net.now;
-        let passed_over = net.node(n).passed_over();
-        net.node(n).message(now, from, msg);
-        prop_assert_eq!(net.node(n).passed_over(), passed_over + 1);
-        prop_assert_eq!(net.node(n).take(), vec![]);
+        let passed_over = net.node(n).ignored_messages();
+        net.node(n).handle_message(now, from, msg);
+        prop_assert_eq!(net.node(n).ignored_messages(), passed_over + 1);
+        prop_assert_eq!(net.node(n).take_effects(), vec![]);
         prop_assert_eq!(stands(&mut net, n), before);
     }
 }
--- a/crates/control/chain-replication/tests/wire.rs
+++ b/crates/control/chain-replication/tests/wire.rs
@@ -1,7 +1,9 @@
 //! Whatever bytes come, reading them gives a value or an error; what was written is read back.
 
 use bytes::Bytes;
-use chain_replication::{Body, Item, Member, Msg, SnapshotId, Status, View, Write};
+use chain_replication::{
+    Entry, LogRecord, Member, Message, MessageBody, ReplicaStatus, SnapshotId, View,
+};
 use proptest::prelude::*;
 
 fn member() -> impl Strategy<Value = Member> {
@@ -31,47 +33,49 @@
         |(number, last_view, total, digest)| SnapshotId {
             number,
             last_view,
-            total,
-            digest,
+            total_bytes: total,
+            crc32: digest,
         },
     )
 }
 
-fn body() -> impl Strategy<Value = Body> {
-    let item = (any::<u64>(), bytes()).prop_map(|(view, command)| Item { view, command });
+fn body() -> impl Strategy<Value = MessageBody> {
+    let item = (any::<u64>(), bytes()).prop_map(|(view, command)| Entry { view, command });
     let items = proptest::collection::vec(item, 0..5);
     prop_oneof![
         (any::<u64>(), any::<u64>())
-            .prop_map(|(number, last_view)| Body::Have { number, last_view }),
-        Just(Body::Ask),
+            .prop_map(|(number, last_view)| MessageBody::LogPosition { number, last_view }),
+        Just(MessageBody::RequestPosition),
         (any::<[u64; 5]>(), items).prop_map(
             |([before, before_view, needed, newest, committed], items)| {
-                Body::Entries {
-                    before,
-                    before_view,
-                    needed,
-                    newest,
+                MessageBody::AppendEntries {
+                    previous: before,
+                    previous_view: before_view,
+                    catch_up_target: needed,
+                    newest_synced: newest,
                     committed,
-                    items,
+                    entries: items,
                 }
             }
         ),
         (any::<u64>(), any::<u64>(), any::<bool>()).prop_map(|(synced, committed, in_sync)| {
-            Body::Ack {
+            MessageBody::Acknowledge {
                 synced,
                 committed,
                 in_sync,
             }
         }),
         (snapshot_id(), any::<u32>(), bytes())
-            .prop_map(|(id, offset, bytes)| Body::part(id, offset, bytes)),
-        (snapshot_id(), any::<u32>(), any::<u8>()).prop_map(|(id, offset, held)| Body::PartAck {
-            id,
-            offset,
-            held
+            .prop_map(|(id, offset, bytes)| MessageBody::snapshot_chunk(id, offset, bytes)),
+        (snapshot_id(), any::<u32>(), any::<u8>()).prop_map(|(id, offset, held)| {
+            MessageBody::ChunkAcknowledgement {
+                id,
+                offset,
+                received_beyond: held,
+            }
         }),
         (any::<u64>(), any::<u64>(), snapshot_id(), any::<u32>()).prop_map(
-            |(number, last_view, id, offset)| Body::Resume {
+            |(number, last_view, id, offset)| MessageBody::ResumeSnapshot {
                 number,
                 last_view,
                 id,
@@ -81,8 +85,8 @@
     ]
 }
 
-fn msg() -> impl Strategy<Value = Msg> {
-    (any::<[u64; 3]>(), body()).prop_map(|([view, from, to], body)| Msg {
+fn msg() -> impl Strategy<Value = Message> {
+    (any::<[u64; 3]>(), body()).prop_map(|([view, from, to], body)| Message {
         view,
         from,
         to,
@@ -90,39 +94,38 @@
     })
 }
 
-fn write() -> impl Strategy<Value = Write> {
+fn write() -> impl Strategy<Value = LogRecord> {
     prop_oneof![
-        view().prop_map(|view| Write::View { view }),
-        any::<u64>().prop_map(|view| Write::InSync { view }),
-        (any::<u64>(), any::<u64>(), bytes()).prop_map(|(view, number, command)| Write::Entry {
-            view,
-            number,
-            command
-        }),
-        (any::<u64>(), any::<u64>(), bytes()).prop_map(|(view, number, body)| Write::Snapshot {
-            view,
-            number,
-            body
+        view().prop_map(|view| LogRecord::View { view }),
+        any::<u64>().prop_map(|view| LogRecord::InSync { view }),
+        (any::<u64>(), any::<u64>(), bytes()).prop_map(|(view, number, command)| {
+            LogRecord::Entry {
+                view,
+                number,
+                command,
+            }
         }),
+        (any::<u64>(), any::<u64>(), bytes())
+            .prop_map(|(view, number, body)| LogRecord::Snapshot { view, number, body }),
     ]
 }
 
 proptest! {
     #[test]
     fn words_are_read_back(msg in msg()) {
-        prop_assert_eq!(Msg::decode(&msg.encode()).unwrap(), msg);
+        prop_assert_eq!(Message::decode(&msg.encode()).unwrap(), msg);
     }
 
     #[test]
     fn records_are_read_back(write in write()) {
-        prop_assert_eq!(Write::decode(&write.encode()).unwrap(), write);
+        prop_assert_eq!(LogRecord::decode(&write.encode()).unwrap(), write);
     }
 
     #[test]
     fn any_bytes_are_borne(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
-        let _ = Msg::decode(&bytes);
-        let _ = Write::decode(&bytes);
-        let _ = Status::decode(&bytes);
+        let _ = Message::decode(&bytes);
+        let _ = LogRecord::decode(&bytes);
+        let _ = ReplicaStatus::decode(&bytes);
     }
 
     #[test]
@@ -130,27 +133,27 @@
         let mut bytes = msg.encode().to_vec();
         let at = at.index(bytes.len());
         bytes[at] = byte;
-        let _ = Msg::decode(&bytes);
+        let _ = Message::decode(&bytes);
         let cut = cut.index(bytes.len());
-        prop_assert!(Msg::decode(&msg.encode()[..cut]).is_err());
+        prop_assert!(Message::decode(&msg.encode()[..cut]).is_err());
     }
 }
 
 #[test]
 fn what_is_wrong_is_named() {
-    let status = Status {
+    let status = ReplicaStatus {
         id: 1,
         view: 2,
         in_sync_view: 2,
-        received: 9,
+        last_received: 9,
         caught_up: true,
     };
-    assert_eq!(Status::decode(&status.encode()), Ok(status));
+    assert_eq!(ReplicaStatus::decode(&status.encode()), Ok(status));
     let mut long = status.encode().to_vec();
     long.push(0);
-    insta::assert_snapshot!(Status::decode(&long).unwrap_err(), @"1203: 1 bytes too many");
+    insta::assert_snapshot!(ReplicaStatus::decode(&long).unwrap_err(), @"1203: 1 bytes too many");
     let mut huge = vec![3u8];
     huge.extend([0; 16]);
     huge.extend([0xff; 4]);
-    assert!(Write::decode(&huge).is_err());
+    assert!(LogRecord::decode(&huge).is_err());
 }
--- a/crates/control/controller/src/begin.rs
+++ b/crates/control/controller/src/begin.rs
@@ -49,8 +49,8 @@
     }
 
     /// What it holds of a founding.
-    pub(crate) fn founding(&self) -> Result<view_agreement::Recovered, Unreadable> {
-        let mut first = view_agreement::Recovered::default();
+    pub(crate) fn founding(&self) -> Result<view_agreement::RecoveredAcceptor, Unreadable> {
+        let mut first = view_agreement::RecoveredAcceptor::default();
         for record in &self.first_view {
             first.read(record).map_err(|e| Unreadable(e.to_string()))?;
         }
@@ -71,17 +71,24 @@
 
     pub(crate) fn recovered(
         &self,
-    ) -> Result<(view_agreement::Recovered, chain_replication::Recovered), Unreadable> {
+    ) -> Result<
+        (
+            view_agreement::RecoveredAcceptor,
+            chain_replication::RecoveredLog,
+        ),
+        Unreadable,
+    > {
         let (mut views, mut writes) = (
-            view_agreement::Recovered::default(),
-            chain_replication::Recovered::default(),
+            view_agreement::RecoveredAcceptor::default(),
+            chain_replication::RecoveredLog::default(),
         );
         for record in &self.views {
             views.read(record).map_err(|e| Unreadable(e.to_string()))?;
         }
         for record in &self.writes {
             writes.replay(
-                chain_replication::Write::decode(record).map_err(|e| Unreadable(e.to_string()))?,
+                chain_replication::LogRecord::decode(record)
+                    .map_err(|e| Unreadable(e.to_string()))?,
             );
         }
         Ok((views, writes))
--- a/crates/control/controller/src/control.rs
+++ b/crates/control/controller/src/control.rs
@@ -3,7 +3,7 @@
 
 use binrw::{binrw, BinRead, BinWrite};
 use bytes::Bytes;
-use chain_replication::{BadSnapshot, Machine};
+use chain_replication::{SnapshotError, StateMachine};
 use std::collections::VecDeque;
 use std::io::Cursor;
 
@@ -137,7 +137,7 @@
     map: Vec<u8>,
 }
 
-impl Machine for Control {
+impl StateMachine for Control {
     fn apply(&mut self, _number: u64, command: &[u8]) {
         match Command::decode(command) {
             // Checked by the head; looked at again, since what doesn't follow must not count whatever happened there.
@@ -173,9 +173,9 @@
         written(&whole).to_vec()
     }
 
-    fn restore(&mut self, snapshot: &[u8]) -> Result<(), BadSnapshot> {
+    fn restore(&mut self, snapshot: &[u8]) -> Result<(), SnapshotError> {
         let whole =
-            Written::read(&mut Cursor::new(snapshot)).map_err(|e| BadSnapshot(e.to_string()))?;
+            Written::read(&mut Cursor::new(snapshot)).map_err(|e| SnapshotError(e.to_string()))?;
         let newest = whole.taken.last().copied();
         *self = Control {
             config: newest
--- a/crates/control/controller/src/dispatchers.rs
+++ b/crates/control/controller/src/dispatchers.rs
@@ -1,7 +1,7 @@
 //! The dispatchers that say to this controller that they are there, and the entries about them.
 
 use bytes::Bytes;
-use chain_replication::Ms;
+use chain_replication::Millis;
 use peer_transport::Peer;
 use relay_tree::{Stamp, StateTable};
 use replicated_state::{Dispatcher, DISPATCHER_KEY_PREFIX, HELLO_INTERVAL_MS};
@@ -9,16 +9,16 @@
 use std::net::SocketAddr;
 
 /// A dispatcher silent for so long is gone, or has gone to another controller.
-const SILENT: Ms = 3 * HELLO_INTERVAL_MS + HELLO_INTERVAL_MS / 2;
+const SILENT: Millis = 3 * HELLO_INTERVAL_MS + HELLO_INTERVAL_MS / 2;
 /// A dispatcher whose controller is lost has so long to come over to another one, which then tells of it.
-const ORPHANED: Ms = 2 * SILENT;
+const ORPHANED: Millis = 2 * SILENT;
 /// How often those of other controllers are looked at.
-const LOOK_EVERY: Ms = 500;
+const LOOK_EVERY: Millis = 500;
 /// Dispatchers of one controller at most: all of the target size, several times over.
 const MOST: usize = 4_096;
 
 struct Heard {
-    at: Ms,
+    at: Millis,
     node: String,
     told: Dispatcher,
     stamp: Option<Stamp>,
@@ -30,8 +30,8 @@
     owner: u64,
     by_addr: BTreeMap<SocketAddr, Heard>,
     /// Other controllers that told of dispatchers and are not heard, by incarnation, and since when.
-    lost: BTreeMap<u64, Ms>,
-    looked: Ms,
+    lost: BTreeMap<u64, Millis>,
+    looked: Millis,
 }
 
 impl Dispatchers {
@@ -44,7 +44,7 @@
     }
 
     /// One has said so.
-    pub fn heard(&mut self, now: Ms, from: &Peer) {
+    pub fn heard(&mut self, now: Millis, from: &Peer) {
         let told = Dispatcher {
             addr: from.addr,
             id: from.id,
@@ -68,7 +68,7 @@
     }
 
     /// This process stood still itself.
-    pub fn woke(&mut self, now: Ms) {
+    pub fn woke(&mut self, now: Millis) {
         self.by_addr.values_mut().for_each(|h| h.at = now);
     }
 
@@ -78,7 +78,7 @@
     /// `alive`: incarnations of the other controllers that are heard; none while this one is out of contact itself.
     pub fn state_entries(
         &mut self,
-        now: Ms,
+        now: Millis,
         unix: u64,
         state_table: &StateTable,
         alive: Option<&[u64]>,
@@ -113,7 +113,7 @@
     /// gone.
     fn orphans(
         &mut self,
-        now: Ms,
+        now: Millis,
         unix: u64,
         state_table: &StateTable,
         alive: &[u64],
--- a/crates/control/controller/src/founding.rs
+++ b/crates/control/controller/src/founding.rs
@@ -11,18 +11,18 @@
 
 use binrw::binrw;
 use bytes::Bytes;
-use chain_replication::{BadBytes, Member, Ms, View};
+use chain_replication::{DecodeError, Member, Millis, View};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use view_agreement::{Agreement, ControllerView, Msg};
+use view_agreement::{Agreement, ControllerView, Message};
 
 /// How often a founder announces itself: a few times within the 0.3 s in which all start.
-const ANNOUNCE_EVERY: Ms = 100;
+const ANNOUNCE_EVERY: Millis = 100;
 /// A founder that isn't heard for so long from the start is founded without, if a majority is heard: all are up at the
 /// first start, and a process that ended is back sooner.
-pub const FOUNDING_WAIT: Ms = 3_000;
+pub const FOUNDING_WAIT: Millis = 3_000;
 /// Each next founder in the order of addresses proposes so much later, so that usually one does.
-const PROPOSE_RANK: Ms = 300;
+const PROPOSE_RANK: Millis = 300;
 
 /// What founders send each other.
 #[binrw]
@@ -41,7 +41,7 @@
     #[brw(magic = 2u8)]
     Agree {
         /// The message.
-        msg: Msg,
+        msg: Message,
     },
 }
 
@@ -55,7 +55,7 @@
     ///
     /// # Errors
     /// They are no such frame.
-    pub fn decode(bytes: &[u8]) -> Result<Frame, BadBytes> {
+    pub fn decode(bytes: &[u8]) -> Result<Frame, DecodeError> {
         chain_replication::from_bytes(bytes)
     }
 }
@@ -90,10 +90,10 @@
     agreement: Agreement,
     /// The identities by which the other founders have announced themselves first.
     identities: BTreeMap<SocketAddr, u64>,
-    began: Ms,
-    announced: Ms,
+    began: Millis,
+    announced: Millis,
     /// Since when it takes part.
-    since: Option<Ms>,
+    since: Option<Millis>,
     /// Another founder knows this address by another identity: the disk was lost, and this is a newcomer.
     refused: bool,
     able: bool,
@@ -125,7 +125,7 @@
     pub fn new(
         me: Member,
         mut founders: Vec<SocketAddr>,
-        recovered: view_agreement::Recovered,
+        recovered: view_agreement::RecoveredAcceptor,
     ) -> Self {
         founders.sort_unstable();
         founders.dedup();
@@ -136,7 +136,7 @@
         };
         let mut agreement =
             Agreement::new(by_address, Some(before_the_first(&founders)), recovered);
-        agreement.persists(false);
+        agreement.set_disk_writable(false);
         Founding {
             me,
             founders,
@@ -154,11 +154,11 @@
     /// Whether the disk takes what is written: until it does, nothing is announced.
     pub fn persists(&mut self, able: bool) {
         self.able = able;
-        self.agreement.persists(able);
+        self.agreement.set_disk_writable(able);
     }
 
     /// A frame of another founder.
-    pub fn message(&mut self, now: Ms, from: SocketAddr, frame: Frame) {
+    pub fn message(&mut self, now: Millis, from: SocketAddr, frame: Frame) {
         if !self.founders.contains(&from) {
             return;
         }
@@ -169,20 +169,22 @@
                 self.refused |= known != 0 && known != self.me.id;
                 self.begin(now);
             }
-            Frame::Agree { msg } if self.since.is_some() => self.agreement.message(now, from, msg),
+            Frame::Agree { msg } if self.since.is_some() => {
+                self.agreement.handle_message(now, from, msg)
+            }
             Frame::Agree { .. } => {}
         }
         self.collect();
     }
 
     /// All records up to this ticket are on disk.
-    pub fn synced(&mut self, now: Ms, ticket: u64) {
-        self.agreement.synced(now, ticket);
+    pub fn synced(&mut self, now: Millis, ticket: u64) {
+        self.agreement.handle_synced(now, ticket);
         self.collect();
     }
 
     /// Time passes.
-    pub fn tick(&mut self, now: Ms) {
+    pub fn tick(&mut self, now: Millis) {
         if self.began == 0 {
             self.began = now;
         }
@@ -198,7 +200,7 @@
                 .iter()
                 .position(|addr| *addr == self.me.addr)
                 .unwrap_or_default();
-            if now >= since + rank as Ms * PROPOSE_RANK && !self.agreement.proposing() {
+            if now >= since + rank as Millis * PROPOSE_RANK && !self.agreement.is_proposing() {
                 let first = self.first_view();
                 self.agreement.propose(now, first);
             }
@@ -207,7 +209,7 @@
     }
 
     /// Takes part from now on, if it may. The others learn at once by whom they are known.
-    fn begin(&mut self, now: Ms) {
+    fn begin(&mut self, now: Millis) {
         if self.since.is_none() && self.may_begin(now) {
             self.since = Some(now);
             self.announce();
@@ -226,7 +228,7 @@
     }
 
     /// Whether all founders are known to be as new as this one, or enough of them after a while.
-    fn may_begin(&self, now: Ms) -> bool {
+    fn may_begin(&self, now: Millis) -> bool {
         let known = self.identities.len() + 1;
         let enough = known * 2 > self.founders.len() && now >= self.began + FOUNDING_WAIT;
         self.able && !self.refused && (known == self.founders.len() || enough)
@@ -266,28 +268,29 @@
 
     /// Takes over what the agreement wants done.
     fn collect(&mut self) {
-        for out in self.agreement.take() {
+        for out in self.agreement.take_effects() {
             match out {
-                view_agreement::Out::Send { to, msg } if self.since.is_some() => {
+                view_agreement::Effect::Send { to, message: msg } if self.since.is_some() => {
                     self.out.push(FoundingOut::Send {
                         to,
                         frame: Frame::Agree { msg },
                     });
                 }
-                view_agreement::Out::Send { .. } | view_agreement::Out::Confirmed { .. } => {}
-                view_agreement::Out::Write { ticket, record } => {
+                view_agreement::Effect::Send { .. }
+                | view_agreement::Effect::ViewConfirmed { .. } => {}
+                view_agreement::Effect::Write { ticket, record } => {
                     self.out.push(FoundingOut::Write { ticket, record })
                 }
-                view_agreement::Out::Chosen(view) if view.number() > 0 => {
+                view_agreement::Effect::ViewChosen(view) if view.number() > 0 => {
                     self.out.push(FoundingOut::Founded(view))
                 }
-                view_agreement::Out::Chosen(_) => {}
+                view_agreement::Effect::ViewChosen(_) => {}
             }
         }
     }
 
     /// Records that hold all that counts, for a file begun anew.
     pub fn whole(&self) -> Vec<Bytes> {
-        self.agreement.whole()
+        self.agreement.snapshot_records()
     }
 }
--- a/crates/control/controller/src/heartbeats.rs
+++ b/crates/control/controller/src/heartbeats.rs
@@ -2,23 +2,23 @@
 
 use binrw::{binrw, BinRead, BinWrite};
 use bytes::Bytes;
-use chain_replication::{Ms, Seen, Status};
+use chain_replication::{Millis, Observation, ReplicaStatus};
 use replicated_state::Address;
 use std::collections::BTreeMap;
 use std::io::Cursor;
 use std::net::SocketAddr;
 
 /// How often a controller says that it is there. Four fit into [`SILENT`], so that one late by a slow turn condemns nobody.
-pub const EVERY: Ms = 200;
+pub const EVERY: Millis = 200;
 /// A controller silent for so long is out of touch. Shorter than the second after which callers of `ctl` go elsewhere.
-pub const SILENT: Ms = 900;
+pub const SILENT: Millis = 900;
 /// One that has come into touch says whom it hears, and the others say that they hear it, within so long: a heartbeat of each
 /// and its way. Before that, it is judged by what is heard of it alone.
-const SETTLED: Ms = 3 * EVERY;
+const SETTLED: Millis = 3 * EVERY;
 /// Controllers known at most: those of 26 zones several times over.
 const MOST: usize = 256;
 /// Those silent for so long are forgotten, unless the view names them.
-const FORGOTTEN: Ms = 60_000;
+const FORGOTTEN: Millis = 60_000;
 
 /// Flag of a heartbeat: it has had SIGTERM.
 pub const LEAVING: u8 = 1;
@@ -64,11 +64,11 @@
 
 impl StatusFrame {
     /// From the chain's own.
-    pub fn new(status: &Status) -> Self {
-        let Status {
+    pub fn new(status: &ReplicaStatus) -> Self {
+        let ReplicaStatus {
             view,
             in_sync_view,
-            received,
+            last_received: received,
             caught_up,
             ..
         } = *status;
@@ -80,18 +80,18 @@
         }
     }
 
-    fn status(&self, id: u64) -> Status {
+    fn status(&self, id: u64) -> ReplicaStatus {
         let StatusFrame {
             view,
             in_sync_view,
             received,
             caught_up,
         } = *self;
-        Status {
+        ReplicaStatus {
             id,
             view,
             in_sync_view,
-            received,
+            last_received: received,
             caught_up: caught_up == 1,
         }
     }
@@ -117,13 +117,13 @@
 /// What is known of another controller.
 #[derive(Debug, Clone)]
 struct Other {
-    heard: Ms,
+    heard: Millis,
     /// Since when it has been heard without a gap.
-    since: Ms,
+    since: Millis,
     /// When it and this controller last heard each other.
-    touched: Ms,
+    touched: Millis,
     /// Since when it has said that it can't persist.
-    unable_since: Option<Ms>,
+    unable_since: Option<Millis>,
     heartbeat: ControllerHeartbeat,
 }
 
@@ -135,7 +135,7 @@
 
 impl Controllers {
     /// A heartbeat has come. Tells whether it is the first one of that incarnation.
-    pub fn heard(&mut self, now: Ms, from: SocketAddr, heartbeat: ControllerHeartbeat) -> bool {
+    pub fn heard(&mut self, now: Millis, from: SocketAddr, heartbeat: ControllerHeartbeat) -> bool {
         let before = self.others.get(&from);
         let known = before.is_some_and(|o| o.heartbeat.incarnation == heartbeat.incarnation);
         let stayed = before
@@ -161,14 +161,14 @@
     }
 
     /// This process stood still itself: what it did not hear meanwhile says nothing.
-    pub fn woke(&mut self, now: Ms) {
+    pub fn woke(&mut self, now: Millis) {
         for other in self.others.values_mut() {
             (other.heard, other.touched) = (now, now);
         }
     }
 
     /// Notes with whom this controller (`me`) is in touch both ways; to be called with each tick.
-    pub fn note_touch(&mut self, now: Ms, me: SocketAddr) {
+    pub fn note_touch(&mut self, now: Millis, me: SocketAddr) {
         let me = Address::from(me);
         for other in self.others.values_mut() {
             if now.saturating_sub(other.heard) < SILENT && other.heartbeat.hears.contains(&me) {
@@ -179,14 +179,14 @@
 
     /// For how long this one and this controller have not heard each other: one that is heard and hears nothing can decide
     /// on no view. None if it was never heard.
-    pub fn out_of_touch_for(&self, now: Ms, addr: SocketAddr) -> Option<Ms> {
+    pub fn out_of_touch_for(&self, now: Millis, addr: SocketAddr) -> Option<Millis> {
         self.others
             .get(&addr)
             .map(|o| now.saturating_sub(o.touched))
     }
 
     /// Forgets who has been silent for long.
-    pub fn forget(&mut self, now: Ms) {
+    pub fn forget(&mut self, now: Millis) {
         self.others
             .retain(|_, o| now.saturating_sub(o.heard) < FORGOTTEN);
     }
@@ -197,7 +197,7 @@
     }
 
     /// Those in touch.
-    pub fn hears(&self, now: Ms) -> Vec<SocketAddr> {
+    pub fn hears(&self, now: Millis) -> Vec<SocketAddr> {
         let fresh = |o: &Other| now.saturating_sub(o.heard) < SILENT;
         self.others
             .iter()
@@ -207,7 +207,7 @@
     }
 
     /// How long this one has been silent; none if it was never heard.
-    pub fn silent(&self, now: Ms, addr: SocketAddr) -> Option<Ms> {
+    pub fn silent(&self, now: Millis, addr: SocketAddr) -> Option<Millis> {
         self.others.get(&addr).map(|o| now.saturating_sub(o.heard))
     }
 
@@ -217,14 +217,14 @@
     }
 
     /// For how long this one has said that it can't persist; none if it can, or was never heard.
-    pub fn unable_for(&self, now: Ms, addr: SocketAddr) -> Option<Ms> {
+    pub fn unable_for(&self, now: Millis, addr: SocketAddr) -> Option<Millis> {
         let since = self.others.get(&addr)?.unable_since?;
         Some(now.saturating_sub(since))
     }
 
     /// Lives of the controllers that are there, by which owners of runners are known: those heard here, and those that one
     /// heard here hears. Where only the link to one is cut, what hangs on that one is not gone.
-    pub fn incarnations(&self, now: Ms) -> Vec<u64> {
+    pub fn incarnations(&self, now: Millis) -> Vec<u64> {
         let fresh = |o: &&Other| now.saturating_sub(o.heard) < SILENT;
         let heard_by_another = |addr: &SocketAddr| {
             let addr = Address::from(*addr);
@@ -243,7 +243,7 @@
     /// Whether `listener` hears `speaker`, as far as this controller (`me`) knows.
     fn is_heard_by(
         &self,
-        now: Ms,
+        now: Millis,
         me: SocketAddr,
         listener: SocketAddr,
         speaker: SocketAddr,
@@ -258,7 +258,7 @@
     }
 
     /// Whether this controller and another one hear each other.
-    pub fn in_touch_with(&self, now: Ms, me: SocketAddr, other: SocketAddr) -> bool {
+    pub fn in_touch_with(&self, now: Millis, me: SocketAddr, other: SocketAddr) -> bool {
         self.is_heard_by(now, me, me, other) && self.is_heard_by(now, me, other, me)
     }
 
@@ -266,7 +266,7 @@
     /// whom it hears counts where it is heard here; where it isn't, only what the listeners say is known.
     pub fn in_touch_among(
         &self,
-        now: Ms,
+        now: Millis,
         me: SocketAddr,
         speaker: SocketAddr,
         listeners: &[SocketAddr],
@@ -286,7 +286,13 @@
 
     /// The controllers for the rule of the next view, this one among them. Alive are, in the order given, those that are in
     /// touch with all alive ones before them, both ways: a chain needs its neighbours to hear each other.
-    pub fn seen(&self, now: Ms, me: SocketAddr, own: Seen, order: &[SocketAddr]) -> Vec<Seen> {
+    pub fn seen(
+        &self,
+        now: Millis,
+        me: SocketAddr,
+        own: Observation,
+        order: &[SocketAddr],
+    ) -> Vec<Observation> {
         let mut addrs: Vec<SocketAddr> = order.to_vec();
         // Those without a disk come last: nobody is out for not hearing them.
         let mut rest: Vec<(&SocketAddr, &Other)> = self
@@ -326,7 +332,7 @@
                 alive.push(addr);
             }
             if addr == me {
-                seen.push(Seen {
+                seen.push(Observation {
                     alive: true,
                     ..own.clone()
                 });
@@ -340,13 +346,13 @@
                 let status = Some(heartbeat.status.status(heartbeat.id));
                 let (zone, leaving) = (heartbeat.zone, heartbeat.flags & LEAVING != 0);
                 let unwanted = heartbeat.flags & NO_DISK != 0;
-                seen.push(Seen {
+                seen.push(Observation {
                     member,
                     alive: up,
                     status,
                     zone,
-                    leaving,
-                    unwanted,
+                    draining: leaving,
+                    retiring: unwanted,
                 });
             }
         }
--- a/crates/control/controller/src/journal.rs
+++ b/crates/control/controller/src/journal.rs
@@ -4,7 +4,7 @@
 use crate::begin::{Found, Kind};
 use crate::owner::{Owner, Told};
 use bytes::Bytes;
-use chain_replication::Ms;
+use chain_replication::Millis;
 use replicated_state::encode_addresses;
 use std::collections::VecDeque;
 use tokio::sync::watch;
@@ -55,14 +55,14 @@
     kind: Kind,
     body: Bytes,
     told: Option<Told>,
-    since: Ms,
+    since: Millis,
 }
 
 /// A record that is on its way to the disk.
 struct Waiting {
     ticket: u64,
     told: Option<Told>,
-    since: Ms,
+    since: Millis,
 }
 
 /// The records of a compaction on their way to the disk, behind all that was written before.
@@ -83,7 +83,7 @@
     backlog: usize,
     waiting: VecDeque<Waiting>,
     /// When something was last synced.
-    progress: Ms,
+    progress: Millis,
     founders: Bytes,
     /// Records that were ever queued.
     queued: u64,
@@ -127,14 +127,14 @@
     }
 
     /// The first act on an empty disk of a founder.
-    pub fn found(&mut self, now: Ms, founders: Bytes) {
+    pub fn found(&mut self, now: Millis, founders: Bytes) {
         self.founders = founders.clone();
         self.put(now, Kind::Founding, founders, None);
         self.flush();
     }
 
     /// Writes; [`Journal::synced`] says when it is on disk.
-    pub fn write(&mut self, now: Ms, told: Told, body: Bytes) {
+    pub fn write(&mut self, now: Millis, told: Told, body: Bytes) {
         let kind = match told {
             Told::View(_) => Kind::View,
             Told::Chain(_) => Kind::Chain,
@@ -144,7 +144,7 @@
         self.flush();
     }
 
-    fn put(&mut self, since: Ms, kind: Kind, body: Bytes, told: Option<Told>) {
+    fn put(&mut self, since: Millis, kind: Kind, body: Bytes, told: Option<Told>) {
         self.backlog += body.len();
         self.queued += 1;
         self.queue.push_back(Queued {
@@ -210,7 +210,7 @@
     /// All up to this ticket is on disk: whose writes these were. While a compaction is not on disk in full, nobody hears of
     /// a write: its snapshot voids the entries that stand before it, so one of them that is synced, and not applied, would be
     /// gone if the power went between the snapshot and the entry's second copy.
-    pub fn synced(&mut self, now: Ms, ticket: u64) -> Vec<Told> {
+    pub fn synced(&mut self, now: Millis, ticket: u64) -> Vec<Told> {
         self.progress = now;
         let mut told = Vec::new();
         if self
@@ -256,7 +256,7 @@
     /// Writes all that counts once more when half of the ring is used, and gives up what stands before. What is still on
     /// its way to the disk stands before it in the ring, and is part of what is whole: the owner has said all that it wants
     /// written. So this needs no pause in the writes, and no disk that takes them now.
-    pub fn compact(&mut self, now: Ms, owner: &Owner) {
+    pub fn compact(&mut self, now: Millis, owner: &Owner) {
         let Backing::Disk(ring) = &self.backing else {
             return;
         };
--- a/crates/control/controller/src/owner.rs
+++ b/crates/control/controller/src/owner.rs
@@ -19,7 +19,7 @@
 use batch::wire::{Heartbeat, PlacementMap, HEARTBEAT};
 use bytes::Bytes;
 use calls::Pending;
-use chain_replication::{Member, Ms, Node};
+use chain_replication::{Member, Millis, Replica};
 use contact::QuorumContact;
 use peer_transport::Peer;
 use relay_tree::{Follow, Role, StateTable};
@@ -43,17 +43,17 @@
 pub const FOUNDING: u16 = 0x0104;
 
 /// How often the owner looks at what time brings.
-pub const TICK: Ms = 100;
+pub const TICK: Millis = 100;
 /// A majority not heard for so long may have gone on without this controller. Not above the silence after which it would.
-const STALE: Ms = 900;
+const STALE: Millis = 900;
 /// A gap between ticks as long as this was a standstill of this process, and what it did not hear meanwhile says nothing.
-const STANDSTILL: Ms = 500;
+const STANDSTILL: Millis = 500;
 
 /// So long after SIGTERM a controller ends that nobody can replace: callers have found others by then.
-const STOPPING: Ms = 1_200;
+const STOPPING: Millis = 1_200;
 /// A controller that stops stays for so long after the view without it was chosen: the frames that say so go out, and
 /// the others need not find out by themselves.
-const HANDOVER_LINGER: Ms = 2 * TICK;
+const HANDOVER_LINGER: Millis = 2 * TICK;
 
 /// Whose write is on disk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -104,7 +104,7 @@
     pub(crate) agreement: Agreement,
     /// Until a view is known, if this is a founder.
     pub(crate) founding: Option<Founding>,
-    pub(crate) node: Node<Control>,
+    pub(crate) node: Replica<Control>,
     pub(crate) state_table: StateTable,
     pub(crate) registry: Registry,
     pub(crate) controllers: Controllers,
@@ -113,31 +113,31 @@
     pub(crate) pending: Vec<Pending>,
     pub(crate) out: Vec<Out>,
     pub(crate) unix: u64,
-    pub(crate) ticked: Ms,
+    pub(crate) ticked: Millis,
     /// When heartbeats were sent last; none: they are due with the next tick.
-    pub(crate) heartbeat_at: Option<Ms>,
-    pub(crate) head_since: Option<Ms>,
-    pub(crate) spreading: Option<(u64, Ms)>,
+    pub(crate) heartbeat_at: Option<Millis>,
+    pub(crate) head_since: Option<Millis>,
+    pub(crate) spreading: Option<(u64, Millis)>,
     /// The view that should be next, and since when it is that one.
-    pub(crate) wanted: Option<(ControllerView, Ms)>,
-    pub(crate) proposed: Ms,
+    pub(crate) wanted: Option<(ControllerView, Millis)>,
+    pub(crate) proposed: Millis,
     /// When the others were asked for a newer view.
-    pub(crate) asked: Option<Ms>,
-    pub(crate) touched_since: Option<Ms>,
+    pub(crate) asked: Option<Millis>,
+    pub(crate) touched_since: Option<Millis>,
     pub(crate) contact: QuorumContact,
     pub(crate) told_controllers: (u64, Vec<SocketAddr>),
     pub(crate) leaving: bool,
     /// When it was told to stop.
-    pub(crate) stopped_at: Option<Ms>,
+    pub(crate) stopped_at: Option<Millis>,
     /// Since when the others go on without this one, while it is stopping.
-    pub(crate) replaced_since: Option<Ms>,
+    pub(crate) replaced_since: Option<Millis>,
     /// So many losses the view in force survives, as last said in the log.
     pub(crate) tolerated: Option<usize>,
     /// The same of whole zones, or regions.
     pub(crate) tolerated_zones: Option<usize>,
     pub(crate) map: Option<PlacementMap>,
     /// Stores that get no lease, as of then: a map without them waits until those that they have run out.
-    pub(crate) withheld: (Vec<SocketAddr>, Ms),
+    pub(crate) withheld: (Vec<SocketAddr>, Millis),
     pub(crate) room: (u64, u64),
     pub(crate) persistence: DiskHealth,
     /// More waits for the disk than is to be added to by anything.
@@ -168,10 +168,10 @@
         };
         let (views, writes) = found.recovered()?;
         let mut agreement = Agreement::new(me.clone(), None, views);
-        agreement.persists(false);
-        let mut node = Node::new(me.clone(), Control::default(), writes);
-        if let Some(current) = agreement.current() {
-            node.enter(1, current.view.clone());
+        agreement.set_disk_writable(false);
+        let mut node = Replica::new(me.clone(), Control::default(), writes);
+        if let Some(current) = agreement.current_view() {
+            node.install_view(1, current.view.clone());
         }
         let terms = RegistryConfig {
             heartbeat_ms: settings.heartbeat_ms,
@@ -223,7 +223,7 @@
     }
 
     /// A frame of another process of the tier.
-    pub fn told(&mut self, now: Ms, unix: u64, from: &Peer, kind: u16, body: &Bytes) {
+    pub fn told(&mut self, now: Millis, unix: u64, from: &Peer, kind: u16, body: &Bytes) {
         self.unix = unix;
         self.frame(now, from, kind, body);
         self.notice(now);
@@ -232,24 +232,24 @@
 
     /// What a frame or a sync may have brought about, and what nobody should wait for until the next tick: contact with a
     /// majority, and with it the duty of the head.
-    fn notice(&mut self, now: Ms) {
+    fn notice(&mut self, now: Millis) {
         self.tend_contact(now);
         if self.head_since.is_none() {
             self.plan(now);
         }
     }
 
-    fn frame(&mut self, now: Ms, from: &Peer, kind: u16, body: &Bytes) {
+    fn frame(&mut self, now: Millis, from: &Peer, kind: u16, body: &Bytes) {
         match kind {
             // What would be written can wait: others say it again.
             VIEW if self.saturated => {}
             CHAIN if !self.persistence.is_writable() => {}
-            VIEW => match view_agreement::Msg::decode(body) {
-                Ok(msg) => self.agreement.message(now, from.addr, msg),
+            VIEW => match view_agreement::Message::decode(body) {
+                Ok(msg) => self.agreement.handle_message(now, from.addr, msg),
                 Err(e) => self.odd(now, from, kind, &e),
             },
-            CHAIN => match chain_replication::Msg::decode(body) {
-                Ok(msg) => self.node.message(now, from.addr, msg),
+            CHAIN => match chain_replication::Message::decode(body) {
+                Ok(msg) => self.node.handle_message(now, from.addr, msg),
                 Err(e) => self.odd(now, from, kind, &e),
             },
             RELAY => match relay_tree::Message::decode(body) {
@@ -286,16 +286,16 @@
         }
     }
 
-    fn founding_frame(&mut self, now: Ms, from: SocketAddr, frame: Frame) {
+    fn founding_frame(&mut self, now: Millis, from: SocketAddr, frame: Frame) {
         match &mut self.founding {
             Some(founding) => founding.message(now, from, frame),
             // There is a view already: whoever still founds learns it.
             None => {
-                let asks = view_agreement::Body::Ask { have: 0 };
-                self.agreement.message(
+                let asks = view_agreement::MessageBody::RequestView { newest_known: 0 };
+                self.agreement.handle_message(
                     now,
                     from,
-                    view_agreement::Msg {
+                    view_agreement::Message {
                         from: 0,
                         body: asks,
                     },
@@ -305,8 +305,8 @@
     }
 
     /// What the founding wants done. It ends once a view is known.
-    fn found(&mut self, now: Ms) -> bool {
-        if self.agreement.current().is_some() {
+    fn found(&mut self, now: Millis) -> bool {
+        if self.agreement.current_view().is_some() {
             self.founding = None;
         }
         let outs = self
@@ -323,18 +323,18 @@
                 }
                 FoundingOut::Founded(value) => {
                     info!(self.log, "founded"; "founders" => addresses(&value.view.members));
-                    let msg = view_agreement::Msg {
+                    let msg = view_agreement::Message {
                         from: self.me.id,
-                        body: view_agreement::Body::Chosen { value },
+                        body: view_agreement::MessageBody::Chosen { value },
                     };
-                    self.agreement.message(now, self.me.addr, msg);
+                    self.agreement.handle_message(now, self.me.addr, msg);
                 }
             }
         }
         idle
     }
 
-    fn odd(&mut self, now: Ms, from: &Peer, kind: u16, why: &dyn std::fmt::Display) {
+    fn odd(&mut self, now: Millis, from: &Peer, kind: u16, why: &dyn std::fmt::Display) {
         self.refused.frames += 1;
         if let Some(left_out) = self.refused.lines.now(now, "frame") {
             warn!(self.log, "frame refused"; "code" => 1401, "from" => %from.addr, "kind" => kind, "why" => %why,
@@ -345,13 +345,13 @@
     /// Words that counted for nothing since the start.
     pub(crate) fn passed_over(&self) -> PassedOver {
         PassedOver {
-            chain: self.node.passed_over(),
-            view: self.agreement.passed_over(),
+            chain: self.node.ignored_messages(),
+            view: self.agreement.ignored_messages(),
             relay: self.state_table.ignored_messages(),
         }
     }
 
-    fn note_passed_over(&mut self, now: Ms) {
+    fn note_passed_over(&mut self, now: Millis) {
         let passed_over = self.passed_over();
         if passed_over != self.refused.passed_over
             && self.refused.lines.now(now, "passed over").is_some()
@@ -363,7 +363,7 @@
     }
 
     /// What time brings, every [`TICK`].
-    pub fn tick(&mut self, now: Ms, unix: u64) {
+    pub fn tick(&mut self, now: Millis, unix: u64) {
         self.unix = unix;
         if now.saturating_sub(self.ticked) > STANDSTILL {
             warn!(self.log, "stood still"; "ms" => now - self.ticked);
@@ -411,7 +411,7 @@
     /// Silent runners and dispatchers are taken for gone only in contact with a majority. Out of contact their silence may
     /// be this controller's own: what is known is kept as it is, and its age shows that it is stale. When contact is back,
     /// each gets a whole span again.
-    fn sweep(&mut self, now: Ms) {
+    fn sweep(&mut self, now: Millis) {
         if !self.contact.holds(now) {
             self.dispatchers.woke(now);
             return;
@@ -427,13 +427,13 @@
 
     /// How the disk stands; to be called with each tick and after each sync. Until it is said to be able, a controller votes
     /// and acknowledges nothing.
-    pub fn persistence(&mut self, now: Ms, disk: DiskStatus) {
+    pub fn persistence(&mut self, now: Millis, disk: DiskStatus) {
         self.saturated = disk.backlogged;
         if !self.persistence.update(now, disk) {
             return;
         }
         let able = self.persistence.is_writable();
-        self.agreement.persists(able);
+        self.agreement.set_disk_writable(able);
         if let Some(founding) = &mut self.founding {
             founding.persists(able);
         }
@@ -450,7 +450,7 @@
     }
 
     /// SIGTERM: the others are told to go on without this one.
-    pub fn stop(&mut self, now: Ms, unix: u64) {
+    pub fn stop(&mut self, now: Millis, unix: u64) {
         self.unix = unix;
         self.leaving = true;
         self.stopped_at.get_or_insert(now);
@@ -460,12 +460,12 @@
     }
 
     /// These writes are on disk.
-    pub fn synced(&mut self, now: Ms, unix: u64, writes: &[Told]) {
+    pub fn synced(&mut self, now: Millis, unix: u64, writes: &[Told]) {
         self.unix = unix;
         for told in writes {
             match *told {
-                Told::View(ticket) => self.agreement.synced(now, ticket),
-                Told::Chain(ticket) => self.node.synced(now, ticket),
+                Told::View(ticket) => self.agreement.handle_synced(now, ticket),
+                Told::Chain(ticket) => self.node.handle_synced(now, ticket),
                 Told::FirstView(ticket) => {
                     if let Some(founding) = &mut self.founding {
                         founding.synced(now, ticket);
@@ -478,31 +478,39 @@
     }
 
     /// Works off what the machines ask for, until they ask for nothing more.
-    fn work(&mut self, now: Ms) {
+    fn work(&mut self, now: Millis) {
         for _ in 0..64 {
             let mut idle = self.found(now);
-            for out in self.agreement.take() {
+            for out in self.agreement.take_effects() {
                 idle = false;
                 match out {
-                    view_agreement::Out::Send { to, msg } => self.tell(to, VIEW, msg.encode()),
-                    view_agreement::Out::Write { ticket, record } => {
+                    view_agreement::Effect::Send { to, message: msg } => {
+                        self.tell(to, VIEW, msg.encode())
+                    }
+                    view_agreement::Effect::Write { ticket, record } => {
                         self.write(Told::View(ticket), record)
                     }
-                    view_agreement::Out::Chosen(next) => self.chosen(now, &next),
-                    view_agreement::Out::Confirmed { token: of, ok } => self.confirmed(of, ok),
+                    view_agreement::Effect::ViewChosen(next) => self.chosen(now, &next),
+                    view_agreement::Effect::ViewConfirmed {
+                        token: of,
+                        is_current: ok,
+                    } => self.confirmed(of, ok),
                 }
             }
-            for out in self.node.take() {
+            for out in self.node.take_effects() {
                 idle = false;
                 match out {
                     // Without a disk it has no part in the chain.
-                    chain_replication::Out::Send { .. } if !self.persistence.is_writable() => {}
-                    chain_replication::Out::Send { to, msg } => self.tell(to, CHAIN, msg.encode()),
-                    chain_replication::Out::Write { ticket, write } => {
-                        self.write(Told::Chain(ticket), write.encode())
+                    chain_replication::Effect::Send { .. } if !self.persistence.is_writable() => {}
+                    chain_replication::Effect::Send { to, message: msg } => {
+                        self.tell(to, CHAIN, msg.encode())
                     }
-                    chain_replication::Out::Committed { .. } => self.committed(now),
-                    chain_replication::Out::Reset => {
+                    chain_replication::Effect::Write {
+                        ticket,
+                        record: write,
+                    } => self.write(Told::Chain(ticket), write.encode()),
+                    chain_replication::Effect::Committed { .. } => self.committed(now),
+                    chain_replication::Effect::SnapshotInstalled => {
                         info!(self.log, "control state taken over");
                         // What was read from the state before may never have been kept.
                         self.map = None;
@@ -598,10 +606,10 @@
         self.settings.bounds.grace_ms
     }
 
-    fn note_replaced(&mut self, now: Ms) {
+    fn note_replaced(&mut self, now: Millis) {
         let is_me = |m: &Member| m.id == self.me.id && m.addr == self.me.addr;
         let inside = |v: &ControllerView| v.view.members.iter().chain(&v.acceptors).any(is_me);
-        let needed = !self.pending.is_empty() || self.agreement.current().is_some_and(inside);
+        let needed = !self.pending.is_empty() || self.agreement.current_view().is_some_and(inside);
         self.replaced_since = if needed {
             None
         } else {
@@ -611,11 +619,11 @@
 
     /// The newest view that it knows.
     pub fn view(&self) -> Option<&ControllerView> {
-        self.agreement.current()
+        self.agreement.current_view()
     }
 
     /// Its copy of the control state.
-    pub fn node(&self) -> &Node<Control> {
+    pub fn node(&self) -> &Replica<Control> {
         &self.node
     }
 
@@ -630,11 +638,11 @@
     /// Records that hold all that counts, for a file begun anew: of the agreement, then of the chain.
     pub fn whole(&self) -> (Vec<Bytes>, Vec<Bytes>) {
         (
-            self.agreement.whole(),
+            self.agreement.snapshot_records(),
             self.node
-                .whole()
+                .snapshot_records()
                 .iter()
-                .map(chain_replication::Write::encode)
+                .map(chain_replication::LogRecord::encode)
                 .collect(),
         )
     }
--- a/crates/control/controller/src/owner/calls.rs
+++ b/crates/control/controller/src/owner/calls.rs
@@ -5,7 +5,7 @@
 use crate::op::{Answer, Ask};
 use crate::plan::NotRetired;
 use batch::wire::StoreState;
-use chain_replication::{Member, Ms};
+use chain_replication::{Member, Millis};
 use relay_tree::Stamp;
 use route_config::Config;
 use slog::{info, warn};
@@ -13,13 +13,13 @@
 /// The status of a call whose content is refused.
 const INVALID: u16 = 400;
 /// A caller that has waited so long asks elsewhere; well below `AckMs` and beyond one change of the view.
-const WAITING_MOST: Ms = 3_500;
+const WAITING_MOST: Millis = 3_500;
 /// A runner gives a call up after a second, and goes to the next controller.
-const DRAIN_WITHIN: Ms = 700;
+const DRAIN_WITHIN: Millis = 700;
 /// What waits for its answer at most.
 const PENDING_MOST: usize = 4_096;
 /// Younger than this, a controller takes heartbeats without having heard others: all of them may have just started.
-const YOUNG: Ms = 4_000;
+const YOUNG: Millis = 4_000;
 
 /// What waits for something to become true.
 pub(crate) enum Pending {
@@ -28,7 +28,7 @@
         change: Change,
         number: u64,
         call: u64,
-        since: Ms,
+        since: Millis,
     },
     /// A reader at the tail, until a majority has said that its view is the newest and all it saw is kept.
     Get {
@@ -36,7 +36,7 @@
         sure: bool,
         number: u64,
         call: u64,
-        since: Ms,
+        since: Millis,
     },
     /// The operator's order lost: another configuration is in place. Refused only once that one is kept, for the order may
     /// have been sent elsewhere too, and could still be taken there if what it lost to were lost itself.
@@ -45,17 +45,21 @@
         digest: [u8; 32],
         number: u64,
         call: u64,
-        since: Ms,
+        since: Millis,
     },
     /// A runner that drains or leaves, until a majority of the controllers know.
     Drain {
         key: String,
         stamp: Stamp,
         call: u64,
-        since: Ms,
+        since: Millis,
     },
     /// A map that an operator asked for, until it is kept.
-    Retire { number: u64, call: u64, since: Ms },
+    Retire {
+        number: u64,
+        call: u64,
+        since: Millis,
+    },
 }
 
 fn out_of_touch() -> Answer {
@@ -68,7 +72,7 @@
 
 impl Owner {
     /// A call that came to this controller. The answer comes as [`Out::Reply`] with the same number, perhaps later.
-    pub fn asked(&mut self, now: Ms, unix: u64, call: u64, ask: Ask) {
+    pub fn asked(&mut self, now: Millis, unix: u64, call: u64, ask: Ask) {
         self.unix = unix;
         let answer = match ask {
             Ask::Put { base, body } => self.put(now, base, &body, call),
@@ -90,7 +94,7 @@
         self.out.push(Out::Reply { call, answer });
     }
 
-    fn put(&mut self, now: Ms, base: u64, body: &[u8], call: u64) -> Option<Answer> {
+    fn put(&mut self, now: Millis, base: u64, body: &[u8], call: u64) -> Option<Answer> {
         if !self.node.is_head() || !self.in_touch(now) {
             return Some(self.pass_on(now, "/-/config/replace", true));
         }
@@ -101,10 +105,10 @@
             return Some(repaired());
         }
         let digest = digest(body);
-        let control = self.node.machine();
+        let control = self.node.state_machine();
         if let Some(gen) = control.took(base, &digest) {
             let change = Change { base, gen, digest };
-            let number = self.node.received();
+            let number = self.node.last_received();
             self.pending.push(Pending::Put {
                 change,
                 number,
@@ -118,7 +122,7 @@
             return Some(Answer::refused(503, 1315, what));
         }
         if base != control.gen() {
-            let number = self.node.received();
+            let number = self.node.last_received();
             self.pending.push(Pending::Lost {
                 base,
                 digest,
@@ -161,7 +165,7 @@
     }
 
     /// Sends the caller to the head or the tail, if that is another one, and tells it to come again otherwise.
-    fn pass_on(&self, now: Ms, path: &str, head: bool) -> Answer {
+    fn pass_on(&self, now: Millis, path: &str, head: bool) -> Answer {
         let members = self
             .node
             .view()
@@ -185,15 +189,15 @@
         }
     }
 
-    fn get(&mut self, now: Ms, call: u64) -> Option<Answer> {
+    fn get(&mut self, now: Millis, call: u64) -> Option<Answer> {
         if !self.node.is_tail() || !self.in_touch(now) {
             return Some(self.pass_on(now, "/-/config/get", false));
         }
-        if self.pending.len() >= PENDING_MOST || !self.node.active() {
+        if self.pending.len() >= PENDING_MOST || !self.node.is_active() {
             return Some(repaired());
         }
-        let token = self.agreement.confirm(now);
-        let number = self.node.received();
+        let token = self.agreement.confirm_view(now);
+        let number = self.node.last_received();
         self.pending.push(Pending::Get {
             token,
             sure: false,
@@ -204,7 +208,7 @@
         None
     }
 
-    fn heartbeat(&mut self, now: Ms, id: &str, body: &[u8], call: u64) -> Option<Answer> {
+    fn heartbeat(&mut self, now: Millis, id: &str, body: &[u8], call: u64) -> Option<Answer> {
         let taken = match self.registry.heartbeat(now, id, body) {
             Ok(taken) => taken,
             Err(e) => {
@@ -231,11 +235,11 @@
 
     /// Whether runners may rely on this controller. One without a majority notes what they say, for those that follow it,
     /// but acknowledges nothing: a runner that is refused goes on to a controller in contact, where all learn of it.
-    fn takes_runners(&self, now: Ms) -> bool {
+    fn takes_runners(&self, now: Millis) -> bool {
         self.contact.holds(now) || self.ticked <= YOUNG
     }
 
-    fn leave(&mut self, now: Ms, id: &str, call: u64) -> Option<Answer> {
+    fn leave(&mut self, now: Millis, id: &str, call: u64) -> Option<Answer> {
         if let Some(state_entry) = self.registry.leave(now, id) {
             info!(self.log, "runner left"; "runner" => id);
             self.state_table
@@ -249,7 +253,13 @@
 
     /// Acknowledges that a runner drains or has left once enough know it. Said again, it waits again: the first time may
     /// have found too few.
-    fn acknowledge_end(&mut self, now: Ms, id: &str, stamp: Stamp, call: u64) -> Option<Answer> {
+    fn acknowledge_end(
+        &mut self,
+        now: Millis,
+        id: &str,
+        stamp: Stamp,
+        call: u64,
+    ) -> Option<Answer> {
         if self.pending.len() >= PENDING_MOST {
             return Some(repaired());
         }
@@ -263,7 +273,7 @@
         None
     }
 
-    fn retire_begin(&mut self, now: Ms, node: &str, call: u64) -> Option<Answer> {
+    fn retire_begin(&mut self, now: Millis, node: &str, call: u64) -> Option<Answer> {
         if !self.node.is_head() || !self.in_touch(now) {
             return Some(self.pass_on(now, &format!("/-/retire/{node}/begin"), true));
         }
@@ -300,7 +310,7 @@
         }
     }
 
-    fn retire_get(&self, now: Ms, node: &str) -> Answer {
+    fn retire_get(&self, now: Millis, node: &str) -> Answer {
         if !self.node.is_head() || !self.in_touch(now) {
             return self.pass_on(now, &format!("/-/retire/{node}/get"), true);
         }
@@ -311,7 +321,8 @@
             .and_then(|m| m.stores.iter().find(|s| s.node == node))
             .map(|s| s.state);
         // A head that has just begun may not have read the newest map yet, and denies nothing by the one before.
-        let newest = self.map.as_ref().map_or(0, |m| m.number) == self.node.machine().map_number;
+        let newest =
+            self.map.as_ref().map_or(0, |m| m.number) == self.node.state_machine().map_number;
         match state {
             Some(StoreState::Retired) => Answer::body("{\"State\":\"complete\"}"),
             Some(StoreState::Retiring) => Answer::body("{\"State\":\"rolling\"}"),
@@ -349,7 +360,7 @@
     }
 
     /// Answers those for whom what they wait for has become true, or too late.
-    pub(super) fn answer(&mut self, now: Ms) {
+    pub(super) fn answer(&mut self, now: Millis) {
         if self.pending.is_empty() {
             return;
         }
@@ -371,16 +382,16 @@
     /// The answer to an order that lost; none while what it lost to is not kept yet.
     fn lost(
         &self,
-        now: Ms,
+        now: Millis,
         base: u64,
         digest: &[u8; 32],
         number: u64,
-        since: Ms,
+        since: Millis,
     ) -> Option<Answer> {
-        let control = self.node.machine();
+        let control = self.node.state_machine();
         let taken = control.took(base, digest).is_some() || control.gen() == base;
         let leads = self.can_commit();
-        if leads && !taken && self.node.committed_by(self.least()) >= number {
+        if leads && !taken && self.node.committed_with_members(self.least()) >= number {
             let what = format!("version {} is in place, not {base}", control.gen());
             return Some(Answer::refused(412, 1311, &what));
         }
@@ -395,7 +406,7 @@
     }
 
     /// The answer to what waits; none while it is open.
-    fn outcome(&self, now: Ms, pending: &Pending) -> Option<Answer> {
+    fn outcome(&self, now: Millis, pending: &Pending) -> Option<Answer> {
         match pending {
             Pending::Put {
                 change,
@@ -409,10 +420,10 @@
                     .map_or(0, |f| f.stamp.0);
                 let leads = self.node.is_head();
                 let taken =
-                    self.node.machine().took(change.base, &change.digest) == Some(change.gen);
+                    self.node.state_machine().took(change.base, &change.digest) == Some(change.gen);
                 // That its number is in force says nothing by itself: another controller may lead by now, and may have taken
                 // another change under the same number.
-                let kept = self.node.committed_by(self.least()) >= *number;
+                let kept = self.node.committed_with_members(self.least()) >= *number;
                 if active >= change.gen && taken && kept && leads {
                     return Some(Answer::ok());
                 }
@@ -426,9 +437,9 @@
                 since,
                 ..
             } => {
-                let held = self.node.committed() >= *number.max(&self.node.received());
+                let held = self.node.committed() >= *number.max(&self.node.last_received());
                 if *sure && held && self.node.is_tail() {
-                    return Some(match &self.node.machine().config {
+                    return Some(match &self.node.state_machine().config {
                         Some((_, body)) => Answer::body(body.clone()),
                         None => Answer::refused(404, 1314, "there is no configuration yet"),
                     });
--- a/crates/control/controller/src/owner/duty.rs
+++ b/crates/control/controller/src/owner/duty.rs
@@ -5,17 +5,17 @@
 use crate::plan::LEASE;
 use batch::wire::Message as _;
 use batch::wire::{LeaseGrant, PlacementMap, LEASE_GRANT};
-use chain_replication::Ms;
+use chain_replication::Millis;
 use slog::info;
 use std::net::SocketAddr;
 
 /// What is to be ordered once leases have run out is looked at again with each tick; so long without that, it is not to
 /// be ordered any more.
-const WITHHELD: Ms = 3 * TICK;
+const WITHHELD: Millis = 3 * TICK;
 
 impl Owner {
     /// The map of stores: the head's duty.
-    pub(super) fn plan(&mut self, now: Ms) {
+    pub(super) fn plan(&mut self, now: Millis) {
         let leads = self.node.is_head() && self.in_touch(now) && self.can_commit();
         if !leads {
             if self.head_since.take().is_some() {
@@ -52,9 +52,9 @@
         }
     }
 
-    pub(super) fn order_map(&mut self, now: Ms, next: &PlacementMap) -> bool {
+    pub(super) fn order_map(&mut self, now: Millis, next: &PlacementMap) -> bool {
         // One at a time: the next is planned on what is committed.
-        if self.node.machine().map_number != self.map.as_ref().map_or(0, |m| m.number) {
+        if self.node.state_machine().map_number != self.map.as_ref().map_or(0, |m| m.number) {
             return false;
         }
         let body = next.encode().to_vec();
@@ -70,8 +70,11 @@
             .is_some()
     }
 
-    pub(super) fn grant(&mut self, now: Ms, store: SocketAddr, sent_ms: u64) {
-        let age = self.agreement.last_majority(now).unwrap_or(Ms::MAX);
+    pub(super) fn grant(&mut self, now: Millis, store: SocketAddr, sent_ms: u64) {
+        let age = self
+            .agreement
+            .quorum_contact_age(now)
+            .unwrap_or(Millis::MAX);
         let (ends, at) = &self.withheld;
         let withheld = now < at + WITHHELD && ends.contains(&store);
         if !self.node.is_head() || age >= STALE || withheld {
@@ -80,7 +83,7 @@
         let lease_ms = LEASE.min(STALE - age);
         self.stores.granted(now, store, sent_ms, now + lease_ms);
         // The newest that is ordered, kept or not: a store that does not know it yet may be left out by it.
-        let map = self.node.machine().map_number;
+        let map = self.node.state_machine().map_number;
         self.tell(
             store,
             LEASE_GRANT,
--- a/crates/control/controller/src/owner/repair.rs
+++ b/crates/control/controller/src/owner/repair.rs
@@ -6,27 +6,27 @@
     UNABLE_TO_PERSIST,
 };
 use crate::plan::Lengths;
-use chain_replication::{Member, Ms, Seen};
+use chain_replication::{Member, Millis, Observation};
 use slog::{info, warn};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use view_agreement::{ControllerView, Sizing};
 
 /// How long a proposal is given before the next one, and how much later each next acceptor in the order tries.
-const PROPOSE_EVERY: Ms = 700;
+const PROPOSE_EVERY: Millis = 700;
 /// See [`PROPOSE_EVERY`].
-const PROPOSE_RANK: Ms = 250;
+const PROPOSE_RANK: Millis = 250;
 /// A controller proposes a view without those that it does not hear only once it has been in touch for so long: a whole silence
 /// and a heartbeat.
-const JUDGES_AFTER: Ms = SILENT + EVERY;
+const JUDGES_AFTER: Millis = SILENT + EVERY;
 /// Whom only others do not hear is left out once that has been so for this long. One that hears nobody any more finds that
 /// out of one peer after the other, up to a heartbeat apart, and says so with its next heartbeat; each may be late by a
 /// tick.
-const SURE_AFTER: Ms = 3 * EVERY;
+const SURE_AFTER: Millis = 3 * EVERY;
 /// A majority not heard for so long, two rounds of pings and more: whoever was not heard either may be there.
-const MISSED: Ms = 500;
+const MISSED: Millis = 500;
 /// How often one that lacks the newest view asks for it.
-const ASK_EVERY: Ms = 300;
+const ASK_EVERY: Millis = 300;
 
 impl Owner {
     /// How many machines with a disk may be lost at once. Where zones or regions may be lost, as many machines are counted
@@ -63,7 +63,8 @@
 
     /// What the view is sized by.
     pub(super) fn sizing(&self) -> Sizing {
-        Sizing::new(self.faults(), self.settings.bounds.sync_ms).over_zones(self.zones_lost())
+        Sizing::new(self.faults(), self.settings.bounds.sync_ms)
+            .with_zone_failures(self.zones_lost())
     }
 
     /// The lengths of the chains, of controllers and stores alike.
@@ -76,15 +77,18 @@
     }
 
     /// Whether a majority of the acceptors said lately that this view is the newest.
-    pub(super) fn in_touch(&self, now: Ms) -> bool {
+    pub(super) fn in_touch(&self, now: Millis) -> bool {
         self.agreement
-            .last_majority(now)
+            .quorum_contact_age(now)
             .is_some_and(|age| age < STALE)
     }
 
     /// So many disks must hold what is acknowledged: one more than may be lost, or all where the tier has fewer.
     pub(super) fn least(&self) -> usize {
-        let founders = self.agreement.current().map_or(1, |v| v.acceptors.len());
+        let founders = self
+            .agreement
+            .current_view()
+            .map_or(1, |v| v.acceptors.len());
         self.lengths().least.min(founders)
     }
 
@@ -93,11 +97,11 @@
         let members = self.node.view().map_or(0, |v| v.members.len());
         self.persistence.is_writable()
             && self.node.is_head()
-            && self.node.ready()
+            && self.node.is_ready()
             && members >= self.least()
     }
 
-    pub(super) fn send_heartbeats(&mut self, now: Ms) {
+    pub(super) fn send_heartbeats(&mut self, now: Millis) {
         let hears = self.controllers.hears(now);
         let status = StatusFrame::new(&self.node.status());
         let hears = hears.into_iter().map(Into::into).collect();
@@ -125,13 +129,13 @@
     }
 
     /// A newcomer, or one that hears frames of a newer view, asks those it knows of.
-    pub(super) fn ask_for_view(&mut self, now: Ms) {
-        let own = self.agreement.current().map_or(0, |v| v.view.number);
-        let behind = own == 0 || self.node.newest_heard() > own;
+    pub(super) fn ask_for_view(&mut self, now: Millis) {
+        let own = self.agreement.current_view().map_or(0, |v| v.view.number);
+        let behind = own == 0 || self.node.newest_view_observed() > own;
         if behind && self.asked.is_none_or(|at| now >= at + ASK_EVERY) {
             self.asked = Some(now);
             for addr in self.all_controllers() {
-                self.agreement.ask(now, addr);
+                self.agreement.request_view(now, addr);
             }
         }
     }
@@ -140,7 +144,7 @@
     pub(super) fn all_controllers(&self) -> BTreeSet<SocketAddr> {
         let mut all: BTreeSet<SocketAddr> = self.controllers.known().collect();
         all.extend(self.settings.controller_peers());
-        if let Some(current) = self.agreement.current() {
+        if let Some(current) = self.agreement.current_view() {
             all.extend(
                 current
                     .view
@@ -157,23 +161,26 @@
     }
 
     /// Follows the state tables of the other controllers.
-    pub(super) fn follow(&mut self, now: Ms) {
+    pub(super) fn follow(&mut self, now: Millis) {
         self.controllers.forget(now);
         let all: Vec<SocketAddr> = self.all_controllers().into_iter().collect();
         self.state_table.set_parents(now, all);
     }
 
     /// The view of the controllers, if it should be another one.
-    pub(super) fn repair(&mut self, now: Ms) {
+    pub(super) fn repair(&mut self, now: Millis) {
         self.controllers.note_touch(now, self.me.addr);
-        let Some(current) = self.agreement.current().cloned() else {
+        let Some(current) = self.agreement.current_view().cloned() else {
             return;
         };
         let rank = current
             .acceptors
             .iter()
             .position(|a| a.id == self.me.id && a.addr == self.me.addr);
-        let age = self.agreement.last_majority(now).unwrap_or(Ms::MAX);
+        let age = self
+            .agreement
+            .quorum_contact_age(now)
+            .unwrap_or(Millis::MAX);
         let (Some(rank), true) = (rank, age < MISSED && self.persistence.is_writable()) else {
             self.wanted = None;
             self.touched_since = None;
@@ -193,13 +200,13 @@
             .filter(there)
             .map(|m| m.addr)
             .collect();
-        let own = Seen {
+        let own = Observation {
             member: self.me.clone(),
             alive: true,
             status: Some(self.node.status()),
             zone: self.own_zone(),
-            leaving: self.leaving,
-            unwanted: !self.persists(),
+            draining: self.leaving,
+            retiring: !self.persists(),
         };
         let mut seen = self.controllers.seen(now, self.me.addr, own, &order);
         self.leave_out_unable(now, &current, &mut seen);
@@ -236,7 +243,11 @@
                 dead_for(m)
             }
         };
-        if !chain_replication::stays_on_fresh_word(&current.view, &next.view, &silent_for) {
+        if !chain_replication::remaining_members_recently_seen(
+            &current.view,
+            &next.view,
+            &silent_for,
+        ) {
             return;
         }
         let since = match &self.wanted {
@@ -248,11 +259,11 @@
         };
         // Silent ones, newcomers in place of old ones and those that leave are no matter of doubt.
         let doubted = current.view.members.iter().any(|m| {
-            let stays = next.view.members.iter().any(|n| n.is(m));
+            let stays = next.view.members.iter().any(|n| n.is_same_process(m));
             let known = seen
                 .iter()
-                .find(|s| s.member.is(m))
-                .is_some_and(|s| !s.leaving);
+                .find(|s| s.member.is_same_process(m))
+                .is_some_and(|s| !s.draining);
             let silent = self
                 .controllers
                 .silent(now, m.addr)
@@ -260,8 +271,8 @@
             !stays && known && !silent
         });
         let sure = if doubted { SURE_AFTER } else { 0 };
-        let due =
-            now >= since + sure + PROPOSE_RANK * rank as Ms && now >= self.proposed + PROPOSE_EVERY;
+        let due = now >= since + sure + PROPOSE_RANK * rank as Millis
+            && now >= self.proposed + PROPOSE_EVERY;
         if due && !self.is_the_one_cut_off(now, &current) {
             self.proposed = now;
             info!(self.log, "view proposed"; "view" => next.view.number, "chain" => addresses(&next.view.members));
@@ -272,7 +283,7 @@
     /// Whether one that comes before this controller, in the chain or then among the acceptors, is out of touch with this
     /// one but in touch with a majority of the acceptors. Where only the link between two is cut, the later one goes: if
     /// each proposed views without the other in turn, neither would ever be in sync, and nothing be acknowledged.
-    fn is_the_one_cut_off(&self, now: Ms, current: &ControllerView) -> bool {
+    fn is_the_one_cut_off(&self, now: Millis, current: &ControllerView) -> bool {
         let me = self.me.addr;
         let acceptors: Vec<SocketAddr> = current.acceptors.iter().map(|a| a.addr).collect();
         let members = current.view.members.iter().map(|m| m.addr);
@@ -289,10 +300,16 @@
 
     /// Those whose disks take nothing count as gone: as members only while enough others remain, or can take their places.
     /// Else nothing would be acknowledged without them either, and their copies are worth keeping.
-    fn leave_out_unable(&self, now: Ms, current: &ControllerView, seen: &mut [Seen]) {
+    fn leave_out_unable(&self, now: Millis, current: &ControllerView, seen: &mut [Observation]) {
         let unable = |addr: SocketAddr| self.controllers.unable_for(now, addr).is_some();
-        let inside = |m: &Member| current.view.members.iter().any(|member| member.is(m));
-        let able = |s: &&Seen| s.alive && !unable(s.member.addr);
+        let inside = |m: &Member| {
+            current
+                .view
+                .members
+                .iter()
+                .any(|member| member.is_same_process(m))
+        };
+        let able = |s: &&Observation| s.alive && !unable(s.member.addr);
         let left = seen
             .iter()
             .filter(able)
@@ -301,7 +318,7 @@
         let all = seen
             .iter()
             .filter(able)
-            .filter(|s| !s.leaving && !s.unwanted)
+            .filter(|s| !s.draining && !s.retiring)
             .count();
         let goes_on = left >= self.least() || left > 0 && all >= self.least();
         for controller in seen.iter_mut().filter(|s| unable(s.member.addr)) {
@@ -309,13 +326,13 @@
         }
     }
 
-    pub(super) fn chosen(&mut self, now: Ms, next: &ControllerView) {
+    pub(super) fn chosen(&mut self, now: Millis, next: &ControllerView) {
         info!(self.log, "view in force"; "view" => next.view.number, "chain" => addresses(&next.view.members),
             "acceptors" => addresses(&next.acceptors), "joining" => addresses(&next.view.joining));
         self.log_tolerance(next);
         self.head_since = None;
         self.stores.begin();
-        self.node.enter(now, next.view.clone());
+        self.node.install_view(now, next.view.clone());
         self.unsure();
         self.spreading = None;
         self.heartbeat_at = None;
@@ -324,7 +341,7 @@
     /// Says whether as many losses are survived as the settings ask for; fewer are where there are too few machines with
     /// a disk.
     fn log_tolerance(&mut self, next: &ControllerView) {
-        let by_votes = Sizing::tolerated_by(next.acceptors.len());
+        let by_votes = Sizing::failures_tolerated(next.acceptors.len());
         let by_copies = next.view.members.len().saturating_sub(1);
         let (tolerated, wanted) = (by_votes.min(by_copies), self.faults());
         if self.tolerated.replace(tolerated) == Some(tolerated) {
@@ -340,7 +357,7 @@
     }
     /// Says whether as many zones may be lost as the settings name; fewer may where controllers with a disk run in too few
     /// zones. Looked at while nothing is to change, by those who decide.
-    fn log_zones(&mut self, current: &ControllerView, seen: &[Seen]) {
+    fn log_zones(&mut self, current: &ControllerView, seen: &[Observation]) {
         let wanted = self.zones_lost();
         let zone_of = |m: &Member| {
             seen.iter()
@@ -358,7 +375,7 @@
         }
         copies.sort_unstable();
         copies.dedup();
-        let tolerated = Sizing::zones_tolerated_by(&votes).min(copies.len().saturating_sub(1));
+        let tolerated = Sizing::zone_failures_tolerated(&votes).min(copies.len().saturating_sub(1));
         if self.tolerated_zones.replace(tolerated) == Some(tolerated) {
             return;
         }
--- a/crates/control/controller/src/owner/spread.rs
+++ b/crates/control/controller/src/owner/spread.rs
@@ -4,26 +4,26 @@
 use batch::wire::Message as _;
 use batch::wire::PlacementMap;
 use bytes::Bytes;
-use chain_replication::Ms;
+use chain_replication::Millis;
 use relay_tree::Stamp;
 use replicated_state::{decode_addresses, encode_addresses};
 use slog::{info, warn};
 use std::net::SocketAddr;
 
 /// Those who have not confirmed a configuration by then are out of touch or slow, and are not waited for.
-const SPREAD_WITHIN: Ms = 400;
+const SPREAD_WITHIN: Millis = 400;
 
 impl Owner {
     /// What is on enough disks of the chain is told to all, by the head. No member acts on what is not: what is only in its
     /// own table may be lost with it.
-    pub(super) fn committed(&mut self, now: Ms) {
-        if self.node.committed_by(self.least()) < self.node.received() {
+    pub(super) fn committed(&mut self, now: Millis) {
+        if self.node.committed_with_members(self.least()) < self.node.last_received() {
             // What is ordered and not yet kept on enough disks stays untold; the table already holds it.
             return;
         }
         let (map_number, map) = (
-            self.node.machine().map_number,
-            self.node.machine().map.clone(),
+            self.node.state_machine().map_number,
+            self.node.state_machine().map.clone(),
         );
         if map_number > self.map.as_ref().map_or(0, |m| m.number) {
             match PlacementMap::decode(&map) {
@@ -41,7 +41,7 @@
             self.state_table
                 .set(now, "stores", Stamp(map_number, 0), Some(map));
         }
-        if let Some((change, body)) = &self.node.machine().config {
+        if let Some((change, body)) = &self.node.state_machine().config {
             let (stamp, body) = (Stamp(change.gen, 0), body.clone());
             if self.state_table.set(now, "config/next", stamp, Some(body)) {
                 info!(self.log, "configuration kept"; "gen" => change.gen);
@@ -57,7 +57,7 @@
     }
 
     /// Puts a configuration in force once all in touch hold it.
-    pub(super) fn spread(&mut self, now: Ms) {
+    pub(super) fn spread(&mut self, now: Millis) {
         let Some((gen, since)) = self.spreading else {
             return;
         };
@@ -77,7 +77,7 @@
     }
 
     /// The addresses of all controllers, head first, for those who follow them.
-    pub(super) fn tell_controllers(&mut self, now: Ms) {
+    pub(super) fn tell_controllers(&mut self, now: Millis) {
         let Some(view) = self.node.view().cloned() else {
             return;
         };
@@ -101,7 +101,7 @@
         );
     }
 
-    pub(super) fn state_entry(&mut self, now: Ms, key: &str) {
+    pub(super) fn state_entry(&mut self, now: Millis, key: &str) {
         if key.starts_with("runner/") {
             if let Some(state_entry) = self.state_table.get(key) {
                 self.registry.apply_remote_entry(now, state_entry);
--- a/crates/control/controller/src/plan.rs
+++ b/crates/control/controller/src/plan.rs
@@ -1,25 +1,25 @@
 //! The map of stores, a singleton duty of the head of the controllers: which stores form the chain of each partition of batch jobs.
 
 use batch::wire::{Heartbeat, Placement, PlacementMap, StoreInfo, StoreState, MAX_PARTITIONS};
-use chain_replication::{Member, Ms, Seen, Status, View};
+use chain_replication::{Member, Millis, Observation, ReplicaStatus, View};
 use compact_str::CompactString;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 /// The longest lease that a store's tail gets for its reads, counted from when it sent its heartbeat. Two heartbeats and more fit in.
-pub const LEASE: Ms = 700;
+pub const LEASE: Millis = 700;
 /// A store silent for so long is dead: no lease of it can be valid any more, and a slow turn does not look like it.
-pub const SILENT: Ms = 1_200;
+pub const SILENT: Millis = 1_200;
 /// A store that says things, and for so long has not said that it has an answer, hears nothing: links may be cut one way.
-pub const DEAF: Ms = 1_800;
+pub const DEAF: Millis = 1_800;
 /// So long after it began, a head declares nobody dead that it has merely not heard. It must exceed two spans. Leases of the
 /// head before it run for 0.9 s at most after that one was last in contact, and so after this one began (0.7 s after the end
 /// of a process that starts again as head). And a store that is well must have been heard: all may start with the head or a
 /// little later, learn from the tree who it is, and may be as slow as [`SILENT`] allows. One whose disk is gone is dropped
 /// earlier, see `Stores::is_replaced`.
-pub const SETTLE: Ms = 1_600;
+pub const SETTLE: Millis = 1_600;
 /// So long after the first store was heard, the first map is made: all start within 0.3 s of each other.
-const GATHER: Ms = 900;
+const GATHER: Millis = 900;
 /// Stores known at most.
 const MOST: usize = 1_024;
 
@@ -37,19 +37,19 @@
 }
 
 struct Heard {
-    at: Ms,
+    at: Millis,
     heartbeat: Heartbeat,
     /// Its lease ends by then at the latest.
-    lent_until: Ms,
+    lent_until: Millis,
     /// The oldest grant that it has not said to have: the `sent_ms` of the heartbeat that was answered, and when it was.
-    unconfirmed: Option<(u64, Ms)>,
+    unconfirmed: Option<(u64, Millis)>,
     /// It has said that it has a grant of this head: it runs now, and isn't a word that was long on its way.
     has_grant: bool,
 }
 
 impl Heard {
     /// Whether it says things and hears nothing: it can't take part in a chain, though it is heard.
-    fn is_deaf(&self, now: Ms) -> bool {
+    fn is_deaf(&self, now: Millis) -> bool {
         self.unconfirmed
             .is_some_and(|(_, at)| now.saturating_sub(at) >= DEAF)
     }
@@ -59,7 +59,7 @@
 #[derive(Default)]
 pub struct Stores {
     by_addr: BTreeMap<SocketAddr, Heard>,
-    first: Option<Ms>,
+    first: Option<Millis>,
 }
 
 /// What the tier can bear, and so how long a chain is.
@@ -82,7 +82,7 @@
 
 impl Stores {
     /// A heartbeat has come. Tells whether it is the first of that store.
-    pub fn heard(&mut self, now: Ms, heartbeat: Heartbeat) -> bool {
+    pub fn heard(&mut self, now: Millis, heartbeat: Heartbeat) -> bool {
         self.first.get_or_insert(now);
         let new = self
             .by_addr
@@ -114,7 +114,7 @@
     }
 
     /// A store's heartbeat is answered with a lease that ends by then at the latest.
-    pub fn granted(&mut self, now: Ms, store: SocketAddr, sent_ms: u64, until: Ms) {
+    pub fn granted(&mut self, now: Millis, store: SocketAddr, sent_ms: u64, until: Millis) {
         if let Some(heard) = self.by_addr.get_mut(&store) {
             heard.lent_until = heard.lent_until.max(until);
             heard.unconfirmed.get_or_insert((sent_ms, now));
@@ -122,7 +122,7 @@
     }
 
     /// Whether one of these may still have a lease.
-    pub fn lent(&self, now: Ms, stores: &[SocketAddr]) -> bool {
+    pub fn lent(&self, now: Millis, stores: &[SocketAddr]) -> bool {
         stores
             .iter()
             .any(|s| self.by_addr.get(s).is_some_and(|h| h.lent_until > now))
@@ -134,7 +134,7 @@
     }
 
     /// This process stood still itself.
-    pub fn woke(&mut self, now: Ms) {
+    pub fn woke(&mut self, now: Millis) {
         for heard in self.by_addr.values_mut() {
             heard.at = now;
             heard.unconfirmed = None;
@@ -148,13 +148,13 @@
         self.first = None;
     }
 
-    fn alive(&self, now: Ms, addr: SocketAddr, id: u64) -> bool {
+    fn alive(&self, now: Millis, addr: SocketAddr, id: u64) -> bool {
         let heard = self.by_addr.get(&addr).filter(|h| h.heartbeat.id == id);
         heard.is_some_and(|h| now.saturating_sub(h.at) < SILENT && !h.is_deaf(now))
     }
 
     /// Alive, and its disk takes what is written.
-    fn takes_writes(&self, now: Ms, addr: SocketAddr, id: u64) -> bool {
+    fn takes_writes(&self, now: Millis, addr: SocketAddr, id: u64) -> bool {
         self.alive(now, addr, id)
             && self
                 .by_addr
@@ -165,9 +165,9 @@
     /// The map that should follow, if any. `since` is when this controller became the head.
     pub fn plan(
         &self,
-        now: Ms,
+        now: Millis,
         current: Option<&PlacementMap>,
-        since: Ms,
+        since: Millis,
         lengths: Lengths,
     ) -> Option<PlacementMap> {
         let Some(current) = current else {
@@ -191,14 +191,14 @@
             };
             let wanted = chain_replication::next_view(view, &seen, lengths.wanted, lengths.least);
             let dropped_too_early = |next: &View| {
-                let mut dropped = view.members.iter().filter(|m| next.place(m).is_none());
+                let mut dropped = view.members.iter().filter(|m| next.position(m).is_none());
                 !settled && dropped.any(|m| !self.is_replaced(m))
             };
             let wanted = wanted.filter(|next| !dropped_too_early(next));
             // Where a store is dropped, all that stay must have been heard of late.
-            if let Some(view) = wanted
-                .filter(|next| chain_replication::stays_on_fresh_word(view, next, &silent_for))
-            {
+            if let Some(view) = wanted.filter(|next| {
+                chain_replication::remaining_members_recently_seen(view, next, &silent_for)
+            }) {
                 if let Some(place) = next.partitions.get_mut(partition) {
                     loads.moved(partition, place, &view);
                     *place = view;
@@ -236,7 +236,7 @@
 
     /// Whether a member of this chain is replaced, and all others of it are heard, so that none is taken for gone that has
     /// merely not found this head yet.
-    fn only_replaced_are_missing(&self, now: Ms, view: &View) -> bool {
+    fn only_replaced_are_missing(&self, now: Millis, view: &View) -> bool {
         let there = |m: &Member| self.alive(now, m.addr, m.id) || self.is_replaced(m);
         view.members.iter().any(|m| self.is_replaced(m))
             && view.members.iter().chain(&view.joining).all(there)
@@ -272,16 +272,16 @@
 
     fn seen(
         &self,
-        now: Ms,
+        now: Millis,
         map: &PlacementMap,
         partition: usize,
         view: &View,
         loads: &Loads,
         lengths: Lengths,
-    ) -> Vec<Seen> {
+    ) -> Vec<Observation> {
         let able = self.able(now, map, partition, view, loads);
         let too_few = able < lengths.least;
-        let mut seen: Vec<((u64, u64), Seen)> = Vec::new();
+        let mut seen: Vec<((u64, u64), Observation)> = Vec::new();
         for heard in self.by_addr.values() {
             let heartbeat = &heard.heartbeat;
             let state = map
@@ -304,7 +304,7 @@
                     loads.copies(heartbeat.addr),
                     rank(partition, &heartbeat.node),
                 ),
-                Seen {
+                Observation {
                     member: Member {
                         id: heartbeat.id,
                         addr: heartbeat.addr,
@@ -313,15 +313,15 @@
                     alive: self.alive(now, heartbeat.addr, heartbeat.id),
                     status,
                     zone: crate::heartbeats::zone_number(&heartbeat.zone),
-                    leaving: heartbeat.leaving,
+                    draining: heartbeat.leaving,
                     // One that is being emptied, and has not been released, helps out where too few others are left.
-                    unwanted: state != StoreState::Up
+                    retiring: state != StoreState::Up
                         && !(too_few && state == StoreState::Retiring),
                 },
             ));
         }
         seen.sort_by_key(|(rank, s)| (*rank, s.member.addr));
-        let mut seen: Vec<Seen> = seen.into_iter().map(|(_, s)| s).collect();
+        let mut seen: Vec<Observation> = seen.into_iter().map(|(_, s)| s).collect();
         self.leave_out_stalled(view, lengths.least, able, &mut seen);
         seen
     }
@@ -329,13 +329,17 @@
     /// Those whose disks take nothing, or have finished nothing for a while, count as gone: as members only while enough
     /// others remain, or can take their places (`able` stores in all). Else nothing would be acknowledged without them
     /// either, and their copies are worth keeping.
-    fn leave_out_stalled(&self, view: &View, least: usize, able: usize, seen: &mut [Seen]) {
-        let unable = |s: &Seen| {
+    fn leave_out_stalled(&self, view: &View, least: usize, able: usize, seen: &mut [Observation]) {
+        let unable = |s: &Observation| {
             self.by_addr
                 .get(&s.member.addr)
                 .is_some_and(|h| h.heartbeat.stalled)
         };
-        let inside = |s: &Seen| view.members.iter().any(|member| member.is(&s.member));
+        let inside = |s: &Observation| {
+            view.members
+                .iter()
+                .any(|member| member.is_same_process(&s.member))
+        };
         let left = seen
             .iter()
             .filter(|s| s.alive && inside(s) && !unable(s))
@@ -349,7 +353,7 @@
     /// How many stores that may be given partitions can serve in this chain: they are there, and hold a copy or have room.
     fn able(
         &self,
-        now: Ms,
+        now: Millis,
         map: &PlacementMap,
         partition: usize,
         view: &View,
@@ -373,7 +377,7 @@
     }
 
     /// Each partition starts on stores of different zones, another first one for each.
-    fn first_map(&self, now: Ms, lengths: Lengths) -> Option<PlacementMap> {
+    fn first_map(&self, now: Millis, lengths: Lengths) -> Option<PlacementMap> {
         let mut map = PlacementMap {
             number: 1,
             partitions: Vec::new(),
@@ -418,7 +422,7 @@
     /// the disks of its members, as they said in that very view.
     fn emptied(
         &self,
-        now: Ms,
+        now: Millis,
         next: &PlacementMap,
         current: &PlacementMap,
         store: &StoreInfo,
@@ -455,7 +459,7 @@
     /// Why it can't be.
     pub fn retire(
         &self,
-        now: Ms,
+        now: Millis,
         map: &PlacementMap,
         node: &str,
         lengths: Lengths,
@@ -487,7 +491,7 @@
     }
 
     /// The stores as operators see them: name, state, whether it is heard.
-    pub fn told(&self, now: Ms, map: &PlacementMap) -> Vec<(CompactString, StoreState, bool)> {
+    pub fn told(&self, now: Millis, map: &PlacementMap) -> Vec<(CompactString, StoreState, bool)> {
         map.stores
             .iter()
             .map(|s| (s.node.clone(), s.state, self.alive(now, s.addr, s.id)))
@@ -621,7 +625,11 @@
     next: &'a PlacementMap,
 ) -> impl Iterator<Item = &'a Member> {
     let pairs = map.partitions.iter().zip(&next.partitions);
-    pairs.filter_map(|(old, new)| old.members.last().filter(|tail| new.place(tail).is_none()))
+    pairs.filter_map(|(old, new)| {
+        old.members
+            .last()
+            .filter(|tail| new.position(tail).is_none())
+    })
 }
 
 /// The stores that serve reads of a partition by one map and are not in its chain by the next.
@@ -637,7 +645,7 @@
 }
 
 /// Where a store's copy of a partition stands, as it said.
-fn status_of(heartbeat: &Heartbeat, partition: usize) -> Option<Status> {
+fn status_of(heartbeat: &Heartbeat, partition: usize) -> Option<ReplicaStatus> {
     heartbeat
         .statuses
         .iter()
--- a/crates/control/controller/src/status.rs
+++ b/crates/control/controller/src/status.rs
@@ -3,13 +3,13 @@
 use crate::op::Answer;
 use crate::owner::Owner;
 use batch::wire::StoreState;
-use chain_replication::Ms;
+use chain_replication::Millis;
 use jzon::{object, JsonValue};
 use runner_registry::{Runner, RunnerState};
 
 /// The answer to `GET /-/status`.
-pub fn answer(owner: &Owner, now: Ms) -> Answer {
-    let view = owner.agreement.current();
+pub fn answer(owner: &Owner, now: Millis) -> Answer {
+    let view = owner.agreement.current_view();
     let address = |m: Option<&chain_replication::Member>| {
         m.map_or(JsonValue::Null, |m| m.addr.to_string().into())
     };
@@ -67,10 +67,10 @@
         "Acceptors": names(view.map(|v| v.acceptors.as_slice()).unwrap_or_default()),
         "Head": address(chain.first()),
         "Tail": address(chain.last()),
-        "Ready": owner.node.ready(),
-        "MajorityMsAgo": owner.agreement.last_majority(now),
+        "Ready": owner.node.is_ready(),
+        "MajorityMsAgo": owner.agreement.quorum_contact_age(now),
         "Stale": !owner.contact.holds(now),
-        "Config": object! { "Gen": owner.node.machine().gen(), "Active": active },
+        "Config": object! { "Gen": owner.node.state_machine().gen(), "Active": active },
         "Map": owner.map.as_ref().map_or(0, |m| m.number),
         "Runners": object! { "Up": up, "Draining": draining },
         "Dispatchers": dispatchers,
--- a/crates/control/controller/tests/answers.rs
+++ b/crates/control/controller/tests/answers.rs
@@ -193,18 +193,18 @@
 /// Stores say to the head that they are there, for so long; in sync in all that the map gives them.
 fn stores_say(cluster: &mut Cluster, stores: &[u8], for_ms: u64) {
     for _ in 0..for_ms / 100 {
-        let map = cluster.process(0).owner.node().machine().map.clone();
+        let map = cluster.process(0).owner.node().state_machine().map.clone();
         let map = PlacementMap::decode(&map).ok();
         for n in stores {
             let statuses = map.iter().flat_map(|map| map.partitions.iter().enumerate());
             let statuses = statuses.filter_map(|(partition, view)| {
                 let joins = view.joining.iter().any(|m| m.addr == store(*n));
                 let inside = joins || view.members.iter().any(|m| m.addr == store(*n));
-                let status = chain_replication::Status {
+                let status = chain_replication::ReplicaStatus {
                     id: u64::from(*n),
                     view: view.number,
                     in_sync_view: if joins { 0 } else { view.number },
-                    received: 5,
+                    last_received: 5,
                     caught_up: joins,
                 };
                 let partition = partition as u16;
--- a/crates/control/controller/tests/control.rs
+++ b/crates/control/controller/tests/control.rs
@@ -1,6 +1,6 @@
 //! The control state: changes follow each other, repeats are known, and a copy is the same.
 
-use chain_replication::Machine;
+use chain_replication::StateMachine;
 use controller::control::{digest, Change, Command, Control, TAKEN_MOST};
 use proptest::prelude::*;
 
--- a/crates/control/controller/tests/founding.rs
+++ b/crates/control/controller/tests/founding.rs
@@ -7,7 +7,7 @@
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::net::SocketAddr;
-use view_agreement::{ControllerView, Recovered};
+use view_agreement::{ControllerView, RecoveredAcceptor};
 
 /// Within this all that are up know the first view, once enough of them are there.
 const SOON: u64 = 500;
@@ -105,7 +105,7 @@
         let now = self.now;
         let founders: Vec<SocketAddr> = (0..self.machines.len()).map(addr).collect();
         let machine = &mut self.machines[n];
-        let mut recovered = Recovered::default();
+        let mut recovered = RecoveredAcceptor::default();
         for (_, _, record) in &machine.records {
             recovered.read(record).expect("a record that was written");
         }
@@ -345,7 +345,7 @@
         addr: addr(0),
         since: 0,
     };
-    let mut founding = Founding::new(me, (0..3).map(addr).collect(), Recovered::default());
+    let mut founding = Founding::new(me, (0..3).map(addr).collect(), RecoveredAcceptor::default());
     founding.persists(true);
     founding.tick(1);
     founding.message(
--- a/crates/control/controller/tests/heartbeats.rs
+++ b/crates/control/controller/tests/heartbeats.rs
@@ -1,6 +1,6 @@
 //! Who of the controllers counts as alive.
 
-use chain_replication::{Member, Seen, Status};
+use chain_replication::{Member, Observation, ReplicaStatus};
 use controller::heartbeats::{
     zone_number, ControllerHeartbeat, Controllers, StatusFrame, NO_DISK, SILENT, UNABLE_TO_PERSIST,
 };
@@ -10,12 +10,12 @@
     SocketAddr::from(([10, 0, 0, n], 7_000))
 }
 
-fn status(id: u64) -> Status {
-    Status {
+fn status(id: u64) -> ReplicaStatus {
+    ReplicaStatus {
         id,
         view: 1,
         in_sync_view: 1,
-        received: 0,
+        last_received: 0,
         caught_up: false,
     }
 }
@@ -32,19 +32,19 @@
     }
 }
 
-fn own(n: u8) -> Seen {
+fn own(n: u8) -> Observation {
     let member = Member {
         id: u64::from(n),
         addr: addr(n),
         since: 0,
     };
-    Seen {
+    Observation {
         member,
         alive: true,
         status: Some(status(u64::from(n))),
         zone: 0,
-        leaving: false,
-        unwanted: false,
+        draining: false,
+        retiring: false,
     }
 }
 
@@ -165,7 +165,7 @@
             .find(|s| s.member.addr == addr(n))
             .expect("it was heard")
     };
-    assert!(of(3).unwanted && !of(2).unwanted && !of(4).unwanted);
+    assert!(of(3).retiring && !of(2).retiring && !of(4).retiring);
     // 3 and 4 do not hear each other; the one with the disk counts.
     assert!(of(2).alive && of(4).alive && !of(3).alive);
     let founders: Vec<Member> = vec![Member {
--- a/crates/control/controller/tests/largest.rs
+++ b/crates/control/controller/tests/largest.rs
@@ -12,11 +12,11 @@
     };
     let command = Command::Config { change, body }.encode();
     assert!(
-        command.len() <= chain_replication::MOST_COMMAND_BYTES,
+        command.len() <= chain_replication::MAX_COMMAND_BYTES,
         "{} bytes",
         command.len()
     );
 }
 
 // A frame holds it, with room for the frame's own fields and for those of the messages within.
-const _: () = assert!(chain_replication::MOST_COMMAND_BYTES + 4_096 <= peer_transport::MOST_BODY);
+const _: () = assert!(chain_replication::MAX_COMMAND_BYTES + 4_096 <= peer_transport::MOST_BODY);
--- a/crates/control/controller/tests/plan.rs
+++ b/crates/control/controller/tests/plan.rs
@@ -1,7 +1,7 @@
 //! The map of stores.
 
 use batch::wire::{Heartbeat, PartitionStatus, PlacementMap, StoreState};
-use chain_replication::Status;
+use chain_replication::ReplicaStatus;
 use controller::plan::{
     partitions_for, tails_lost, Lengths, NotRetired, Stores, DEAF, SETTLE, SILENT,
 };
@@ -25,11 +25,11 @@
         let joins = view.joining.iter().any(|m| m.id == id);
         if joins || view.members.iter().any(|m| m.id == id) {
             let in_sync_view = if joins { 0 } else { view.number };
-            let status = Status {
+            let status = ReplicaStatus {
                 id,
                 view: view.number,
                 in_sync_view,
-                received: 5,
+                last_received: 5,
                 caught_up: joins,
             };
             statuses.push(PartitionStatus {
--- a/crates/control/controller/tests/refused.rs
+++ b/crates/control/controller/tests/refused.rs
@@ -5,7 +5,7 @@
 
 use batch::wire::HEARTBEAT;
 use bytes::Bytes;
-use chain_replication::Status;
+use chain_replication::ReplicaStatus;
 use controller::begin::{Begin, Found};
 use controller::heartbeats::{zone_number, ControllerHeartbeat, StatusFrame};
 use controller::op::{Answer, Ask};
@@ -149,11 +149,11 @@
 ];
 
 fn heartbeat() -> ControllerHeartbeat {
-    let status = Status {
+    let status = ReplicaStatus {
         id: 5,
         view: 1,
         in_sync_view: 1,
-        received: 0,
+        last_received: 0,
         caught_up: false,
     };
     let hears = vec![SocketAddr::from(([10, 0, 0, 1], 7_660)).into()];
--- a/crates/control/controller/tests/stored_data.rs
+++ b/crates/control/controller/tests/stored_data.rs
@@ -170,7 +170,7 @@
     };
     let node = process.owner.node();
     let status = node.status();
-    let control = node.machine();
+    let control = node.state_machine();
     let (change, body) = control.config.as_ref().expect("a configuration");
     let taken: Vec<(u64, u64)> = control
         .taken
@@ -196,7 +196,7 @@
         members(&view.view.joining),
         status.in_sync_view,
         status.view,
-        status.received,
+        status.last_received,
         node.applied(),
         change.gen,
         change.base,
@@ -388,9 +388,9 @@
     for index in 0..CONTROLLERS {
         let process = again.process(index);
         assert_eq!(process.identity, new_identity(index));
-        assert_eq!(process.owner.node().machine().gen(), 2 * CHANGES + 1);
+        assert_eq!(process.owner.node().state_machine().gen(), 2 * CHANGES + 1);
         assert_eq!(
-            process.owner.node().machine().taken.len() as u64,
+            process.owner.node().state_machine().taken.len() as u64,
             2 * CHANGES + 1
         );
         assert!(process.owner.view().is_some_and(|v| v
--- a/crates/control/controller/tests/wire.rs
+++ b/crates/control/controller/tests/wire.rs
@@ -2,7 +2,7 @@
 
 #![expect(clippy::unwrap_used, reason = "a test ends at the first surprise")]
 
-use chain_replication::{Machine, Member, Status, View};
+use chain_replication::{Member, ReplicaStatus, StateMachine, View};
 use controller::begin::Kind;
 use controller::control::{digest, Change, Command, Control, TAKEN_MOST};
 use controller::founding::Frame;
@@ -11,7 +11,7 @@
 };
 use controller::owner::{CHAIN, CONTROLLER_HEARTBEAT, FOUNDING, VIEW};
 use std::net::SocketAddr;
-use view_agreement::{Body, ControllerView, Msg};
+use view_agreement::{ControllerView, Message, MessageBody};
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
@@ -48,11 +48,11 @@
 
 #[test]
 fn a_heartbeat_has_these_bytes() {
-    let status = Status {
+    let status = ReplicaStatus {
         id: 5,
         view: 3,
         in_sync_view: 2,
-        received: 41,
+        last_received: 41,
         caught_up: true,
     };
     let heartbeat = ControllerHeartbeat {
@@ -104,9 +104,9 @@
         acceptors: vec![member],
     };
     let frame = Frame::Agree {
-        msg: Msg {
+        msg: Message {
             from: 7,
-            body: Body::Chosen { value },
+            body: MessageBody::Chosen { value },
         },
     };
     let encoded = "02000000000000000706000000000000000100000001\
--- a/crates/control/controller/tests/world/day.rs
+++ b/crates/control/controller/tests/world/day.rs
@@ -468,7 +468,7 @@
         self.checker.views += 1;
         let old = self.checker.view.replace(view.clone());
         for member in old.iter().flat_map(|old| &old.view.members) {
-            let stays = view.view.members.iter().any(|m| m.is(member));
+            let stays = view.view.members.iter().any(|m| m.is_same_process(member));
             let Some(machine) = self.controllers.iter().find(|k| k.is(member)) else {
                 continue;
             };
--- a/crates/control/controller/tests/world/planted.rs
+++ b/crates/control/controller/tests/world/planted.rs
@@ -50,11 +50,12 @@
     /// Whether a frame of this kind of this controller never goes out.
     pub fn withholds(&self, n: usize, kind: u16, body: &Bytes) -> bool {
         if kind == VIEW && self.has(Planted::NoViewChange) {
-            let msg = view_agreement::Msg::decode(body).map(|msg| msg.body);
+            let msg = view_agreement::Message::decode(body).map(|msg| msg.body);
             let decides = |body| {
                 matches!(
                     body,
-                    view_agreement::Body::Prepare { .. } | view_agreement::Body::Accept { .. }
+                    view_agreement::MessageBody::Prepare { .. }
+                        | view_agreement::MessageBody::Accept { .. }
                 )
             };
             return self.checker.view.is_some() && msg.is_ok_and(decides);
@@ -67,7 +68,7 @@
 
     /// The answer that a planted fault gives in the owner's place.
     pub fn planted_answer(&self, n: usize, ask: &Ask) -> Option<Answer> {
-        let control = self.controllers[n].owner()?.node().machine();
+        let control = self.controllers[n].owner()?.node().state_machine();
         let head = self.controllers[n].owner()?.node().is_head();
         match ask {
             Ask::Get if self.has(Planted::ReadsAnywhere) => {
--- a/crates/control/controller/tests/world/races.rs
+++ b/crates/control/controller/tests/world/races.rs
@@ -154,7 +154,10 @@
         }
         let digest = controller::control::digest(&put.body);
         let kept = self.controllers.iter().enumerate().any(|(m, k)| {
-            let control = k.owner().filter(|_| m != n).map(|o| o.node().machine());
+            let control = k
+                .owner()
+                .filter(|_| m != n)
+                .map(|o| o.node().state_machine());
             control.is_some_and(|c| match status {
                 200 => c.took(put.base, &digest).is_some(),
                 _ => c.gen() != put.base,
--- a/crates/control/controller/tests/world/stores.rs
+++ b/crates/control/controller/tests/world/stores.rs
@@ -6,7 +6,7 @@
     HEARTBEAT_INTERVAL_MS, LEASE_GRANT,
 };
 use bytes::Bytes;
-use chain_replication::{Status, View};
+use chain_replication::{ReplicaStatus, View};
 use relay_tree::{Follow, Role, StateTable};
 use replicated_state::{decode_addresses, CONTROLLERS_KEY, RELAY};
 use std::collections::BTreeMap;
@@ -264,11 +264,11 @@
             if joins || member(view, addr, id) {
                 let in_sync_view = in_sync.get(&partition).copied().unwrap_or(0);
                 let caught_up = joins && now >= process.map_at + 400;
-                let status = Status {
+                let status = ReplicaStatus {
                     id,
                     view: view.number,
                     in_sync_view,
-                    received: 5,
+                    last_received: 5,
                     caught_up,
                 };
                 statuses.push(PartitionStatus {
--- a/crates/control/view-agreement/src/lib.rs
+++ b/crates/control/view-agreement/src/lib.rs
@@ -18,7 +18,7 @@
 mod records;
 mod wire;
 
-pub use agreement::{Agreement, Out};
+pub use agreement::{Agreement, Effect};
 pub use next::{next_controller_view, Sizing};
-pub use records::{BadRecord, Record, Recovered};
-pub use wire::{Accepted, Ballot, Body, ControllerView, Msg, MOST_ACCEPTORS};
+pub use records::{Record, RecoveredAcceptor};
+pub use wire::{ControllerView, Message, MessageBody, Proposal, ProposalNumber, MAX_ACCEPTORS};
--- a/crates/control/view-agreement/src/next.rs
+++ b/crates/control/view-agreement/src/next.rs
@@ -3,9 +3,9 @@
 use std::borrow::Cow;
 use std::collections::BTreeMap;
 
-use chain_replication::{next_view, Member, Ms, Seen};
+use chain_replication::{next_view, Member, Millis, Observation};
 
-use crate::wire::{ControllerView, MOST_ACCEPTORS};
+use crate::wire::{ControllerView, MAX_ACCEPTORS};
 
 /// How many losses at once the controllers are to survive, and what follows from that.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -13,45 +13,48 @@
     /// Members of the chain, where there are machines.
     pub chain_len: usize,
     /// With fewer members nothing is acknowledged.
-    pub least_len: usize,
+    pub min_chain_len: usize,
     /// Acceptors, where there are machines: `2f + 1`, so that a majority is left after `f` losses.
     pub acceptors: usize,
     /// So many zones may be lost at once, each with all its machines; 0 where only machines are counted.
-    pub zones: usize,
+    pub zone_failures: usize,
     /// An acceptor that is silent for longer is replaced by a spare, in milliseconds. It must be longer than the silence
     /// that makes a machine dead, and the replacement must be over before the next loss may come (`SyncS`). An
     /// acceptor that returns later is a spare itself, so replacing one too early costs a change of view and no safety.
-    pub replace_after_ms: Ms,
+    pub replace_after_ms: Millis,
 }
 
 impl Sizing {
     /// The shortest and the longest silence after which an acceptor is replaced.
-    const REPLACE_AFTER_MS: std::ops::RangeInclusive<Ms> = 1_200..=3_000;
+    const REPLACE_AFTER_MS: std::ops::RangeInclusive<Millis> = 1_200..=3_000;
 
     /// For `faults` losses at once, the next of which comes `sync_ms` after the one before was made good at the
     /// earliest.
-    pub fn new(faults: usize, sync_ms: Ms) -> Self {
+    pub fn new(faults: usize, sync_ms: Millis) -> Self {
         let (shortest, longest) = (
             *Self::REPLACE_AFTER_MS.start(),
             *Self::REPLACE_AFTER_MS.end(),
         );
         Sizing {
             chain_len: faults + 2,
-            least_len: faults + 1,
-            acceptors: (2 * faults + 1).min(MOST_ACCEPTORS as usize),
-            zones: 0,
+            min_chain_len: faults + 1,
+            acceptors: (2 * faults + 1).min(MAX_ACCEPTORS as usize),
+            zone_failures: 0,
             replace_after_ms: (sync_ms / 3).clamp(shortest, longest),
         }
     }
 
     /// The same where so many whole zones may be lost at once as well: the acceptors and the chain are spread over zones
     /// so that a majority, and a member, are left.
-    pub fn over_zones(self, zones: usize) -> Self {
-        Sizing { zones, ..self }
+    pub fn with_zone_failures(self, zones: usize) -> Self {
+        Sizing {
+            zone_failures: zones,
+            ..self
+        }
     }
 
     /// How many zones may be lost at once so that a majority of acceptors in these zones is left.
-    pub fn zones_tolerated_by(acceptors: &[u64]) -> usize {
+    pub fn zone_failures_tolerated(acceptors: &[u64]) -> usize {
         (0..acceptors.len())
             .rev()
             .find(|lost| held_by_fullest(acceptors, *lost) * 2 < acceptors.len())
@@ -59,7 +62,7 @@
     }
 
     /// How many losses at once leave a majority of so many acceptors.
-    pub fn tolerated_by(acceptors: usize) -> usize {
+    pub fn failures_tolerated(acceptors: usize) -> usize {
         acceptors.saturating_sub(1) / 2
     }
 }
@@ -88,15 +91,20 @@
 /// ones until such a loss leaves a majority, and a chain that stands in too few zones takes in a member of another one and
 /// then lets one of the fullest go. Both end where there are no spares of other zones.
 ///
-/// The owner proposes what comes of it only if [`chain_replication::stays_on_fresh_word`] agrees.
+/// The owner proposes what comes of it only if [`chain_replication::remaining_members_recently_seen`] agrees.
 pub fn next_controller_view(
     current: &ControllerView,
-    seen: &[Seen],
+    seen: &[Observation],
     sizing: Sizing,
-    dead_for_ms: &dyn Fn(&Member) -> Ms,
+    dead_for_ms: &dyn Fn(&Member) -> Millis,
 ) -> Option<ControllerView> {
     let spread = spread_chain(current, seen, sizing);
-    let chain = next_view(&current.view, &spread, sizing.chain_len, sizing.least_len);
+    let chain = next_view(
+        &current.view,
+        &spread,
+        sizing.chain_len,
+        sizing.min_chain_len,
+    );
     let acceptors = next_acceptors(current, seen, sizing, dead_for_ms);
     if chain.is_none() && acceptors.is_none() {
         return None;
@@ -111,11 +119,15 @@
 
 /// What is seen, with the member marked as unwanted that is to make room for one of another zone, if any. By the rule of
 /// the chain an unwanted member goes only once enough others are in sync.
-fn spread_chain<'a>(current: &ControllerView, seen: &'a [Seen], sizing: Sizing) -> Cow<'a, [Seen]> {
+fn spread_chain<'a>(
+    current: &ControllerView,
+    seen: &'a [Observation],
+    sizing: Sizing,
+) -> Cow<'a, [Observation]> {
     let members = &current.view.members;
     let find = |m: &Member| {
         seen.iter()
-            .position(|s| s.alive && !s.leaving && !s.unwanted && s.member.is(m))
+            .position(|s| s.alive && !s.draining && !s.retiring && s.member.is_same_process(m))
     };
     let places: Vec<usize> = members.iter().filter_map(find).collect();
     let zones: Vec<u64> = places
@@ -123,8 +135,9 @@
         .filter_map(|place| seen.get(*place))
         .map(|s| s.zone)
         .collect();
-    let too_few_zones = held_by_fullest(&zones, sizing.zones) == zones.len();
-    let is_spare = |s: &Seen| s.alive && !s.leaving && !s.unwanted && !zones.contains(&s.zone);
+    let too_few_zones = held_by_fullest(&zones, sizing.zone_failures) == zones.len();
+    let is_spare =
+        |s: &Observation| s.alive && !s.draining && !s.retiring && !zones.contains(&s.zone);
     let makes_room = too_few_zones && seen.iter().any(is_spare) || members.len() > sizing.chain_len;
     // The last of those that are not alone in their zone.
     let is_double = |zone: u64| zones.iter().filter(|z| **z == zone).count() > 1;
@@ -134,9 +147,9 @@
         .copied()
         .find(|place| seen.get(*place).is_some_and(|s| is_double(s.zone)));
     let mut spread = Cow::Borrowed(seen);
-    if let Some(place) = goes.filter(|_| sizing.zones > 0 && makes_room) {
+    if let Some(place) = goes.filter(|_| sizing.zone_failures > 0 && makes_room) {
         if let Some(seen) = spread.to_mut().get_mut(place) {
-            seen.unwanted = true;
+            seen.retiring = true;
         }
     }
     spread
@@ -145,16 +158,16 @@
 /// The acceptors while they are changed one after the other.
 struct Electorate<'a> {
     current: &'a ControllerView,
-    seen: &'a [Seen],
+    seen: &'a [Observation],
     acceptors: Vec<Member>,
     /// Places of those that were acceptors before, stay, and are there now.
     established: Vec<bool>,
 }
 
 impl<'a> Electorate<'a> {
-    fn new(current: &'a ControllerView, seen: &'a [Seen]) -> Self {
+    fn new(current: &'a ControllerView, seen: &'a [Observation]) -> Self {
         let acceptors = current.acceptors.clone();
-        let there = |a: &Member| seen.iter().any(|s| s.alive && s.member.is(a));
+        let there = |a: &Member| seen.iter().any(|s| s.alive && s.member.is_same_process(a));
         let established = acceptors.iter().map(there).collect();
         Electorate {
             current,
@@ -164,14 +177,16 @@
         }
     }
 
-    fn sees(&self, acceptor: &Member) -> Option<&'a Seen> {
-        self.seen.iter().find(|s| s.member.is(acceptor))
+    fn sees(&self, acceptor: &Member) -> Option<&'a Observation> {
+        self.seen
+            .iter()
+            .find(|s| s.member.is_same_process(acceptor))
     }
 
     /// Another identity is alive at the acceptor's address: its machine has lost its disk.
-    fn newcomer(&self, acceptor: &Member) -> Option<&'a Seen> {
+    fn newcomer(&self, acceptor: &Member) -> Option<&'a Observation> {
         self.seen.iter().find(|s| {
-            s.alive && !s.unwanted && s.member.addr == acceptor.addr && s.member.id != acceptor.id
+            s.alive && !s.retiring && s.member.addr == acceptor.addr && s.member.id != acceptor.id
         })
     }
 
@@ -196,17 +211,17 @@
 
     /// A machine that may become an acceptor: of the zone that the fewest other acceptors are in, then one that holds the
     /// table, then in the order in which they were given.
-    fn spare(&self, leaving_place: Option<usize>) -> Option<&'a Seen> {
+    fn spare(&self, leaving_place: Option<usize>) -> Option<&'a Observation> {
         let zones = self.zones(leaving_place);
         let in_zone = |zone: u64| zones.iter().filter(|z| **z == zone).count();
-        let usable = |s: &&Seen| s.alive && !s.leaving && !s.unwanted;
-        let is_acceptor = |s: &Seen| self.acceptors.iter().any(|a| a.addr == s.member.addr);
+        let usable = |s: &&Observation| s.alive && !s.draining && !s.retiring;
+        let is_acceptor = |s: &Observation| self.acceptors.iter().any(|a| a.addr == s.member.addr);
         let view = &self.current.view;
         self.seen
             .iter()
             .filter(usable)
             .filter(|s| !is_acceptor(s))
-            .min_by_key(|s| (in_zone(s.zone), view.place(&s.member).is_none()))
+            .min_by_key(|s| (in_zone(s.zone), view.position(&s.member).is_none()))
     }
 
     /// Gives votes of the fullest zone to spares of emptier ones until the loss of so many zones leaves a majority.
@@ -228,7 +243,7 @@
             else {
                 return;
             };
-            let emptier = |spare: &&Seen| in_zone(spare.zone) + 1 < fullness(&place);
+            let emptier = |spare: &&Observation| in_zone(spare.zone) + 1 < fullness(&place);
             let Some(spare) = self.spare(Some(place)).filter(emptier) else {
                 return;
             };
@@ -238,7 +253,7 @@
         }
     }
 
-    fn as_acceptor(&self, spare: &Seen) -> Member {
+    fn as_acceptor(&self, spare: &Observation) -> Member {
         Member {
             since: self.current.number() + 1,
             ..spare.member.clone()
@@ -246,7 +261,7 @@
     }
 
     /// Puts a machine in an acceptor's place, if the established ones remain a majority; whether it did.
-    fn replace(&mut self, place: usize, spare: &Seen) -> bool {
+    fn replace(&mut self, place: usize, spare: &Observation) -> bool {
         let established = self
             .established
             .iter()
@@ -267,7 +282,7 @@
     }
 
     /// Adds a machine; whether the established ones remain a majority is looked at by [`Electorate::grow`].
-    fn add(&mut self, spare: &Seen) {
+    fn add(&mut self, spare: &Observation) {
         let member = self.as_acceptor(spare);
         self.acceptors.push(member);
         self.established.push(false);
@@ -302,9 +317,9 @@
 
 fn next_acceptors(
     current: &ControllerView,
-    seen: &[Seen],
+    seen: &[Observation],
     sizing: Sizing,
-    dead_for_ms: &dyn Fn(&Member) -> Ms,
+    dead_for_ms: &dyn Fn(&Member) -> Millis,
 ) -> Option<Vec<Member>> {
     let mut electorate = Electorate::new(current, seen);
     for (place, acceptor) in current.acceptors.iter().enumerate() {
@@ -314,7 +329,7 @@
     }
     for (place, acceptor) in current.acceptors.iter().enumerate() {
         let gone = match electorate.sees(acceptor) {
-            Some(s) if s.unwanted || s.leaving => true,
+            Some(s) if s.retiring || s.draining => true,
             Some(s) if s.alive => false,
             _ => dead_for_ms(acceptor) > sizing.replace_after_ms,
         };
@@ -327,8 +342,8 @@
         }
     }
     electorate.grow(sizing.acceptors);
-    if sizing.zones > 0 {
-        electorate.spread(sizing.zones);
+    if sizing.zone_failures > 0 {
+        electorate.spread(sizing.zone_failures);
     }
     (electorate.acceptors != current.acceptors).then_some(electorate.acceptors)
 }
--- a/crates/control/view-agreement/src/propose.rs
+++ b/crates/control/view-agreement/src/propose.rs
@@ -1,43 +1,43 @@
 //! A controller's part as a proposer.
 
-use chain_replication::{Member, Ms};
+use chain_replication::{Member, Millis};
 
 use crate::agreement::Agreement;
-use crate::wire::{Accepted, Ballot, Body, ControllerView};
+use crate::wire::{ControllerView, MessageBody, Proposal, ProposalNumber};
 
 /// A try that got no majority for so long is made anew: some syncs and round trips of slow machines.
-const TRY_MS: Ms = 400;
+const TRY_MS: Millis = 400;
 /// Between a refused try and the next: so much, and so much more a place in the list of acceptors, so that two
 /// proposers do not go on overtaking each other.
-const AFTER_REFUSAL_MS: Ms = 60;
-const STAGGER_MS: Ms = 120;
+const AFTER_REFUSAL_MS: Millis = 60;
+const STAGGER_MS: Millis = 120;
 /// A proposal that was not chosen for so long is given up: by then the owner sees other machines alive.
-const GIVE_UP_MS: Ms = 3_000;
+const GIVE_UP_MS: Millis = 3_000;
 /// What was accepted and not heard to be chosen for so long is proposed by those who accepted it: its proposer may be
 /// gone, and until it is settled nobody can say that the present view is the newest.
-const FINISH_AFTER_MS: Ms = 600;
+const FINISH_AFTER_MS: Millis = 600;
 
 /// A try under way.
 #[derive(Debug)]
-pub(crate) struct Proposal {
+pub(crate) struct Proposer {
     number: u64,
     /// What we would have chosen, if nothing was accepted before.
     wish: ControllerView,
-    ballot: Ballot,
+    ballot: ProposalNumber,
     /// Who promised; the newest that any of them had accepted.
     promises: Vec<Member>,
-    found: Option<Accepted>,
+    found: Option<Proposal>,
     /// What was sent to be accepted, and who accepted it.
     sent: bool,
     accepts: Vec<Member>,
-    begun_at: Ms,
-    next_try_at: Ms,
+    begun_at: Millis,
+    next_try_at: Millis,
 }
 
 impl Agreement {
     /// Tries to have this chosen as the view after the current one. What is chosen may be another's, or one that was
     /// accepted before. Does nothing while a try is under way, or if the number is not the next.
-    pub fn propose(&mut self, now: Ms, next: ControllerView) {
+    pub fn propose(&mut self, now: Millis, next: ControllerView) {
         if self.suspended()
             || self.current.is_none()
             || next.number() != self.number() + 1
@@ -46,7 +46,7 @@
             return;
         }
         let ballot = self.ballot(0);
-        self.proposal = Some(Proposal {
+        self.proposal = Some(Proposer {
             number: next.number(),
             wish: next,
             ballot,
@@ -61,17 +61,17 @@
     }
 
     /// Whether a proposal of ours is under way.
-    pub fn proposing(&self) -> bool {
+    pub fn is_proposing(&self) -> bool {
         self.proposal.is_some()
     }
 
     /// A try of ours above this round, and above all that we have heeded or used.
-    fn ballot(&self, above: u64) -> Ballot {
+    fn ballot(&self, above: u64) -> ProposalNumber {
         let heeded = self.promised.map_or(0, |p| p.round);
-        Ballot {
+        ProposalNumber {
             round: heeded.max(above) + 1,
-            id: self.me.id,
-            addr: self.me.addr,
+            proposer_id: self.me.id,
+            proposer_addr: self.me.addr,
         }
     }
 
@@ -81,7 +81,7 @@
             .map_or(Vec::new(), |c| c.acceptors.clone())
     }
 
-    fn begin_try(&mut self, now: Ms) {
+    fn begin_try(&mut self, now: Millis) {
         let used = self
             .proposal
             .as_ref()
@@ -90,7 +90,7 @@
         let place = self
             .acceptors()
             .iter()
-            .position(|a| a.is(&self.me))
+            .position(|a| a.is_same_process(&self.me))
             .unwrap_or_default() as u64;
         let Some(proposal) = self.proposal.as_mut() else {
             return;
@@ -105,26 +105,32 @@
         // Our own round is on disk before anybody hears of it: after a restart we shall not use it twice.
         self.promise(number, ballot);
         for acceptor in self.acceptors() {
-            self.send_after_sync(acceptor.addr, Body::Prepare { number, ballot });
+            self.send_after_sync(
+                acceptor.addr,
+                MessageBody::Prepare {
+                    view_number: number,
+                    proposal_number: ballot,
+                },
+            );
         }
         self.release_held(now);
     }
 
     pub(crate) fn promised(
         &mut self,
-        now: Ms,
+        now: Millis,
         sender: &Member,
         number: u64,
-        ballot: Ballot,
-        accepted: Option<Accepted>,
+        ballot: ProposalNumber,
+        accepted: Option<Proposal>,
     ) {
         let Some(current) = &self.current else { return };
-        let (majority, valid) = (current.majority(), current.accepts(sender));
+        let (majority, valid) = (current.quorum(), current.is_acceptor(sender));
         let Some(proposal) = self.proposal.as_mut() else {
             return;
         };
         let ours = proposal.number == number && proposal.ballot == ballot && !proposal.sent;
-        if !ours || !valid || proposal.promises.iter().any(|m| m.is(sender)) {
+        if !ours || !valid || proposal.promises.iter().any(|m| m.is_same_process(sender)) {
             return;
         }
         proposal.promises.push(sender.clone());
@@ -132,7 +138,7 @@
             if proposal
                 .found
                 .as_ref()
-                .is_none_or(|f| f.ballot < accepted.ballot)
+                .is_none_or(|f| f.number < accepted.number)
             {
                 proposal.found = Some(accepted);
             }
@@ -146,11 +152,14 @@
             .as_ref()
             .map_or(&proposal.wish, |f| &f.value)
             .clone();
-        let proposal = Accepted { ballot, value };
+        let proposal = Proposal {
+            number: ballot,
+            value,
+        };
         for acceptor in self.acceptors() {
             self.send_after_sync(
                 acceptor.addr,
-                Body::Accept {
+                MessageBody::Accept {
                     proposal: proposal.clone(),
                 },
             );
@@ -158,11 +167,11 @@
         self.release_held(now);
     }
 
-    pub(crate) fn refused(&mut self, now: Ms, number: u64, promised: Ballot) {
+    pub(crate) fn refused(&mut self, now: Millis, number: u64, promised: ProposalNumber) {
         let place = self
             .acceptors()
             .iter()
-            .position(|a| a.is(&self.me))
+            .position(|a| a.is_same_process(&self.me))
             .unwrap_or_default() as u64;
         let Some(proposal) = self.proposal.as_mut() else {
             return;
@@ -175,14 +184,20 @@
         }
     }
 
-    pub(crate) fn accepted_by(&mut self, now: Ms, sender: &Member, number: u64, ballot: Ballot) {
+    pub(crate) fn accepted_by(
+        &mut self,
+        now: Millis,
+        sender: &Member,
+        number: u64,
+        ballot: ProposalNumber,
+    ) {
         let Some(current) = &self.current else { return };
-        let (majority, valid) = (current.majority(), current.accepts(sender));
+        let (majority, valid) = (current.quorum(), current.is_acceptor(sender));
         let Some(proposal) = self.proposal.as_mut() else {
             return;
         };
         let ours = proposal.number == number && proposal.ballot == ballot && proposal.sent;
-        if !ours || !valid || proposal.accepts.iter().any(|m| m.is(sender)) {
+        if !ours || !valid || proposal.accepts.iter().any(|m| m.is_same_process(sender)) {
             return;
         }
         proposal.accepts.push(sender.clone());
@@ -216,7 +231,7 @@
         for member in concerned {
             self.send(
                 member.addr,
-                Body::Chosen {
+                MessageBody::Chosen {
                     value: value.clone(),
                 },
             );
@@ -224,7 +239,7 @@
         self.chosen(now, value);
     }
 
-    pub(crate) fn tick_proposal(&mut self, now: Ms) {
+    pub(crate) fn tick_proposal(&mut self, now: Millis) {
         if let Some(proposal) = &self.proposal {
             if now.saturating_sub(proposal.begun_at) >= GIVE_UP_MS {
                 self.proposal = None;
@@ -240,7 +255,7 @@
         let place = self
             .acceptors()
             .iter()
-            .position(|a| a.is(&self.me))
+            .position(|a| a.is_same_process(&self.me))
             .unwrap_or_default() as u64;
         let since = *self.accepted_at.get_or_insert(now);
         if now.saturating_sub(since) >= FINISH_AFTER_MS + place * STAGGER_MS {
--- a/crates/control/view-agreement/src/pulse.rs
+++ b/crates/control/view-agreement/src/pulse.rs
@@ -3,22 +3,22 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-use chain_replication::{Member, Ms};
+use chain_replication::{Member, Millis};
 
-use crate::agreement::{Agreement, Out};
-use crate::wire::Body;
+use crate::agreement::{Agreement, Effect};
+use crate::wire::MessageBody;
 
 /// Between rounds of pings: a fraction of the shortest bound that is judged by it.
-const PING_MS: Ms = 200;
+const PING_MS: Millis = 200;
 /// A round that has no majority by then has failed.
-const ROUND_MS: Ms = 1_000;
+const ROUND_MS: Millis = 1_000;
 /// Rounds under way at most: pings of a second and a confirmation every few milliseconds.
 const MOST_ROUNDS: usize = 64;
 
 #[derive(Debug)]
 struct Round {
     number: u64,
-    sent_at: Ms,
+    sent_at: Millis,
     sure: Vec<Member>,
     tokens: Vec<u64>,
 }
@@ -29,9 +29,9 @@
     rounds: VecDeque<Round>,
     round: u64,
     token: u64,
-    pinged_at: Option<Ms>,
+    pinged_at: Option<Millis>,
     /// When the newest round was sent that a majority answered, in this view.
-    majority_at: Option<Ms>,
+    majority_at: Option<Millis>,
     /// The round whose pings the owner has not taken yet: whoever asks now may share it.
     untaken: Option<u64>,
 }
@@ -45,13 +45,16 @@
 
 impl Agreement {
     /// Asks a majority of the acceptors whether the view is still the newest; the answer comes as
-    /// [`Out::Confirmed`] with this token. Nothing that was committed in a newer view before the question can be
+    /// [`Effect::ViewConfirmed`] with this token. Nothing that was committed in a newer view before the question can be
     /// missing at this view's tail if the answer is `ok` (and the tail was in sync).
-    pub fn confirm(&mut self, now: Ms) -> u64 {
+    pub fn confirm_view(&mut self, now: Millis) -> u64 {
         self.pulse.token += 1;
         let token = self.pulse.token;
         if self.current.is_none() {
-            self.out.push(Out::Confirmed { token, ok: false });
+            self.out.push(Effect::ViewConfirmed {
+                token,
+                is_current: false,
+            });
             return token;
         }
         if self.pulse.untaken.is_none() {
@@ -63,7 +66,10 @@
             // A majority is this controller alone, and it has just said so.
             None => {
                 let ok = self.accepted.is_none();
-                self.out.push(Out::Confirmed { token, ok });
+                self.out.push(Effect::ViewConfirmed {
+                    token,
+                    is_current: ok,
+                });
             }
         }
         token
@@ -71,17 +77,17 @@
 
     /// Begins a round of pings at once, without waiting for the next one that is due: somebody has come whose answer may
     /// make up the majority.
-    pub fn ask_majority(&mut self, now: Ms) {
+    pub fn check_quorum(&mut self, now: Millis) {
         self.ping_all(now);
     }
 
     /// How long ago a majority of the acceptors last held this view to be the newest, counted from the question.
-    pub fn last_majority(&self, now: Ms) -> Option<Ms> {
+    pub fn quorum_contact_age(&self, now: Millis) -> Option<Millis> {
         self.pulse.majority_at.map(|at| now.saturating_sub(at))
     }
 
     /// Begins a round of pings.
-    pub(crate) fn ping_all(&mut self, now: Ms) {
+    pub(crate) fn ping_all(&mut self, now: Millis) {
         let Some(current) = &self.current else { return };
         let view = current.number();
         let to: Vec<SocketAddr> = current.acceptors.iter().map(|a| a.addr).collect();
@@ -98,7 +104,13 @@
             tokens: Vec::new(),
         });
         for addr in to {
-            self.send(addr, Body::Ping { view, round });
+            self.send(
+                addr,
+                MessageBody::QuorumCheck {
+                    view_number: view,
+                    round,
+                },
+            );
         }
         self.pulse.untaken = Some(round);
         let me = self.me.clone();
@@ -111,14 +123,14 @@
         if own > view {
             self.tell_newer(from, view);
         } else if own < view {
-            self.send(from, Body::Ask { have: own });
+            self.send(from, MessageBody::RequestView { newest_known: own });
         } else {
             self.send(
                 from,
-                Body::Pong {
-                    view,
+                MessageBody::QuorumCheckReply {
+                    view_number: view,
                     round,
-                    unsure: self.accepted.is_some(),
+                    undecided: self.accepted.is_some(),
                 },
             );
         }
@@ -126,8 +138,8 @@
 
     pub(crate) fn ponged(&mut self, sender: &Member, view: u64, round: u64, unsure: bool) {
         let Some(current) = &self.current else { return };
-        let majority = current.majority();
-        if unsure || current.number() != view || !current.accepts(sender) {
+        let majority = current.quorum();
+        if unsure || current.number() != view || !current.is_acceptor(sender) {
             return;
         }
         let Some(at) = self.pulse.rounds.iter().position(|r| r.number == round) else {
@@ -136,7 +148,7 @@
         let Some(entry) = self.pulse.rounds.get_mut(at) else {
             return;
         };
-        if !entry.sure.iter().any(|m| m.is(sender)) {
+        if !entry.sure.iter().any(|m| m.is_same_process(sender)) {
             entry.sure.push(sender.clone());
         }
         if entry.sure.len() < majority {
@@ -146,22 +158,20 @@
             return;
         };
         self.pulse.majority_at = self.pulse.majority_at.max(Some(entry.sent_at));
-        self.out.extend(
-            entry
-                .tokens
-                .into_iter()
-                .map(|token| Out::Confirmed { token, ok: true }),
-        );
+        self.out
+            .extend(entry.tokens.into_iter().map(|token| Effect::ViewConfirmed {
+                token,
+                is_current: true,
+            }));
     }
 
     fn fail_oldest(&mut self) {
         if let Some(round) = self.pulse.rounds.pop_front() {
-            self.out.extend(
-                round
-                    .tokens
-                    .into_iter()
-                    .map(|token| Out::Confirmed { token, ok: false }),
-            );
+            self.out
+                .extend(round.tokens.into_iter().map(|token| Effect::ViewConfirmed {
+                    token,
+                    is_current: false,
+                }));
         }
     }
 
@@ -174,7 +184,7 @@
         self.pulse.pinged_at = None;
     }
 
-    pub(crate) fn tick_pulse(&mut self, now: Ms) {
+    pub(crate) fn tick_pulse(&mut self, now: Millis) {
         while self
             .pulse
             .rounds
--- a/crates/control/view-agreement/src/records.rs
+++ b/crates/control/view-agreement/src/records.rs
@@ -2,12 +2,9 @@
 
 use binrw::binrw;
 use bytes::Bytes;
-use chain_replication::BadBytes;
+use chain_replication::DecodeError;
 
-use crate::wire::{Accepted, Ballot, ControllerView};
-
-/// A record that can't be read.
-pub type BadRecord = BadBytes;
+use crate::wire::{ControllerView, Proposal, ProposalNumber};
 
 /// A record for the disk; written and synced in the order in which they come.
 #[binrw]
@@ -24,15 +21,15 @@
     #[brw(magic = 2u8)]
     Promised {
         /// The view to be chosen.
-        number: u64,
+        view_number: u64,
         /// The try.
-        ballot: Ballot,
+        proposal_number: ProposalNumber,
     },
     /// This was accepted.
     #[brw(magic = 3u8)]
     Accepted {
         /// The try, and the view.
-        accepted: Accepted,
+        proposal: Proposal,
     },
 }
 
@@ -43,23 +40,23 @@
     }
 
     /// From the disk's bytes.
-    pub fn decode(bytes: &[u8]) -> Result<Record, BadRecord> {
+    pub fn decode(bytes: &[u8]) -> Result<Record, DecodeError> {
         chain_replication::from_bytes(bytes)
     }
 }
 
 /// What the disk holds at the start; all of it synced.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Recovered {
+pub struct RecoveredAcceptor {
     /// The newest view known to be chosen.
     pub chosen: Option<ControllerView>,
     /// The view to be chosen, and the highest try heeded for it.
-    pub promised: Option<(u64, Ballot)>,
+    pub promised: Option<(u64, ProposalNumber)>,
     /// What was accepted last.
-    pub accepted: Option<Accepted>,
+    pub accepted: Option<Proposal>,
 }
 
-impl Recovered {
+impl RecoveredAcceptor {
     /// Takes the records in the order in which they were written.
     pub fn replay(&mut self, record: Record) {
         match record {
@@ -72,14 +69,17 @@
                     self.chosen = Some(value);
                 }
             }
-            Record::Promised { number, ballot } => self.promise(number, ballot),
-            Record::Accepted { accepted } => {
-                let new = (accepted.value.number(), accepted.ballot);
+            Record::Promised {
+                view_number: number,
+                proposal_number: ballot,
+            } => self.promise(number, ballot),
+            Record::Accepted { proposal: accepted } => {
+                let new = (accepted.value.number(), accepted.number);
                 self.promise(new.0, new.1);
                 if self
                     .accepted
                     .as_ref()
-                    .is_none_or(|old| (old.value.number(), old.ballot) <= new)
+                    .is_none_or(|old| (old.value.number(), old.number) <= new)
                 {
                     self.accepted = Some(accepted);
                 }
@@ -87,14 +87,14 @@
         }
     }
 
-    fn promise(&mut self, number: u64, ballot: Ballot) {
+    fn promise(&mut self, number: u64, ballot: ProposalNumber) {
         if self.promised.is_none_or(|old| old < (number, ballot)) {
             self.promised = Some((number, ballot));
         }
     }
 
     /// Reads a record and takes it.
-    pub fn read(&mut self, record: &[u8]) -> Result<(), BadRecord> {
+    pub fn read(&mut self, record: &[u8]) -> Result<(), DecodeError> {
         self.replay(Record::decode(record)?);
         Ok(())
     }
--- a/crates/control/view-agreement/src/wire.rs
+++ b/crates/control/view-agreement/src/wire.rs
@@ -4,10 +4,10 @@
 
 use binrw::binrw;
 use bytes::Bytes;
-use chain_replication::{read_addr, write_addr, BadBytes, Member, View};
+use chain_replication::{read_addr, write_addr, DecodeError, Member, View};
 
 /// Acceptors at most: as many as the largest core that still bears one decision a view change.
-pub const MOST_ACCEPTORS: u32 = 9;
+pub const MAX_ACCEPTORS: u32 = 9;
 
 /// A view of the controllers: the chain, and who decides on the next one.
 #[binrw]
@@ -16,7 +16,7 @@
 pub struct ControllerView {
     /// The chain; its number is the number of the whole.
     pub view: View,
-    #[br(temp, assert(count > 0 && count <= MOST_ACCEPTORS))]
+    #[br(temp, assert(count > 0 && count <= MAX_ACCEPTORS))]
     #[bw(calc = acceptors.len() as u32)]
     count: u32,
     /// Who decides on the next view.
@@ -31,13 +31,13 @@
     }
 
     /// How many acceptors are more than half.
-    pub fn majority(&self) -> usize {
+    pub fn quorum(&self) -> usize {
         self.acceptors.len() / 2 + 1
     }
 
     /// Whether this process decides.
-    pub fn accepts(&self, member: &Member) -> bool {
-        self.acceptors.iter().any(|a| a.is(member))
+    pub fn is_acceptor(&self, member: &Member) -> bool {
+        self.acceptors.iter().any(|a| a.is_same_process(member))
     }
 
     /// As bytes.
@@ -46,7 +46,7 @@
     }
 
     /// From bytes.
-    pub fn decode(bytes: &[u8]) -> Result<ControllerView, BadBytes> {
+    pub fn decode(bytes: &[u8]) -> Result<ControllerView, DecodeError> {
         chain_replication::from_bytes(bytes)
     }
 }
@@ -55,24 +55,24 @@
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Ballot {
+pub struct ProposalNumber {
     /// Higher than all it has seen.
     pub round: u64,
     /// The proposer's id.
-    pub id: u64,
+    pub proposer_id: u64,
     /// The proposer's address: founders share an id.
     #[br(parse_with = read_addr)]
     #[bw(write_with = write_addr)]
-    pub addr: SocketAddr,
+    pub proposer_addr: SocketAddr,
 }
 
 /// What an acceptor has accepted.
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Accepted {
+pub struct Proposal {
     /// In this try.
-    pub ballot: Ballot,
+    pub number: ProposalNumber,
     /// This view.
     pub value: ControllerView,
 }
@@ -81,61 +81,61 @@
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Msg {
+pub struct Message {
     /// The sender's id.
     pub from: u64,
     /// What is said.
-    pub body: Body,
+    pub body: MessageBody,
 }
 
-/// The words of [`Msg`].
+/// The words of [`Message`].
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Body {
+pub enum MessageBody {
     /// Will you heed this try for the view of this number, and none below it?
     #[brw(magic = 1u8)]
     Prepare {
         /// The view to be chosen.
-        number: u64,
+        view_number: u64,
         /// The try.
-        ballot: Ballot,
+        proposal_number: ProposalNumber,
     },
     /// Yes, and this is what I have accepted.
     #[brw(magic = 2u8)]
     Promise {
         /// The view to be chosen.
-        number: u64,
+        view_number: u64,
         /// The try.
-        ballot: Ballot,
+        proposal_number: ProposalNumber,
         #[br(temp)]
         #[bw(calc = u8::from(accepted.is_some()))]
         some: u8,
         /// The newest that it has accepted for this number.
         #[br(if(some != 0))]
-        accepted: Option<Accepted>,
+        accepted: Option<Proposal>,
     },
     /// No: I have promised another.
     #[brw(magic = 3u8)]
-    Refused {
+    Rejected {
         /// The view to be chosen.
-        number: u64,
+        view_number: u64,
         /// The try that is heeded.
-        promised: Ballot,
+        promised: ProposalNumber,
     },
     /// Accept this.
     #[brw(magic = 4u8)]
     Accept {
         /// The try, and the view.
-        proposal: Accepted,
+        proposal: Proposal,
     },
     /// It is accepted.
     #[brw(magic = 5u8)]
     Accepted {
         /// The view to be chosen.
-        number: u64,
+        view_number: u64,
         /// The try.
-        ballot: Ballot,
+        proposal_number: ProposalNumber,
     },
     /// This was chosen.
     #[brw(magic = 6u8)]
@@ -145,40 +145,40 @@
     },
     /// Tell me the newest, if it is newer than this.
     #[brw(magic = 7u8)]
-    Ask {
+    RequestView {
         /// The newest that is known, 0 if none.
-        have: u64,
+        newest_known: u64,
     },
     /// Is this the newest?
     #[brw(magic = 8u8)]
-    Ping {
+    QuorumCheck {
         /// The view's number.
-        view: u64,
+        view_number: u64,
         /// The round of pings.
         round: u64,
     },
     /// It is the newest that I know.
     #[brw(magic = 9u8)]
-    Pong {
+    QuorumCheckReply {
         /// The view's number.
-        view: u64,
+        view_number: u64,
         /// The round of pings.
         round: u64,
         /// I have accepted a next one, which may be chosen by now.
         #[br(map = |x: u8| x != 0)]
         #[bw(map = |x: &bool| u8::from(*x))]
-        unsure: bool,
+        undecided: bool,
     },
 }
 
-impl Msg {
+impl Message {
     /// As bytes for a frame.
     pub fn encode(&self) -> Bytes {
         chain_replication::to_bytes(self)
     }
 
     /// From a frame's bytes.
-    pub fn decode(bytes: &[u8]) -> Result<Msg, BadBytes> {
+    pub fn decode(bytes: &[u8]) -> Result<Message, DecodeError> {
         chain_replication::from_bytes(bytes)
     }
 }
--- a/crates/control/view-agreement/tests/agree.rs
+++ b/crates/control/view-agreement/tests/agree.rs
@@ -4,10 +4,12 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use chain_replication::{Member, Ms, View};
+use chain_replication::{Member, Millis, View};
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use view_agreement::{Agreement, Body, ControllerView, Msg, Out, Record, Recovered};
+use view_agreement::{
+    Agreement, ControllerView, Effect, Message, MessageBody, Record, RecoveredAcceptor,
+};
 
 /// What is wrong with the harness, to see that it is found.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -31,7 +33,7 @@
     fault: Fault,
     founding: ControllerView,
     controllers: Vec<Controller>,
-    mail: Vec<(Ms, SocketAddr, SocketAddr, Msg)>,
+    mail: Vec<(Millis, SocketAddr, SocketAddr, Message)>,
     chosen: BTreeMap<u64, ControllerView>,
     broken: Option<String>,
 }
@@ -60,7 +62,7 @@
                 agreement: Agreement::new(
                     member(n, 0),
                     Some(founding.clone()),
-                    Recovered::default(),
+                    RecoveredAcceptor::default(),
                 ),
                 records: Vec::new(),
                 safe: 0,
@@ -83,17 +85,17 @@
         self.rng.next_u64() % n.max(1)
     }
 
-    fn drain(&mut self, now: Ms, n: usize) {
+    fn drain(&mut self, now: Millis, n: usize) {
         loop {
-            let outs = self.controllers[n].agreement.take();
+            let outs = self.controllers[n].agreement.take_effects();
             if outs.is_empty() {
                 return;
             }
             for out in outs {
                 match out {
-                    Out::Send { to, msg } => {
+                    Effect::Send { to, message: msg } => {
                         // Who has chosen is seldom heard, so that others go on proposing.
-                        let lost = if matches!(msg.body, Body::Chosen { .. }) {
+                        let lost = if matches!(msg.body, MessageBody::Chosen { .. }) {
                             85
                         } else {
                             10
@@ -104,18 +106,18 @@
                             } else {
                                 self.below(20)
                             };
-                            let msg = Msg::decode(&msg.encode()).expect("what was sent");
+                            let msg = Message::decode(&msg.encode()).expect("what was sent");
                             self.mail.push((now + 1 + late, to, member(n, 0).addr, msg));
                         }
                     }
-                    Out::Write { ticket, record } => {
+                    Effect::Write { ticket, record } => {
                         self.controllers[n].records.push(record);
                         self.controllers[n].ticket = ticket;
                         if self.fault == Fault::SyncedEarly {
-                            self.controllers[n].agreement.synced(now, ticket);
+                            self.controllers[n].agreement.handle_synced(now, ticket);
                         }
                     }
-                    Out::Chosen(value) => {
+                    Effect::ViewChosen(value) => {
                         let old = self
                             .chosen
                             .entry(value.number())
@@ -124,7 +126,7 @@
                             self.broken = Some(format!("two are chosen for {}", value.number()));
                         }
                     }
-                    Out::Confirmed { .. } => {}
+                    Effect::ViewConfirmed { .. } => {}
                 }
             }
         }
@@ -136,7 +138,7 @@
         if power {
             controller.records.truncate(controller.safe);
         }
-        let mut recovered = Recovered::default();
+        let mut recovered = RecoveredAcceptor::default();
         for record in &controller.records {
             let record = Record::decode(record).expect("what was written");
             if fault != Fault::Forgets || matches!(record, Record::Chosen { .. }) {
@@ -157,12 +159,12 @@
                 if self.below(4) == 0 {
                     let controller = &mut self.controllers[n];
                     controller.safe = controller.records.len();
-                    controller.agreement.synced(now, controller.ticket);
+                    controller.agreement.handle_synced(now, controller.ticket);
                 }
-                if (now + n as Ms * 3).is_multiple_of(20) {
+                if (now + n as Millis * 3).is_multiple_of(20) {
                     self.controllers[n].agreement.tick(now);
                 }
-                let current = self.controllers[n].agreement.current().cloned();
+                let current = self.controllers[n].agreement.current_view().cloned();
                 if let (Some(current), true) = (current, self.below(60) == 0) {
                     // A value of its own: the members in another order, marked by a number that nobody else uses.
                     let number = current.number() + 1;
@@ -191,12 +193,15 @@
                 .into_iter()
                 .partition(|m| m.0 <= now);
             self.mail = later;
-            let due: Vec<(Ms, SocketAddr, SocketAddr, Msg)> = due;
+            let due: Vec<(Millis, SocketAddr, SocketAddr, Message)> = due;
             for (_, to, from, msg) in due {
                 if let Some(n) = (0..count).find(|n| member(*n, 0).addr == to) {
                     // The worst moments to end: just after accepting, just after having it chosen.
-                    let accept = matches!(msg.body, Body::Accept { .. } | Body::Accepted { .. });
-                    self.controllers[n].agreement.message(now, from, msg);
+                    let accept = matches!(
+                        msg.body,
+                        MessageBody::Accept { .. } | MessageBody::Accepted { .. }
+                    );
+                    self.controllers[n].agreement.handle_message(now, from, msg);
                     self.drain(now, n);
                     if accept && self.below(8) == 0 {
                         let power = self.below(2) == 0;
--- a/crates/control/view-agreement/tests/agreement.rs
+++ b/crates/control/view-agreement/tests/agreement.rs
@@ -4,10 +4,11 @@
 use std::net::SocketAddr;
 
 use bytes::Bytes;
-use chain_replication::{Member, Ms, View};
+use chain_replication::{Member, Millis, View};
 use proptest::prelude::*;
 use view_agreement::{
-    Accepted, Agreement, Ballot, Body, ControllerView, Msg, Out, Record, Recovered,
+    Agreement, ControllerView, Effect, Message, MessageBody, Proposal, ProposalNumber, Record,
+    RecoveredAcceptor,
 };
 
 fn addr(n: usize) -> SocketAddr {
@@ -42,12 +43,12 @@
 }
 
 struct Net {
-    now: Ms,
+    now: Millis,
     controllers: Vec<Agreement>,
     tickets: Vec<u64>,
     disks: Vec<Vec<Bytes>>,
     cut: Vec<usize>,
-    mail: VecDeque<(usize, usize, Msg)>,
+    mail: VecDeque<(usize, usize, Message)>,
     confirmed: Vec<(usize, u64, bool)>,
 }
 
@@ -63,7 +64,7 @@
                         ..member(n)
                     }
                 };
-                Agreement::new(me, (n < 3).then(founding), Recovered::default())
+                Agreement::new(me, (n < 3).then(founding), RecoveredAcceptor::default())
             })
             .collect();
         Net {
@@ -78,30 +79,33 @@
     }
 
     fn drain(&mut self, n: usize) {
-        for out in self.controllers[n].take() {
+        for out in self.controllers[n].take_effects() {
             match out {
-                Out::Send { to, msg } => {
+                Effect::Send { to, message: msg } => {
                     let to = (0..self.controllers.len())
                         .find(|m| addr(*m) == to)
                         .expect("known");
-                    let msg = Msg::decode(&msg.encode()).expect("what was written");
+                    let msg = Message::decode(&msg.encode()).expect("what was written");
                     if !self.cut.contains(&n) && !self.cut.contains(&to) {
                         self.mail.push_back((n, to, msg));
                     }
                 }
-                Out::Write { ticket, record } => {
+                Effect::Write { ticket, record } => {
                     self.tickets[n] = ticket;
                     self.disks[n].push(record);
                 }
-                Out::Chosen(_) => {}
-                Out::Confirmed { token, ok } => self.confirmed.push((n, token, ok)),
+                Effect::ViewChosen(_) => {}
+                Effect::ViewConfirmed {
+                    token,
+                    is_current: ok,
+                } => self.confirmed.push((n, token, ok)),
             }
         }
     }
 
     fn sync(&mut self, n: usize) {
         self.drain(n);
-        self.controllers[n].synced(self.now, self.tickets[n]);
+        self.controllers[n].handle_synced(self.now, self.tickets[n]);
         self.drain(n);
     }
 
@@ -111,13 +115,13 @@
                 self.sync(n);
             }
             while let Some((from, to, msg)) = self.mail.pop_front() {
-                self.controllers[to].message(self.now, addr(from), msg);
+                self.controllers[to].handle_message(self.now, addr(from), msg);
                 self.drain(to);
             }
         }
     }
 
-    fn pass(&mut self, ms: Ms) {
+    fn pass(&mut self, ms: Millis) {
         for _ in 0..ms / 50 {
             self.now += 50;
             for n in 0..self.controllers.len() {
@@ -130,7 +134,7 @@
     fn numbers(&self) -> Vec<u64> {
         self.controllers
             .iter()
-            .map(|k| k.current().map_or(0, ControllerView::number))
+            .map(|k| k.current_view().map_or(0, ControllerView::number))
             .collect()
     }
 }
@@ -157,7 +161,7 @@
     net.controllers[1].propose(net.now, after(&founding(), 1));
     net.settle();
     assert_eq!(net.numbers(), [2, 2, 2, 0]);
-    net.controllers[3].ask(net.now, addr(0));
+    net.controllers[3].request_view(net.now, addr(0));
     net.settle();
     assert_eq!(net.numbers(), [2, 2, 2, 2]);
 }
@@ -170,30 +174,30 @@
     net.controllers[0].propose(net.now, after(&founding(), 0));
     net.pass(2_000);
     assert_eq!(net.numbers(), [1, 1, 1]);
-    assert!(net.controllers[0].last_majority(net.now) > Some(1_500));
+    assert!(net.controllers[0].quorum_contact_age(net.now) > Some(1_500));
     net.controllers[2].propose(net.now, after(&founding(), 2));
     net.pass(500);
     assert_eq!(net.numbers(), [1, 2, 2]);
-    let current = net.controllers[2].current().cloned().expect("one");
+    let current = net.controllers[2].current_view().cloned().expect("one");
     net.controllers[2].propose(net.now, after(&current, 1));
     net.pass(2_000);
     net.cut.clear();
     net.pass(500);
     assert_eq!(net.numbers(), [3, 3, 3]);
-    assert!(net.controllers[0].last_majority(net.now) <= Some(200));
+    assert!(net.controllers[0].quorum_contact_age(net.now) <= Some(200));
 }
 
 #[test]
 fn a_view_is_confirmed_by_a_majority_only() {
     let mut net = Net::new(3);
     net.settle();
-    let token = net.controllers[2].confirm(net.now);
-    assert_eq!(net.controllers[2].confirm(net.now), token + 1);
+    let token = net.controllers[2].confirm_view(net.now);
+    assert_eq!(net.controllers[2].confirm_view(net.now), token + 1);
     net.settle();
     assert_eq!(net.confirmed, [(2, token, true), (2, token + 1, true)]);
     net.confirmed.clear();
     net.cut = vec![2];
-    let token = net.controllers[2].confirm(net.now);
+    let token = net.controllers[2].confirm_view(net.now);
     net.pass(500);
     assert_eq!(net.confirmed, []);
     net.pass(1_000);
@@ -205,34 +209,34 @@
     let mut net = Net::new(3);
     net.settle();
     // 0 has had a next view accepted by 1, and is gone before anybody hears that it was chosen.
-    let ballot = Ballot {
+    let ballot = ProposalNumber {
         round: 1,
-        id: 0,
-        addr: addr(0),
+        proposer_id: 0,
+        proposer_addr: addr(0),
     };
     let value = after(&founding(), 1);
     net.cut = vec![0];
-    let proposal = Accepted {
-        ballot,
+    let proposal = Proposal {
+        number: ballot,
         value: value.clone(),
     };
     let now = net.now;
-    net.controllers[1].message(
+    net.controllers[1].handle_message(
         now,
         addr(0),
-        Msg {
+        Message {
             from: 0,
-            body: Body::Accept { proposal },
+            body: MessageBody::Accept { proposal },
         },
     );
     net.sync(1);
-    let token = net.controllers[2].confirm(net.now);
+    let token = net.controllers[2].confirm_view(net.now);
     net.settle();
     assert_eq!(net.confirmed, []);
     // Whoever accepted it has it settled.
     net.pass(2_000);
     assert_eq!(net.numbers()[1..], [2, 2]);
-    assert_eq!(net.controllers[2].current(), Some(&value));
+    assert_eq!(net.controllers[2].current_view(), Some(&value));
     assert!(net.confirmed.contains(&(2, token, false)));
 }
 
@@ -240,27 +244,30 @@
 fn nothing_is_promised_before_the_sync_and_all_is_remembered_after_it() {
     let mut net = Net::new(3);
     net.settle();
-    let ballot = Ballot {
+    let ballot = ProposalNumber {
         round: 5,
-        id: 0,
-        addr: addr(0),
+        proposer_id: 0,
+        proposer_addr: addr(0),
     };
-    let prepare = Msg {
+    let prepare = Message {
         from: 0,
-        body: Body::Prepare { number: 2, ballot },
+        body: MessageBody::Prepare {
+            view_number: 2,
+            proposal_number: ballot,
+        },
     };
-    net.controllers[1].message(net.now, addr(0), prepare);
+    net.controllers[1].handle_message(net.now, addr(0), prepare);
     net.drain(1);
     assert!(net.mail.is_empty());
     net.sync(1);
     assert_eq!(net.mail.len(), 1);
-    let mut recovered = Recovered::default();
+    let mut recovered = RecoveredAcceptor::default();
     for record in &net.disks[1] {
         recovered.read(record).expect("what was written");
     }
     assert_eq!(recovered.promised, Some((2, ballot)));
-    let mut whole = Recovered::default();
-    for record in net.controllers[1].whole() {
+    let mut whole = RecoveredAcceptor::default();
+    for record in net.controllers[1].snapshot_records() {
         whole.read(&record).expect("what was written");
     }
     assert_eq!(whole, recovered);
@@ -270,36 +277,39 @@
         ..member(1)
     };
     let mut newcomer = Agreement::new(me, None, recovered);
-    newcomer.take();
-    newcomer.message(
+    newcomer.take_effects();
+    newcomer.handle_message(
         net.now,
         addr(0),
-        Msg {
+        Message {
             from: 0,
-            body: Body::Prepare { number: 2, ballot },
+            body: MessageBody::Prepare {
+                view_number: 2,
+                proposal_number: ballot,
+            },
         },
     );
-    newcomer.synced(net.now, 10);
-    assert_eq!(newcomer.take(), []);
+    newcomer.handle_synced(net.now, 10);
+    assert_eq!(newcomer.take_effects(), []);
 }
 
 proptest! {
     #[test]
     fn any_bytes_are_borne(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
-        let _ = Msg::decode(&bytes);
+        let _ = Message::decode(&bytes);
         let _ = Record::decode(&bytes);
         let _ = ControllerView::decode(&bytes);
     }
 
     #[test]
     fn spoilt_words_are_borne(at in any::<prop::sample::Index>(), byte in any::<u8>()) {
-        let ballot = Ballot { round: 5, id: 0, addr: addr(0) };
-        let accepted = Some(Accepted { ballot, value: founding() });
-        let msg = Msg { from: 1, body: Body::Promise { number: 2, ballot, accepted } };
+        let ballot = ProposalNumber { round: 5, proposer_id: 0, proposer_addr: addr(0) };
+        let accepted = Some(Proposal { number: ballot, value: founding() });
+        let msg = Message { from: 1, body: MessageBody::Promise { view_number: 2, proposal_number: ballot, accepted } };
         let mut bytes = msg.encode().to_vec();
-        prop_assert_eq!(Msg::decode(&bytes).unwrap(), msg);
+        prop_assert_eq!(Message::decode(&bytes).unwrap(), msg);
         let at = at.index(bytes.len());
         bytes[at] = byte;
-        let _ = Msg::decode(&bytes);
+        let _ = Message::decode(&bytes);
     }
 }
--- a/crates/control/view-agreement/tests/byte_layout.rs
+++ b/crates/control/view-agreement/tests/byte_layout.rs
@@ -5,8 +5,10 @@
 use std::fmt::Debug;
 
 use bytes::Bytes;
-use chain_replication::{BadBytes, Member, View};
-use view_agreement::{Accepted, Ballot, Body, ControllerView, Msg, Record, Recovered};
+use chain_replication::{DecodeError, Member, View};
+use view_agreement::{
+    ControllerView, Message, MessageBody, Proposal, ProposalNumber, Record, RecoveredAcceptor,
+};
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
@@ -24,7 +26,7 @@
 fn assert_layout<T: PartialEq + Debug>(
     value: T,
     encode: impl Fn(&T) -> Bytes,
-    decode: impl Fn(&[u8]) -> Result<T, BadBytes>,
+    decode: impl Fn(&[u8]) -> Result<T, DecodeError>,
     layout: &str,
 ) {
     let bytes = unhex(layout);
@@ -35,12 +37,12 @@
     }
 }
 
-fn assert_message(body: Body, layout: &str) {
-    let message = Msg { from: 0x0a0b, body };
+fn assert_message(body: MessageBody, layout: &str) {
+    let message = Message { from: 0x0a0b, body };
     assert_layout(
         message,
-        Msg::encode,
-        Msg::decode,
+        Message::encode,
+        Message::decode,
         &format!("0000000000000a0b {layout}"),
     );
 }
@@ -57,11 +59,11 @@
     }
 }
 
-fn ballot() -> Ballot {
-    Ballot {
+fn ballot() -> ProposalNumber {
+    ProposalNumber {
         round: 3,
-        id: 0xab,
-        addr: "10.0.0.9:7600".parse().unwrap(),
+        proposer_id: 0xab,
+        proposer_addr: "10.0.0.9:7600".parse().unwrap(),
     }
 }
 
@@ -85,9 +87,9 @@
     00000002 0000000000000000 04 0a000009 1db0 0000000000000001
              0000000000000002 06 00000000000000000000000000000001 0009 0000000000000006";
 
-fn accepted() -> Accepted {
-    Accepted {
-        ballot: ballot(),
+fn accepted() -> Proposal {
+    Proposal {
+        number: ballot(),
         value: value(),
     }
 }
@@ -105,24 +107,24 @@
 #[test]
 fn prepare_and_promise() {
     assert_message(
-        Body::Prepare {
-            number: 6,
-            ballot: ballot(),
+        MessageBody::Prepare {
+            view_number: 6,
+            proposal_number: ballot(),
         },
         &format!("01 0000000000000006 {BALLOT}"),
     );
     assert_message(
-        Body::Promise {
-            number: 6,
-            ballot: ballot(),
+        MessageBody::Promise {
+            view_number: 6,
+            proposal_number: ballot(),
             accepted: None,
         },
         &format!("02 0000000000000006 {BALLOT} 00"),
     );
     assert_message(
-        Body::Promise {
-            number: 6,
-            ballot: ballot(),
+        MessageBody::Promise {
+            view_number: 6,
+            proposal_number: ballot(),
             accepted: Some(accepted()),
         },
         &format!("02 0000000000000006 {BALLOT} 01 {BALLOT} {VALUE}"),
@@ -132,8 +134,8 @@
 #[test]
 fn rejection_that_names_the_higher_proposal() {
     assert_message(
-        Body::Refused {
-            number: 6,
+        MessageBody::Rejected {
+            view_number: 6,
             promised: ballot(),
         },
         &format!("03 0000000000000006 {BALLOT}"),
@@ -143,15 +145,15 @@
 #[test]
 fn accept_and_accepted() {
     assert_message(
-        Body::Accept {
+        MessageBody::Accept {
             proposal: accepted(),
         },
         &format!("04 {BALLOT} {VALUE}"),
     );
     assert_message(
-        Body::Accepted {
-            number: 6,
-            ballot: ballot(),
+        MessageBody::Accepted {
+            view_number: 6,
+            proposal_number: ballot(),
         },
         &format!("05 0000000000000006 {BALLOT}"),
     );
@@ -159,32 +161,38 @@
 
 #[test]
 fn chosen_view_and_the_request_for_it() {
-    assert_message(Body::Chosen { value: value() }, &format!("06 {VALUE}"));
-    assert_message(Body::Ask { have: 5 }, "07 0000000000000005");
+    assert_message(
+        MessageBody::Chosen { value: value() },
+        &format!("06 {VALUE}"),
+    );
+    assert_message(
+        MessageBody::RequestView { newest_known: 5 },
+        "07 0000000000000005",
+    );
 }
 
 #[test]
 fn quorum_check_and_its_answer() {
     assert_message(
-        Body::Ping {
-            view: 6,
+        MessageBody::QuorumCheck {
+            view_number: 6,
             round: 0x99,
         },
         "08 0000000000000006 0000000000000099",
     );
     assert_message(
-        Body::Pong {
-            view: 6,
+        MessageBody::QuorumCheckReply {
+            view_number: 6,
             round: 0x99,
-            unsure: false,
+            undecided: false,
         },
         "09 0000000000000006 0000000000000099 00",
     );
     assert_message(
-        Body::Pong {
-            view: 6,
+        MessageBody::QuorumCheckReply {
+            view_number: 6,
             round: 0x99,
-            unsure: true,
+            undecided: true,
         },
         "09 0000000000000006 0000000000000099 01",
     );
@@ -195,14 +203,14 @@
     assert_record(Record::Chosen { value: value() }, &format!("01 {VALUE}"));
     assert_record(
         Record::Promised {
-            number: 6,
-            ballot: ballot(),
+            view_number: 6,
+            proposal_number: ballot(),
         },
         &format!("02 0000000000000006 {BALLOT}"),
     );
     assert_record(
         Record::Accepted {
-            accepted: accepted(),
+            proposal: accepted(),
         },
         &format!("03 {BALLOT} {VALUE}"),
     );
@@ -214,7 +222,7 @@
         let mut message = unhex("0000000000000001");
         message.push(unused);
         message.extend([0; 60]);
-        assert!(Msg::decode(&message).is_err(), "{unused}");
+        assert!(Message::decode(&message).is_err(), "{unused}");
     }
     for unused in [0u8, 4, 255] {
         let mut record = vec![unused];
@@ -253,7 +261,7 @@
         format!("03 {BALLOT} {newer}"),
         "02 0000000000000007 0000000000000004 00000000000000cd 04 0a000009 1db0".to_owned(),
     ];
-    let mut recovered = Recovered::default();
+    let mut recovered = RecoveredAcceptor::default();
     for record in &disk {
         recovered.read(&unhex(record)).unwrap();
     }
@@ -262,14 +270,14 @@
     next.view.number = 7;
     assert_eq!(
         recovered.accepted,
-        Some(Accepted {
-            ballot: ballot(),
+        Some(Proposal {
+            number: ballot(),
             value: next
         })
     );
-    let promised = Ballot {
+    let promised = ProposalNumber {
         round: 4,
-        id: 0xcd,
+        proposer_id: 0xcd,
         ..ballot()
     };
     assert_eq!(recovered.promised, Some((7, promised)));
