--- a/crates/control/view-agreement/tests/next_controller.rs
+++ b/crates/control/view-agreement/tests/next_controller.rs
@@ -4,11 +4,14 @@
 
 use std::net::SocketAddr;
 
-use chain_replication::{stays_on_fresh_word, Member, Ms, Seen, Status, View, FRESH_MS};
+use chain_replication::{
+    remaining_members_recently_seen, Member, Millis, Observation, ReplicaStatus, View,
+    RECENT_CONTACT_MS,
+};
 use view_agreement::{next_controller_view, ControllerView, Sizing};
 
 /// One loss at once, the next one 6 s later at the earliest.
-const SYNC_MS: Ms = 6_000;
+const SYNC_MS: Millis = 6_000;
 
 fn member(id: u64, place: u8) -> Member {
     Member {
@@ -30,23 +33,23 @@
     }
 }
 
-fn seen(id: u64, place: u8) -> Seen {
+fn seen(id: u64, place: u8) -> Observation {
     let in_sync_view = if id == 0 { 4 } else { 0 };
-    let status = Status {
+    let status = ReplicaStatus {
         id,
         view: 4,
         in_sync_view,
-        received: 1,
+        last_received: 1,
         caught_up: false,
     };
     let zone = u64::from(place);
-    Seen {
+    Observation {
         member: member(id, place),
         alive: true,
         status: Some(status),
         zone,
-        leaving: false,
-        unwanted: false,
+        draining: false,
+        retiring: false,
     }
 }
 
@@ -75,8 +78,13 @@
 }
 
 /// With so long a silence of those that are not alive, for so many losses at once.
-fn next_for(faults: usize, current: &ControllerView, seen: &[Seen], dead_for: Ms) -> String {
-    let alive = |m: &Member| seen.iter().any(|s| s.alive && s.member.is(m));
+fn next_for(
+    faults: usize,
+    current: &ControllerView,
+    seen: &[Observation],
+    dead_for: Millis,
+) -> String {
+    let alive = |m: &Member| seen.iter().any(|s| s.alive && s.member.is_same_process(m));
     let sizing = Sizing::new(faults, SYNC_MS);
     told(next_controller_view(current, seen, sizing, &|m| {
         if alive(m) {
@@ -88,12 +96,12 @@
 }
 
 /// The same for one loss.
-fn next(current: &ControllerView, seen: &[Seen], dead_for: Ms) -> String {
+fn next(current: &ControllerView, seen: &[Observation], dead_for: Millis) -> String {
     next_for(1, current, seen, dead_for)
 }
 
 /// The longest silence after which an acceptor keeps its place.
-fn replace_after() -> Ms {
+fn replace_after() -> Millis {
     Sizing::new(1, SYNC_MS).replace_after_ms
 }
 
@@ -157,7 +165,7 @@
         "5: 3#0 joining [1#7 2#8] acceptors 1#0 2#0 3#0"
     );
     // Three of five are gone: two votes may go to spares where three of the old ones stay, not more.
-    let mut all: Vec<Seen> = (1..=5).map(|place| seen(0, place)).collect();
+    let mut all: Vec<Observation> = (1..=5).map(|place| seen(0, place)).collect();
     all.extend((6..=8).map(|place| seen(9, place)));
     for dead in &mut all[..2] {
         dead.alive = false;
@@ -172,7 +180,7 @@
 #[test]
 fn acceptors_grow_to_survive_the_losses_that_are_named() {
     // Founded by three, and two losses are to be survived: five, once five are there.
-    let all: Vec<Seen> = (1..=5)
+    let all: Vec<Observation> = (1..=5)
         .map(|place| seen(if place > 3 { 9 } else { 0 }, place))
         .collect();
     let told = next_for(2, &current(), &all, 0);
@@ -205,7 +213,7 @@
         next(&current(), &all, replace_after() + 1),
         "5: 1#0 3#0 joining [4#9] acceptors 1#0 4#9 3#0"
     );
-    all[3].leaving = true;
+    all[3].draining = true;
     assert_eq!(
         next(&current(), &all, replace_after() + 1),
         "5: 1#0 3#0 joining [] acceptors 1#0 2#0 3#0"
@@ -215,7 +223,7 @@
 #[test]
 fn who_is_leaving_or_retired_hands_its_vote_on_where_a_spare_is_there() {
     let mut all = vec![seen(0, 1), seen(0, 2), seen(0, 3), seen(9, 4)];
-    all[0].leaving = true;
+    all[0].draining = true;
     assert_eq!(
         next(&current(), &all, 0),
         "5: 2#0 3#0 joining [4#9] acceptors 4#9 2#0 3#0"
@@ -224,8 +232,8 @@
         next(&current(), &all[..3], 0),
         "5: 2#0 3#0 joining [] acceptors 1#0 2#0 3#0"
     );
-    all[0].leaving = false;
-    all[0].unwanted = true;
+    all[0].draining = false;
+    all[0].retiring = true;
     assert_eq!(
         next(&current(), &all, 0),
         "5: 1#0 2#0 3#0 joining [4#9] acceptors 4#9 2#0 3#0"
@@ -264,23 +272,35 @@
         members: now.members[1..].to_vec(),
         joining: Vec::new(),
     };
-    let silent = |ms: Ms| move |m: &Member| if m.addr == member(0, 2).addr { ms } else { 100 };
-    assert!(!stays_on_fresh_word(&now, &next, &silent(FRESH_MS + 1)));
-    assert!(stays_on_fresh_word(&now, &next, &silent(FRESH_MS)));
+    let silent = |ms: Millis| move |m: &Member| if m.addr == member(0, 2).addr { ms } else { 100 };
+    assert!(!remaining_members_recently_seen(
+        &now,
+        &next,
+        &silent(RECENT_CONTACT_MS + 1)
+    ));
+    assert!(remaining_members_recently_seen(
+        &now,
+        &next,
+        &silent(RECENT_CONTACT_MS)
+    ));
     // Where nobody is dropped and the head stays, nothing has to be fresh.
     let next = View {
         number: 5,
         joining: vec![member(9, 4)],
         ..now.clone()
     };
-    assert!(stays_on_fresh_word(&now, &next, &silent(10_000)));
+    assert!(remaining_members_recently_seen(
+        &now,
+        &next,
+        &silent(10_000)
+    ));
 }
 
 /// So many machines with their zones, all alive; those from `newcomers` on are no members.
-fn in_zones(zones: &[u64], newcomers: usize) -> Vec<Seen> {
+fn in_zones(zones: &[u64], newcomers: usize) -> Vec<Observation> {
     let one = |(at, zone): (usize, &u64)| {
         let place = at as u8 + 1;
-        Seen {
+        Observation {
             zone: *zone,
             ..seen(if at < newcomers { 0 } else { 9 }, place)
         }
@@ -289,9 +309,14 @@
 }
 
 /// The next view where so many zones may be lost at once, and so many machines.
-fn next_over_zones(faults: usize, zones: usize, current: &ControllerView, seen: &[Seen]) -> String {
-    let alive = |m: &Member| seen.iter().any(|s| s.alive && s.member.is(m));
-    let sizing = Sizing::new(faults.max(zones), SYNC_MS).over_zones(zones);
+fn next_over_zones(
+    faults: usize,
+    zones: usize,
+    current: &ControllerView,
+    seen: &[Observation],
+) -> String {
+    let alive = |m: &Member| seen.iter().any(|s| s.alive && s.member.is_same_process(m));
+    let sizing = Sizing::new(faults.max(zones), SYNC_MS).with_zone_failures(zones);
     told(next_controller_view(current, seen, sizing, &|m| {
         if alive(m) {
             100
@@ -351,12 +376,12 @@
         },
         acceptors: current().acceptors,
     };
-    let status = |at: usize, in_sync_view: u64, caught_up: bool, all: &mut Vec<Seen>| {
-        let status = Status {
+    let status = |at: usize, in_sync_view: u64, caught_up: bool, all: &mut Vec<Observation>| {
+        let status = ReplicaStatus {
             id: 0,
             view: 5,
             in_sync_view,
-            received: 1,
+            last_received: 1,
             caught_up,
         };
         all[at].status = Some(status);
@@ -386,11 +411,11 @@
         ..now
     };
     for seen in &mut all {
-        seen.status = Some(Status {
+        seen.status = Some(ReplicaStatus {
             id: 0,
             view: 6,
             in_sync_view: 6,
-            received: 1,
+            last_received: 1,
             caught_up: false,
         });
     }
@@ -426,6 +451,10 @@
         (&[], 0),
     ];
     for (zones, survived) in cases {
-        assert_eq!(Sizing::zones_tolerated_by(zones), survived, "{zones:?}");
+        assert_eq!(
+            Sizing::zone_failures_tolerated(zones),
+            survived,
+            "{zones:?}"
+        );
     }
 }
--- a/crates/control/view-agreement/tests/strangers.rs
+++ b/crates/control/view-agreement/tests/strangers.rs
@@ -6,7 +6,8 @@
 use proptest::prelude::*;
 use std::net::SocketAddr;
 use view_agreement::{
-    Accepted, Agreement, Ballot, Body, ControllerView, Msg, Out, Record, Recovered,
+    Agreement, ControllerView, Effect, Message, MessageBody, Proposal, ProposalNumber, Record,
+    RecoveredAcceptor,
 };
 
 fn addr(n: u8) -> SocketAddr {
@@ -34,8 +35,8 @@
 }
 
 /// The first of three, with view 5 in force, which proposes view 6 and waits for votes.
-fn proposer() -> (Agreement, Ballot) {
-    let mut recovered = Recovered::default();
+fn proposer() -> (Agreement, ProposalNumber) {
+    let mut recovered = RecoveredAcceptor::default();
     recovered
         .read(&Record::Chosen { value: value(5) }.encode())
         .unwrap();
@@ -44,10 +45,14 @@
     let ballot = settle(&mut agreement)
         .into_iter()
         .find_map(|out| match out {
-            Out::Send {
-                msg:
-                    Msg {
-                        body: Body::Prepare { ballot, .. },
+            Effect::Send {
+                message:
+                    Message {
+                        body:
+                            MessageBody::Prepare {
+                                proposal_number: ballot,
+                                ..
+                            },
                         ..
                     },
                 ..
@@ -57,16 +62,16 @@
     (agreement, ballot.expect("it asks for votes"))
 }
 
-fn settle(agreement: &mut Agreement) -> Vec<Out> {
+fn settle(agreement: &mut Agreement) -> Vec<Effect> {
     let mut all = Vec::new();
     loop {
-        let outs = agreement.take();
+        let outs = agreement.take_effects();
         if outs.is_empty() {
             return all;
         }
         for out in &outs {
-            if let Out::Write { ticket, .. } = out {
-                agreement.synced(1_000, *ticket);
+            if let Effect::Write { ticket, .. } = out {
+                agreement.handle_synced(1_000, *ticket);
             }
         }
         all.extend(outs);
@@ -74,26 +79,29 @@
 }
 
 /// Votes for the try that is under way, as a word of somebody says it.
-fn vote(kind: u8, number: u64, ballot: Ballot) -> Body {
+fn vote(kind: u8, number: u64, ballot: ProposalNumber) -> MessageBody {
     match kind {
-        0 => Body::Promise {
-            number,
-            ballot,
+        0 => MessageBody::Promise {
+            view_number: number,
+            proposal_number: ballot,
             accepted: None,
         },
-        1 => Body::Promise {
-            number,
-            ballot,
-            accepted: Some(Accepted {
-                ballot,
+        1 => MessageBody::Promise {
+            view_number: number,
+            proposal_number: ballot,
+            accepted: Some(Proposal {
+                number: ballot,
                 value: value(6),
             }),
         },
-        2 => Body::Accepted { number, ballot },
-        _ => Body::Pong {
-            view: number,
+        2 => MessageBody::Accepted {
+            view_number: number,
+            proposal_number: ballot,
+        },
+        _ => MessageBody::QuorumCheckReply {
+            view_number: number,
             round: 1,
-            unsure: false,
+            undecided: false,
         },
     }
 }
@@ -106,7 +114,7 @@
     #[test]
     fn votes_of_strangers_decide_nothing(votes in prop::collection::vec((0u8..4, 0u8..3, 1u8..9), 0..20)) {
         let (mut agreement, ballot) = proposer();
-        let before = agreement.whole();
+        let before = agreement.snapshot_records();
         // An acceptor's late word of an earlier view is no stranger's, and not counted.
         let many = votes.iter().filter(|(kind, how, _)| (*kind, *how) != (3, 2)).count() as u64;
         for (kind, how, n) in votes {
@@ -115,36 +123,36 @@
                 1 => (addr(n), 77, 6),
                 _ => (addr(2), 2, u64::from(n % 5)),
             };
-            agreement.message(1_010, from, Msg { from: id, body: vote(kind, number, ballot) });
+            agreement.handle_message(1_010, from, Message { from: id, body: vote(kind, number, ballot) });
         }
-        prop_assert_eq!(agreement.passed_over(), many);
+        prop_assert_eq!(agreement.ignored_messages(), many);
         let outs = settle(&mut agreement);
-        let decides = |out: &Out| matches!(out, Out::Chosen(_) | Out::Confirmed { .. } | Out::Write { .. });
+        let decides = |out: &Effect| matches!(out, Effect::ViewChosen(_) | Effect::ViewConfirmed { .. } | Effect::Write { .. });
         prop_assert!(!outs.iter().any(decides), "{outs:?}");
-        prop_assert_eq!(agreement.current().map(|v| v.view.number), Some(5));
-        prop_assert_eq!(agreement.whole(), before);
+        prop_assert_eq!(agreement.current_view().map(|v| v.view.number), Some(5));
+        prop_assert_eq!(agreement.snapshot_records(), before);
     }
 
     /// Orders and choices of views that are over: said again, doubled, by anyone.
     #[test]
     fn what_is_over_is_not_taken_again(number in 0u64..6, kind in 0u8..3, times in 1usize..4, n in 1u8..5) {
         let (mut agreement, ballot) = proposer();
-        let before = agreement.whole();
+        let before = agreement.snapshot_records();
         let body = match kind {
-            0 => Body::Chosen { value: value(number) },
-            1 => Body::Accept { proposal: Accepted { ballot, value: value(number) } },
-            _ => Body::Prepare { number, ballot },
+            0 => MessageBody::Chosen { value: value(number) },
+            1 => MessageBody::Accept { proposal: Proposal { number: ballot, value: value(number) } },
+            _ => MessageBody::Prepare { view_number: number, proposal_number: ballot },
         };
         for _ in 0..times {
-            agreement.message(1_010, addr(n), Msg { from: u64::from(n), body: body.clone() });
+            agreement.handle_message(1_010, addr(n), Message { from: u64::from(n), body: body.clone() });
         }
         // The view in force, told again, is no news and no fault.
         let many = if kind == 0 && number == 5 { 0 } else { times as u64 };
-        prop_assert_eq!(agreement.passed_over(), many);
+        prop_assert_eq!(agreement.ignored_messages(), many);
         let outs = settle(&mut agreement);
-        let taken = |out: &Out| matches!(out, Out::Chosen(_) | Out::Write { .. });
+        let taken = |out: &Effect| matches!(out, Effect::ViewChosen(_) | Effect::Write { .. });
         prop_assert!(!outs.iter().any(taken), "{outs:?}");
-        prop_assert_eq!(agreement.whole(), before);
+        prop_assert_eq!(agreement.snapshot_records(), before);
     }
 }
 
@@ -152,40 +160,40 @@
 #[test]
 fn votes_of_members_decide() {
     let (mut agreement, ballot) = proposer();
-    agreement.message(
+    agreement.handle_message(
         1_010,
         addr(2),
-        Msg {
+        Message {
             from: 2,
             body: vote(0, 6, ballot),
         },
     );
     settle(&mut agreement);
-    agreement.message(
+    agreement.handle_message(
         1_020,
         addr(2),
-        Msg {
+        Message {
             from: 2,
             body: vote(2, 6, ballot),
         },
     );
     settle(&mut agreement);
     // The word to itself goes by mail, like all others.
-    let decided = agreement.current().map(|v| v.view.number) == Some(6);
+    let decided = agreement.current_view().map(|v| v.view.number) == Some(6);
     if !decided {
         for n in [1, 3] {
-            agreement.message(
+            agreement.handle_message(
                 1_030,
                 addr(n),
-                Msg {
+                Message {
                     from: u64::from(n),
                     body: vote(0, 6, ballot),
                 },
             );
-            agreement.message(
+            agreement.handle_message(
                 1_030,
                 addr(n),
-                Msg {
+                Message {
                     from: u64::from(n),
                     body: vote(2, 6, ballot),
                 },
@@ -193,5 +201,5 @@
             settle(&mut agreement);
         }
     }
-    assert_eq!(agreement.current().map(|v| v.view.number), Some(6));
+    assert_eq!(agreement.current_view().map(|v| v.view.number), Some(6));
 }
--- a/crates/control/view-agreement/tests/support/checker.rs
+++ b/crates/control/view-agreement/tests/support/checker.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use chain_replication::{BadSnapshot, Machine};
+use chain_replication::{SnapshotError, StateMachine};
 
 /// The table of the trials: the commands' ids by number, in order.
 #[derive(Debug, Clone, Default)]
@@ -19,7 +19,7 @@
         .map_or(0, u64::from_be_bytes)
 }
 
-impl Machine for History {
+impl StateMachine for History {
     fn apply(&mut self, number: u64, command: &[u8]) {
         assert_eq!(
             number,
@@ -38,8 +38,8 @@
         bytes
     }
 
-    fn restore(&mut self, snapshot: &[u8]) -> Result<(), BadSnapshot> {
-        let short = || BadSnapshot("cut short".to_owned());
+    fn restore(&mut self, snapshot: &[u8]) -> Result<(), SnapshotError> {
+        let short = || SnapshotError("cut short".to_owned());
         let count = id_of(snapshot) as usize;
         let body = snapshot.get(8..8 + 8 * count).ok_or_else(short)?;
         self.ids = body.chunks(8).map(id_of).collect();
--- a/crates/control/view-agreement/tests/support/controller.rs
+++ b/crates/control/view-agreement/tests/support/controller.rs
@@ -4,14 +4,16 @@
 use std::net::SocketAddr;
 
 use bytes::Bytes;
-use chain_replication::{stays_on_fresh_word, Member, Ms, Node, Seen, Status, Write};
+use chain_replication::{
+    remaining_members_recently_seen, LogRecord, Member, Millis, Observation, Replica, ReplicaStatus,
+};
 use view_agreement::{next_controller_view, Agreement, ControllerView, Sizing};
 
 use super::checker::{Checker, History};
 use super::{Dice, Faults};
 
 /// Silent for longer: dead.
-const SILENT_MS: Ms = 1_000;
+const SILENT_MS: Millis = 1_000;
 
 #[derive(Debug, Clone)]
 pub enum Wire {
@@ -21,10 +23,10 @@
     /// way does not bring the dead to life.
     Hello {
         id: u64,
-        status: Status,
+        status: ReplicaStatus,
         leaving: bool,
-        sent: Ms,
-        echo: Ms,
+        sent: Millis,
+        echo: Millis,
     },
 }
 
@@ -44,16 +46,16 @@
     /// The tickets behind each record.
     tickets: VecDeque<(usize, bool, u64)>,
     /// A sync under way covers so many records and ends then.
-    pub syncing: Option<(usize, Ms)>,
+    pub syncing: Option<(usize, Millis)>,
 }
 
 struct Heard {
     /// It was there then, by our clock.
-    at: Ms,
+    at: Millis,
     /// Its newest question.
-    asked: Ms,
+    asked: Millis,
     id: u64,
-    status: Status,
+    status: ReplicaStatus,
     leaving: bool,
 }
 
@@ -63,15 +65,15 @@
     /// Machines are in so many zones, by their place in the list of all.
     zones: usize,
     pub agreement: Agreement,
-    pub node: Node<History>,
+    pub node: Replica<History>,
     heard: BTreeMap<SocketAddr, Heard>,
-    need_since: Option<Ms>,
+    need_since: Option<Millis>,
     /// Proposed by this head and not acknowledged: number and id.
     waiting: BTreeMap<u64, u64>,
     /// Reads that wait for a token: the view, and what was acknowledged when they were asked.
     reading: BTreeMap<u64, (u64, u64)>,
-    hello_at: Ms,
-    started_at: Ms,
+    hello_at: Millis,
+    started_at: Millis,
     pub leaving: bool,
     /// Commits up to this were looked at.
     checked: u64,
@@ -83,31 +85,33 @@
     pub zones: usize,
     pub disk: Disk,
     pub process: Option<Process>,
-    pub frozen_until: Ms,
+    pub frozen_until: Millis,
     pub inbox: Vec<(SocketAddr, Wire)>,
-    pub starts_at: Option<Ms>,
-    pub started_at: Ms,
+    pub starts_at: Option<Millis>,
+    pub started_at: Millis,
     /// Until then the disk syncs slowly.
-    pub slow_until: Ms,
+    pub slow_until: Millis,
 }
 
 impl Controller {
     /// Starts the process with what the disk holds. `founding` only on the first start of a founder.
-    pub fn start(&mut self, now: Ms, founding: Option<ControllerView>, dice: &mut Dice) {
+    pub fn start(&mut self, now: Millis, founding: Option<ControllerView>, dice: &mut Dice) {
         // The owner syncs what it reads.
         self.disk.safe = self.disk.records.len();
         self.disk.syncing = None;
         self.disk.tickets.clear();
         let mut id = None;
-        let mut agreed = view_agreement::Recovered::default();
-        let mut chain = chain_replication::Recovered::default();
+        let mut agreed = view_agreement::RecoveredAcceptor::default();
+        let mut chain = chain_replication::RecoveredLog::default();
         for record in &self.disk.records {
             match record {
                 Record::Id(own) => id = Some(*own),
                 Record::View(bytes) => {
                     agreed.read(bytes).expect("what we wrote");
                 }
-                Record::Chain(bytes) => chain.replay(Write::decode(bytes).expect("what we wrote")),
+                Record::Chain(bytes) => {
+                    chain.replay(LogRecord::decode(bytes).expect("what we wrote"))
+                }
             }
         }
         let id = id.unwrap_or_else(|| {
@@ -129,7 +133,7 @@
         } else {
             0
         };
-        let node = Node::new(
+        let node = Replica::new(
             me.clone(),
             History {
                 ids: Vec::new(),
@@ -143,10 +147,12 @@
             self.disk.records = vec![Record::Id(id)];
             self.disk
                 .records
-                .extend(agreement.whole().into_iter().map(Record::View));
-            self.disk
-                .records
-                .extend(node.whole().iter().map(|w| Record::Chain(w.encode())));
+                .extend(agreement.snapshot_records().into_iter().map(Record::View));
+            self.disk.records.extend(
+                node.snapshot_records()
+                    .iter()
+                    .map(|w| Record::Chain(w.encode())),
+            );
             self.disk.safe = self.disk.records.len();
         }
         self.process = Some(Process {
@@ -220,7 +226,7 @@
     /// Does what both machines ask for until they are quiet; gives what goes to the network.
     pub fn drain(
         &mut self,
-        now: Ms,
+        now: Millis,
         checker: &mut Checker,
         faults: Faults,
     ) -> Vec<(SocketAddr, Wire)> {
@@ -229,8 +235,8 @@
             let Some(process) = self.process.as_mut() else {
                 return send;
             };
-            let agreed = process.agreement.take();
-            let chain = process.node.take();
+            let agreed = process.agreement.take_effects();
+            let chain = process.node.take_effects();
             if agreed.is_empty() && chain.is_empty() {
                 break;
             }
@@ -239,20 +245,21 @@
                     return send;
                 };
                 match out {
-                    view_agreement::Out::Send { to, msg } => {
+                    view_agreement::Effect::Send { to, message: msg } => {
                         send.push((to, Wire::View(msg.encode())))
                     }
-                    view_agreement::Out::Write { ticket, record } => {
+                    view_agreement::Effect::Write { ticket, record } => {
                         self.record(Record::View(record), false, ticket)
                     }
-                    view_agreement::Out::Chosen(value) => {
+                    view_agreement::Effect::ViewChosen(value) => {
                         checker.views = checker.views.max(value.number());
-                        process.node.enter(now, value.view);
+                        process.node.install_view(now, value.view);
                         process.need_since = None;
                     }
-                    view_agreement::Out::Confirmed { token, ok } => {
-                        process.answer_read(token, ok, checker)
-                    }
+                    view_agreement::Effect::ViewConfirmed {
+                        token,
+                        is_current: ok,
+                    } => process.answer_read(token, ok, checker),
                 }
             }
             for out in chain {
@@ -260,11 +267,15 @@
                     return send;
                 };
                 match out {
-                    chain_replication::Out::Send { to, msg } => {
+                    chain_replication::Effect::Send { to, message: msg } => {
                         send.push((to, Wire::Chain(msg.encode())))
                     }
-                    chain_replication::Out::Write { ticket, write } => {
-                        let drop = faults.drops_in_sync && matches!(write, Write::InSync { .. });
+                    chain_replication::Effect::Write {
+                        ticket,
+                        record: write,
+                    } => {
+                        let drop =
+                            faults.drops_in_sync && matches!(write, LogRecord::InSync { .. });
                         if drop {
                             self.disk
                                 .tickets
@@ -273,8 +284,8 @@
                             self.record(Record::Chain(write.encode()), true, ticket);
                         }
                     }
-                    chain_replication::Out::Committed { .. } => process.committed(checker),
-                    chain_replication::Out::Reset => {
+                    chain_replication::Effect::Committed { .. } => process.committed(checker),
+                    chain_replication::Effect::SnapshotInstalled => {
                         checker.restored += 1;
                         process.waiting.clear();
                         process.checked = 0;
@@ -288,7 +299,7 @@
         send
     }
 
-    fn tell_synced(&mut self, now: Ms, upto: usize) {
+    fn tell_synced(&mut self, now: Millis, upto: usize) {
         let Some(process) = self.process.as_mut() else {
             return;
         };
@@ -299,15 +310,15 @@
             }
         }
         if let Some(ticket) = view {
-            process.agreement.synced(now, ticket);
+            process.agreement.handle_synced(now, ticket);
         }
         if let Some(ticket) = chain {
-            process.node.synced(now, ticket);
+            process.node.handle_synced(now, ticket);
         }
     }
 
     /// The disk's work: one sync at a time covers all that was written when it began.
-    pub fn work_disk(&mut self, now: Ms, dice: &mut Dice) {
+    pub fn work_disk(&mut self, now: Millis, dice: &mut Dice) {
         if let Some((upto, _)) = self.disk.syncing.filter(|s| s.1 <= now) {
             self.disk.syncing = None;
             self.disk.safe = self.disk.safe.max(upto);
@@ -326,17 +337,17 @@
 }
 
 impl Process {
-    pub fn message(&mut self, now: Ms, from: SocketAddr, wire: Wire) {
+    pub fn message(&mut self, now: Millis, from: SocketAddr, wire: Wire) {
         match wire {
-            Wire::Chain(bytes) => self.node.message(
+            Wire::Chain(bytes) => self.node.handle_message(
                 now,
                 from,
-                chain_replication::Msg::decode(&bytes).expect("what was sent"),
+                chain_replication::Message::decode(&bytes).expect("what was sent"),
             ),
-            Wire::View(bytes) => self.agreement.message(
+            Wire::View(bytes) => self.agreement.handle_message(
                 now,
                 from,
-                view_agreement::Msg::decode(&bytes).expect("what was sent"),
+                view_agreement::Message::decode(&bytes).expect("what was sent"),
             ),
             Wire::Hello {
                 id,
@@ -367,7 +378,7 @@
         }
     }
 
-    fn status(&self, faults: Faults) -> Status {
+    fn status(&self, faults: Faults) -> ReplicaStatus {
         let mut status = self.node.status();
         if faults.claims_in_sync {
             status.in_sync_view = status.view;
@@ -377,7 +388,12 @@
     }
 
     /// Every 50 ms.
-    pub fn tick(&mut self, now: Ms, all: &[SocketAddr], faults: Faults) -> Vec<(SocketAddr, Wire)> {
+    pub fn tick(
+        &mut self,
+        now: Millis,
+        all: &[SocketAddr],
+        faults: Faults,
+    ) -> Vec<(SocketAddr, Wire)> {
         self.agreement.tick(now);
         self.node.tick(now);
         if !self.node.is_head() {
@@ -388,9 +404,9 @@
             return Vec::new();
         }
         self.hello_at = now;
-        if self.agreement.current().is_none() {
+        if self.agreement.current_view().is_none() {
             for addr in all.iter().filter(|a| **a != self.me.addr) {
-                self.agreement.ask(now, *addr);
+                self.agreement.request_view(now, *addr);
             }
         }
         let (id, status, leaving) = (self.me.id, self.status(faults), self.leaving);
@@ -413,14 +429,14 @@
             .collect()
     }
 
-    fn plan(&mut self, now: Ms, all: &[SocketAddr], faults: Faults) {
-        let Some(current) = self.agreement.current().cloned() else {
+    fn plan(&mut self, now: Millis, all: &[SocketAddr], faults: Faults) {
+        let Some(current) = self.agreement.current_view().cloned() else {
             return;
         };
-        if current.view.place(&self.me).is_none() && !current.accepts(&self.me) {
+        if current.view.position(&self.me).is_none() && !current.is_acceptor(&self.me) {
             return;
         }
-        let mut seen: Vec<Seen> = Vec::new();
+        let mut seen: Vec<Observation> = Vec::new();
         for (zone, addr) in all.iter().enumerate() {
             let own = (self.me.id, true, self.status(faults), self.leaving);
             let (id, alive, status, leaving) = match self.heard.get(addr) {
@@ -439,31 +455,36 @@
                 since: 0,
             };
             let zone = (zone % self.zones) as u64;
-            seen.push(Seen {
+            seen.push(Observation {
                 member,
                 alive,
                 status: Some(status),
                 zone,
-                leaving,
-                unwanted: false,
+                draining: leaving,
+                retiring: false,
             });
         }
         let silent_for = |m: &Member| match self.heard.get(&m.addr) {
-            _ if m.is(&self.me) => 0,
+            _ if m.is_same_process(&self.me) => 0,
             Some(h) if h.id == m.id => now.saturating_sub(h.at.max(self.started_at)),
             _ => now.saturating_sub(self.started_at),
         };
         let next = next_controller_view(&current, &seen, self.sizing, &silent_for)
             .map(|next| self.with_planted_faults(&current, next, faults));
-        let fresh =
-            |next: &ControllerView| stays_on_fresh_word(&current.view, &next.view, &silent_for);
+        let fresh = |next: &ControllerView| {
+            remaining_members_recently_seen(&current.view, &next.view, &silent_for)
+        };
         let Some(next) = next.filter(fresh) else {
             self.need_since = None;
             return;
         };
-        let before = current.view.members.iter().take_while(|m| !m.is(&self.me));
+        let before = current
+            .view
+            .members
+            .iter()
+            .take_while(|m| !m.is_same_process(&self.me));
         let before = before
-            .filter(|m| seen.iter().any(|s| s.alive && s.member.is(m)))
+            .filter(|m| seen.iter().any(|s| s.alive && s.member.is_same_process(m)))
             .count() as u64;
         let since = *self.need_since.get_or_insert(now);
         if now.saturating_sub(since) >= 100 + 300 * before {
@@ -480,7 +501,7 @@
     ) -> ControllerView {
         let leaving = |m: &Member| match self.heard.get(&m.addr) {
             Some(heard) => heard.id == m.id && heard.leaving,
-            None => m.is(&self.me) && self.leaving,
+            None => m.is_same_process(&self.me) && self.leaving,
         };
         if faults.leaving_keeps_vote {
             for (acceptor, next) in current.acceptors.iter().zip(&mut next.acceptors) {
@@ -494,20 +515,24 @@
 
     /// So many disks hold what is acknowledged.
     fn least(&self) -> usize {
-        let acceptors = self.agreement.current().map_or(1, |v| v.acceptors.len());
-        self.sizing.least_len.min(acceptors)
+        let acceptors = self
+            .agreement
+            .current_view()
+            .map_or(1, |v| v.acceptors.len());
+        self.sizing.min_chain_len.min(acceptors)
     }
 
     /// Whether the others go on without this process, which is stopping.
     pub fn replaced(&self) -> bool {
-        let inside = |v: &ControllerView| v.view.place(&self.me).is_some() || v.accepts(&self.me);
-        !self.agreement.current().is_some_and(inside)
+        let inside =
+            |v: &ControllerView| v.view.position(&self.me).is_some() || v.is_acceptor(&self.me);
+        !self.agreement.current_view().is_some_and(inside)
     }
 
     /// A client's command; none if this is not a head that can commit.
     pub fn command(
         &mut self,
-        now: Ms,
+        now: Millis,
         id: u64,
         len: usize,
         checker: &mut Checker,
@@ -533,8 +558,8 @@
     }
 
     fn committed(&mut self, checker: &mut Checker) {
-        let number = self.node.committed_by(self.least());
-        checker.committed(self.checked, number, self.node.machine());
+        let number = self.node.committed_with_members(self.least());
+        checker.committed(self.checked, number, self.node.state_machine());
         self.checked = self.checked.max(number);
         while let Some((n, id)) = self.waiting.pop_first() {
             if n > number {
@@ -546,17 +571,20 @@
     }
 
     /// A client's read, at the tail.
-    pub fn read(&mut self, now: Ms, checker: &mut Checker, faults: Faults) {
-        let view = self.agreement.current().map_or(0, ControllerView::number);
-        if !self.node.is_tail() || !self.node.active() || self.node.status().view != view {
+    pub fn read(&mut self, now: Millis, checker: &mut Checker, faults: Faults) {
+        let view = self
+            .agreement
+            .current_view()
+            .map_or(0, ControllerView::number);
+        if !self.node.is_tail() || !self.node.is_active() || self.node.status().view != view {
             return;
         }
         let acked = checker.acked_up_to();
         if faults.reads_unconfirmed {
-            checker.read(acked, self.node.machine(), false);
+            checker.read(acked, self.node.state_machine(), false);
             return;
         }
-        let token = self.agreement.confirm(now);
+        let token = self.agreement.confirm_view(now);
         self.reading.insert(token, (view, acked));
     }
 
@@ -564,8 +592,8 @@
         let Some((view, acked)) = self.reading.remove(&token) else {
             return;
         };
-        if ok && self.node.is_tail() && self.node.active() && self.node.status().view == view {
-            checker.read(acked, self.node.machine(), false);
+        if ok && self.node.is_tail() && self.node.is_active() && self.node.status().view == view {
+            checker.read(acked, self.node.state_machine(), false);
         }
     }
 }
--- a/crates/control/view-agreement/tests/support/losses.rs
+++ b/crates/control/view-agreement/tests/support/losses.rs
@@ -1,23 +1,23 @@
 //! Machines that are lost in a row: as many at once as are to be survived, and the next ones as soon as the platform may
 //! take them, which is [`SYNC_MS`] after the ones before were made good.
 
-use chain_replication::Ms;
+use chain_replication::Millis;
 
 use super::controller::Disk;
 use super::world::{World, SYNC_MS};
 
 /// The founding, and the growth of the acceptors to their number, are over by then.
-const FIRST_LOSS_MS: Ms = 9_000;
+const FIRST_LOSS_MS: Millis = 9_000;
 /// A process that is told to stop is killed after so long at the latest.
-const GRACE_MS: Ms = 4_000;
+const GRACE_MS: Millis = 4_000;
 /// A process that nobody can replace ends by itself after so long.
-const STOPPING_MS: Ms = 1_200;
+const STOPPING_MS: Millis = 1_200;
 
 /// A machine that is told to stop.
 #[derive(Debug, Clone)]
 struct Stopping {
     machine: usize,
-    since: Ms,
+    since: Millis,
 }
 
 /// What is lost, and what comes next.
@@ -27,14 +27,14 @@
     pub running: Vec<usize>,
     /// The next machine that was never there.
     unused: usize,
-    next_at: Ms,
+    next_at: Millis,
     /// Machines to be told to stop, once their successors have had [`SYNC_MS`].
-    planned: Vec<(Ms, usize)>,
+    planned: Vec<(Millis, usize)>,
     stopping: Vec<Stopping>,
 }
 
 impl Losses {
-    pub fn new(now: Ms, count: usize) -> Losses {
+    pub fn new(now: Millis, count: usize) -> Losses {
         let running = (0..count).collect();
         let next_at = now + FIRST_LOSS_MS;
         Losses {
@@ -132,7 +132,7 @@
     }
 
     /// A successor starts now; the machine is told to stop when that one has had its time.
-    fn plan(&mut self, world: &mut World, machine: usize) -> Ms {
+    fn plan(&mut self, world: &mut World, machine: usize) -> Millis {
         let now = world.now;
         self.start_successor(world, now + 1);
         let stops_at = now + 1 + SYNC_MS;
@@ -140,7 +140,7 @@
         stops_at
     }
 
-    fn start_successor(&mut self, world: &mut World, at: Ms) {
+    fn start_successor(&mut self, world: &mut World, at: Millis) {
         if let Some(successor) = world.controllers.get_mut(self.unused) {
             successor.starts_at = Some(at);
             self.running.push(self.unused);
@@ -158,7 +158,7 @@
     }
 
     /// Loses one machine; gives when it is made good.
-    fn lose(&mut self, world: &mut World, victim: usize) -> Ms {
+    fn lose(&mut self, world: &mut World, victim: usize) -> Millis {
         let now = world.now;
         let restart = now + world.dice.between(50, 2_500);
         let long = now + world.dice.between(500, 10_000);
@@ -206,7 +206,7 @@
     }
 
     /// All others lose power at the same time.
-    fn power_off(&mut self, world: &mut World, victims: &[usize]) -> Ms {
+    fn power_off(&mut self, world: &mut World, victims: &[usize]) -> Millis {
         let mut last = world.now;
         for &machine in self.running.iter().filter(|n| !victims.contains(n)) {
             if world.controllers[machine].process.is_none() {
--- a/crates/control/view-agreement/tests/support/world.rs
+++ b/crates/control/view-agreement/tests/support/world.rs
@@ -4,7 +4,7 @@
 use std::collections::BinaryHeap;
 use std::net::SocketAddr;
 
-use chain_replication::{Member, Ms, View};
+use chain_replication::{Member, Millis, View};
 use view_agreement::{ControllerView, Sizing};
 
 use super::checker::Checker;
@@ -13,38 +13,38 @@
 use super::{Dice, Faults};
 
 /// A day's length, and the calm at its end.
-const DAY_MS: Ms = 18_000;
-const CALM_MS: Ms = 9_000;
+const DAY_MS: Millis = 18_000;
+const CALM_MS: Millis = 9_000;
 /// Within the day, trouble and calm take turns.
-const TURN_MS: Ms = 9_000;
-const TROUBLE_MS: Ms = 1_800;
+const TURN_MS: Millis = 9_000;
+const TROUBLE_MS: Millis = 1_800;
 /// The founding records are on disk by then: the platform harms nothing while it starts a system.
-const FOUNDED_MS: Ms = 1_200;
-const LONGEST_MS: Ms = 1_800;
+const FOUNDED_MS: Millis = 1_200;
+const LONGEST_MS: Millis = 1_800;
 /// A machine counts as lost for so long after it is back; only then may a disk go.
-pub const SYNC_MS: Ms = 5_000;
+pub const SYNC_MS: Millis = 5_000;
 /// A day of losses in a row.
-const LOSSES_DAY_MS: Ms = 50_000;
-const TICK_MS: Ms = 50;
+const LOSSES_DAY_MS: Millis = 50_000;
+const TICK_MS: Millis = 50;
 
 pub struct World {
     pub(super) dice: Dice,
     faults: Faults,
-    pub(super) now: Ms,
+    pub(super) now: Millis,
     pub(super) controllers: Vec<Controller>,
     addrs: Vec<SocketAddr>,
     /// Ends of cuts: from, to.
-    pub(super) cut: Vec<Vec<Ms>>,
+    pub(super) cut: Vec<Vec<Millis>>,
     loss_permille: u64,
     slow_permille: u64,
     /// When, then in the order of sending: to, from, what.
-    mail: BinaryHeap<Reverse<(Ms, u64)>>,
+    mail: BinaryHeap<Reverse<(Millis, u64)>>,
     bodies: std::collections::HashMap<u64, (usize, usize, Wire)>,
     sent: u64,
     pub checker: Checker,
     next_id: u64,
     /// Some leave in an orderly way: who, and when the process ends.
-    leaving: Option<(usize, Ms)>,
+    leaving: Option<(usize, Millis)>,
     /// The losses of a day on which they come in a row; other days have trouble at random.
     losses: Option<Losses>,
     tolerated: usize,
@@ -216,7 +216,7 @@
             controller.work_disk(now, &mut self.dice);
             let synced = before != controller.disk.syncing;
             let inbox = std::mem::take(&mut controller.inbox);
-            let ticks = (now + n as Ms * 7).is_multiple_of(TICK_MS);
+            let ticks = (now + n as Millis * 7).is_multiple_of(TICK_MS);
             if !synced && inbox.is_empty() && !ticks {
                 continue;
             }
@@ -269,7 +269,7 @@
             .controllers
             .iter()
             .flat_map(|k| &k.process)
-            .filter_map(|p| p.agreement.current());
+            .filter_map(|p| p.agreement.current_view());
         let newest = views.max_by_key(|v| v.number());
         let acceptors = newest
             .map(|v| v.acceptors.iter().map(|a| a.addr).collect::<Vec<_>>())
@@ -280,7 +280,7 @@
     }
 
     /// Cuts a machine off from all others for a time, one way or both.
-    pub(super) fn cut_off(&mut self, n: usize, until: Ms, out: bool, into: bool) {
+    pub(super) fn cut_off(&mut self, n: usize, until: Millis, out: bool, into: bool) {
         for other in 0..self.controllers.len() {
             if out {
                 self.cut[n][other] = until;
@@ -439,7 +439,7 @@
                 self.controllers[*n]
                     .process
                     .as_ref()
-                    .is_some_and(|p| p.node.is_tail() && p.node.active())
+                    .is_some_and(|p| p.node.is_tail() && p.node.is_active())
             })
             .collect();
         let &[tail] = tails.as_slice() else {
@@ -450,8 +450,11 @@
             return;
         };
         let members = process.node.view().map_or(0, |v| v.members.len());
-        self.checker
-            .read(self.checker.acked_up_to(), process.node.machine(), true);
+        self.checker.read(
+            self.checker.acked_up_to(),
+            process.node.state_machine(),
+            true,
+        );
         if members != process.sizing.chain_len {
             let state = self.state();
             self.checker.broke(format!(
@@ -462,8 +465,8 @@
             .controllers
             .iter()
             .flat_map(|k| &k.process)
-            .filter(|p| p.node.active())
-            .map(|p| &p.node.machine().ids)
+            .filter(|p| p.node.is_active())
+            .map(|p| &p.node.state_machine().ids)
             .collect();
         if histories.windows(2).any(|pair| pair[0] != pair[1]) {
             self.checker
@@ -484,7 +487,7 @@
                 p.node.status(),
                 p.me.id,
                 p.node.committed(),
-                p.agreement.current().map(|c| c
+                p.agreement.current_view().map(|c| c
                     .acceptors
                     .iter()
                     .map(|a| (a.addr, a.id))
