--- a/crates/batch/batch-store/src/journal.rs
+++ b/crates/batch/batch-store/src/journal.rs
@@ -337,9 +337,9 @@
             let Some(recovered) = read.recovered else {
                 continue;
             };
-            if let Some((_, _, body)) = &recovered.snapshot {
+            if let Some(snapshot) = &recovered.snapshot {
                 BatchJobTable::new()
-                    .restore(body)
+                    .restore(&snapshot.state)
                     .map_err(|why| BadRecord::Snapshot { part, why })?;
             }
             found.push((part, recovered));
--- a/crates/batch/batch-store/tests/journal.rs
+++ b/crates/batch/batch-store/tests/journal.rs
@@ -295,7 +295,7 @@
         record(2, 2, entry(3, "third").slice(..5)),
     ])
     .unwrap();
-    let numbers = |found: &RecoveredLog| found.entries.iter().map(|e| e.1).collect::<Vec<_>>();
+    let numbers = |found: &RecoveredLog| found.entries.iter().map(|e| e.number).collect::<Vec<_>>();
     let found: Vec<_> = found
         .iter()
         .map(|(part, found)| (*part, numbers(found)))
@@ -446,7 +446,11 @@
         // RemainingTokens, and joined again: the whole state comes once more.
         disk.nodes.remove(&3);
         disk.journal.void(3);
-        let snapshot = Some((1, number, body.to_vec()));
+        let snapshot = Some(chain_replication::StateSnapshot {
+            view: 1,
+            number,
+            state: body.to_vec(),
+        });
         let recovered = RecoveredLog {
             snapshot,
             ..RecoveredLog::default()
--- a/crates/batch/batch-store/tests/store.rs
+++ b/crates/batch/batch-store/tests/store.rs
@@ -926,8 +926,12 @@
 fn the_logs_of_all_partitions_together_stay_within_a_bound() {
     const TOGETHER: u64 = 64 << 20;
     let command = Bytes::from(vec![0xFF; 100_000]);
-    let entries: Vec<(u64, u64, Bytes)> = (1..=80)
-        .map(|number| (1, number, command.clone()))
+    let entries: Vec<chain_replication::LogEntry> = (1..=80)
+        .map(|number| chain_replication::LogEntry {
+            view: 1,
+            number,
+            command: command.clone(),
+        })
         .collect();
     let parts = (0..PARTITIONS as u16)
         .map(|part| {
--- a/crates/control/chain-replication/tests/byte_layout.rs
+++ b/crates/control/chain-replication/tests/byte_layout.rs
@@ -7,7 +7,8 @@
 
 use bytes::Bytes;
 use chain_replication::{
-    DecodeError, Entry, LogRecord, Member, Message, MessageBody, ReplicaStatus, SnapshotId, View,
+    Acknowledgement, AppendEntries, ChunkAcknowledgement, DecodeError, Entry, LogRecord, Member,
+    Message, MessageBody, ReplicaStatus, SnapshotId, View,
 };
 
 fn hex(bytes: &[u8]) -> String {
@@ -98,13 +99,13 @@
         },
     ];
     assert_message(
-        MessageBody::AppendEntries { previous: 1, previous_view: 2, catch_up_target: 3, newest_synced: 4, committed: 5, entries: items },
+        MessageBody::AppendEntries(AppendEntries { previous: 1, previous_view: 2, catch_up_target: 3, newest_synced: 4, committed: 5, entries: items }),
         "03 0000000000000001 0000000000000002 0000000000000003 0000000000000004 0000000000000005 00000002
          0000000000000008 00000003 616263
          0000000000000009 00000000",
     );
     assert_message(
-        MessageBody::AppendEntries { previous: 1, previous_view: 2, catch_up_target: 3, newest_synced: 4, committed: 5, entries: vec![] },
+        MessageBody::AppendEntries(AppendEntries { previous: 1, previous_view: 2, catch_up_target: 3, newest_synced: 4, committed: 5, entries: vec![] }),
         "03 0000000000000001 0000000000000002 0000000000000003 0000000000000004 0000000000000005 00000000",
     );
 }
@@ -112,19 +113,19 @@
 #[test]
 fn acknowledgement_with_and_without_being_in_sync() {
     assert_message(
-        MessageBody::Acknowledge {
+        MessageBody::Acknowledge(Acknowledgement {
             synced: 0x0a,
             committed: 0x0b,
             in_sync: true,
-        },
+        }),
         "04 000000000000000a 000000000000000b 01",
     );
     assert_message(
-        MessageBody::Acknowledge {
+        MessageBody::Acknowledge(Acknowledgement {
             synced: 0x0a,
             committed: 0x0b,
             in_sync: false,
-        },
+        }),
         "04 000000000000000a 000000000000000b 00",
     );
 }
@@ -140,11 +141,11 @@
 #[test]
 fn acknowledgement_of_chunks() {
     assert_message(
-        MessageBody::ChunkAcknowledgement {
+        MessageBody::ChunkAcknowledgement(ChunkAcknowledgement {
             id: snapshot_id(),
             offset: 0x0002_0000,
             received_beyond: 0x81,
-        },
+        }),
         "08 000000000000012c 0000000000000007 00000003 8899aabb 00020000 81",
     );
 }
--- a/crates/control/chain-replication/tests/catch_up_world/machines.rs
+++ b/crates/control/chain-replication/tests/catch_up_world/machines.rs
@@ -169,7 +169,7 @@
         if let Some(joining) = self.seats[to].joining.as_mut() {
             joining.bytes += bytes;
         }
-        let part = matches!(msg.body, MessageBody::SnapshotChunk { .. });
+        let part = matches!(msg.body, MessageBody::SnapshotChunk(_));
         if self.cut(from) || self.cut(to) || part && self.faults.no_snapshots {
             return;
         }
--- a/crates/control/chain-replication/tests/catch_up_world/mod.rs
+++ b/crates/control/chain-replication/tests/catch_up_world/mod.rs
@@ -20,7 +20,10 @@
 use std::net::SocketAddr;
 
 use bytes::Bytes;
-use chain_replication::{Member, Message, MessageBody, Replica, ReplicaStatus, StateMachine, View};
+use chain_replication::{
+    Acknowledgement, AppendEntries, ChunkAcknowledgement, Member, Message, MessageBody, Replica,
+    ReplicaStatus, SnapshotChunk, StateMachine, View,
+};
 use disk::{Disk, ModelDisk};
 use events::{Event, Queued};
 use rand_pcg::rand_core::{RngCore, SeedableRng};
@@ -242,7 +245,7 @@
                 if let Some(process) = self.seats[to].process.as_mut() {
                     let carries = matches!(
                         msg.body,
-                        MessageBody::AppendEntries { .. } | MessageBody::SnapshotChunk { .. }
+                        MessageBody::AppendEntries(_) | MessageBody::SnapshotChunk(_)
                     );
                     if self.faults.accepts_old_view && carries {
                         msg.view = process.node.view().map_or(0, |v| v.number).max(msg.view);
@@ -273,7 +276,7 @@
 
 /// One bit of a part is another.
 fn spoil(msg: &mut Message) {
-    if let MessageBody::SnapshotChunk { bytes, .. } = &mut msg.body {
+    if let MessageBody::SnapshotChunk(SnapshotChunk { bytes, .. }) = &mut msg.body {
         let mut other = bytes.to_vec();
         if let Some(byte) = other.last_mut() {
             *byte ^= 1;
@@ -286,27 +289,27 @@
     match body {
         MessageBody::LogPosition { number, last_view } => format!("Have({number} of {last_view})"),
         MessageBody::RequestPosition => "Ask".to_owned(),
-        MessageBody::AppendEntries {
+        MessageBody::AppendEntries(AppendEntries {
             previous: before,
             previous_view: before_view,
             entries: items,
             ..
-        } => {
+        }) => {
             format!("Entries({before} of {before_view} + {})", items.len())
         }
-        MessageBody::Acknowledge {
+        MessageBody::Acknowledge(Acknowledgement {
             synced,
             committed,
             in_sync,
-        } => format!("Ack({synced} {committed} {in_sync})"),
-        MessageBody::SnapshotChunk { id, offset, .. } => {
+        }) => format!("Ack({synced} {committed} {in_sync})"),
+        MessageBody::SnapshotChunk(SnapshotChunk { id, offset, .. }) => {
             format!("Part({} {offset}/{})", id.number, id.total_bytes)
         }
-        MessageBody::ChunkAcknowledgement {
+        MessageBody::ChunkAcknowledgement(ChunkAcknowledgement {
             id,
             offset,
             received_beyond: held,
-        } => format!("PartAck({} {offset} {held:b})", id.number),
+        }) => format!("PartAck({} {offset} {held:b})", id.number),
         MessageBody::ResumeSnapshot {
             number, id, offset, ..
         } => format!("Resume({number}: {} {offset})", id.number),
@@ -315,10 +318,10 @@
 
 fn size_of(msg: &Message) -> u64 {
     let bytes = match &msg.body {
-        MessageBody::AppendEntries { entries: items, .. } => {
+        MessageBody::AppendEntries(AppendEntries { entries: items, .. }) => {
             items.iter().map(|i| i.command.len() + 12).sum::<usize>() + 60
         }
-        MessageBody::SnapshotChunk { bytes, .. } => bytes.len() + 60,
+        MessageBody::SnapshotChunk(SnapshotChunk { bytes, .. }) => bytes.len() + 60,
         _ => 60,
     };
     bytes as u64
@@ -327,11 +330,13 @@
 /// A table that stands for the control state: its digests say which changes it took, its newest body weighs.
 pub fn replayed(recovered: chain_replication::RecoveredLog) -> Table {
     let mut table = Table::default();
-    if let Some((_, _, body)) = &recovered.snapshot {
-        table.restore(body).expect("a snapshot that was written");
+    if let Some(snapshot) = &recovered.snapshot {
+        table
+            .restore(&snapshot.state)
+            .expect("a snapshot that was written");
     }
-    for (number, (_, _, command)) in (table.digests.len() as u64 + 1..).zip(&recovered.entries) {
-        table.apply(number, command);
+    for (number, entry) in (table.digests.len() as u64 + 1..).zip(&recovered.entries) {
+        table.apply(number, &entry.command);
     }
     table
 }
--- a/crates/control/chain-replication/tests/chain.rs
+++ b/crates/control/chain-replication/tests/chain.rs
@@ -288,7 +288,7 @@
     net.enter(&next);
     let mut dropped = 0;
     while let Some((_, _, msg)) = net.mail.front() {
-        if matches!(msg.body, MessageBody::SnapshotChunk { .. }) && dropped < 1 {
+        if matches!(msg.body, MessageBody::SnapshotChunk(_)) && dropped < 1 {
             net.mail.pop_front();
             dropped += 1;
             continue;
--- a/crates/control/chain-replication/tests/common/mod.rs
+++ b/crates/control/chain-replication/tests/common/mod.rs
@@ -6,8 +6,8 @@
 
 use bytes::Bytes;
 use chain_replication::{
-    Effect, LogRecord, Member, Message, MessageBody, RecoveredLog, Replica, SnapshotError,
-    StateMachine, View,
+    Acknowledgement, AppendEntries, ChunkAcknowledgement, Effect, LogRecord, Member, Message,
+    MessageBody, RecoveredLog, Replica, SnapshotChunk, SnapshotError, StateMachine, View,
 };
 
 /// The table: the commands, in order.
@@ -87,16 +87,18 @@
     match body {
         MessageBody::LogPosition { number, .. } => format!("Have({number})"),
         MessageBody::RequestPosition => "Ask".to_owned(),
-        MessageBody::AppendEntries {
+        MessageBody::AppendEntries(AppendEntries {
             previous: before,
             entries: items,
             ..
-        } => format!("Entries({before}+{})", items.len()),
-        MessageBody::Acknowledge {
+        }) => format!("Entries({before}+{})", items.len()),
+        MessageBody::Acknowledge(Acknowledgement {
             synced, committed, ..
-        } => format!("Ack({synced},{committed})"),
-        MessageBody::SnapshotChunk { offset, .. } => format!("Part({offset})"),
-        MessageBody::ChunkAcknowledgement { offset, .. } => format!("PartAck({offset})"),
+        }) => format!("Ack({synced},{committed})"),
+        MessageBody::SnapshotChunk(SnapshotChunk { offset, .. }) => format!("Part({offset})"),
+        MessageBody::ChunkAcknowledgement(ChunkAcknowledgement { offset, .. }) => {
+            format!("PartAck({offset})")
+        }
         MessageBody::ResumeSnapshot { offset, .. } => format!("Resume({offset})"),
     }
 }
--- a/crates/control/chain-replication/tests/copies.rs
+++ b/crates/control/chain-replication/tests/copies.rs
@@ -4,7 +4,10 @@
 mod common;
 
 use bytes::Bytes;
-use chain_replication::{Message, MessageBody, RecoveredLog, CHUNKS_IN_FLIGHT, CHUNK_BYTES};
+use chain_replication::{
+    ChunkAcknowledgement, Message, MessageBody, RecoveredLog, SnapshotChunk, StateSnapshot,
+    CHUNKS_IN_FLIGHT, CHUNK_BYTES,
+};
 use common::{member, view, Net};
 
 /// Words of the table that is copied, and bytes of each in a snapshot.
@@ -32,7 +35,11 @@
     let disk = RecoveredLog {
         view: Some(founded),
         in_sync_view: 1,
-        snapshot: Some((1, WORDS, text.join("\n").into_bytes())),
+        snapshot: Some(StateSnapshot {
+            view: 1,
+            number: WORDS,
+            state: text.join("\n").into_bytes(),
+        }),
         entries: Vec::new(),
     };
     let mut net = Net::new(4);
@@ -52,7 +59,7 @@
 }
 
 fn is_part(msg: &Message) -> bool {
-    matches!(msg.body, MessageBody::SnapshotChunk { .. })
+    matches!(msg.body, MessageBody::SnapshotChunk(_))
 }
 
 /// Parts that members have sent to the joiner.
@@ -98,10 +105,10 @@
             };
         }
         (
-            MessageBody::ChunkAcknowledgement {
+            MessageBody::ChunkAcknowledgement(ChunkAcknowledgement {
                 received_beyond: held,
                 ..
-            },
+            }),
             Fault::HearsOfNoGap,
         ) => *held = 0,
         _ => {}
@@ -373,7 +380,7 @@
         }
         let mail = net.mail.front_mut().expect("a word");
         spoil(&mut mail.2, fault);
-        let here = matches!(mail.2.body, MessageBody::SnapshotChunk { offset, .. } if offset as usize == lost * CHUNK_BYTES);
+        let here = matches!(mail.2.body, MessageBody::SnapshotChunk(SnapshotChunk { offset, .. }) if offset as usize == lost * CHUNK_BYTES);
         if here && !is_lost {
             is_lost = true;
             net.mail.pop_front();
@@ -484,7 +491,7 @@
             net.pass(50);
             continue;
         };
-        if let MessageBody::SnapshotChunk { offset, bytes, .. } = &mut msg.body {
+        if let MessageBody::SnapshotChunk(SnapshotChunk { offset, bytes, .. }) = &mut msg.body {
             if *offset as usize / CHUNK_BYTES % 4 == 1 && spoilt < PARTS / 4 {
                 let mut other = bytes.to_vec();
                 other[100] ^= 1;
@@ -512,9 +519,9 @@
             net.pass(50);
             continue;
         };
-        if let MessageBody::SnapshotChunk {
+        if let MessageBody::SnapshotChunk(SnapshotChunk {
             id, offset, bytes, ..
-        } = &msg.body
+        }) = &msg.body
         {
             if !changed && *offset as usize == 3 * CHUNK_BYTES {
                 changed = true;
@@ -537,7 +544,7 @@
     join(&mut net);
     until_it_holds(&mut net, 2, Fault::None);
     let first = net.mail.iter().find_map(|(_, _, msg)| match &msg.body {
-        MessageBody::SnapshotChunk { id, bytes, .. } => Some((*id, bytes.clone())),
+        MessageBody::SnapshotChunk(SnapshotChunk { id, bytes, .. }) => Some((*id, bytes.clone())),
         _ => None,
     });
     let (id, bytes) = first.expect("a part on its way");
--- a/crates/control/chain-replication/tests/lagging.rs
+++ b/crates/control/chain-replication/tests/lagging.rs
@@ -3,7 +3,10 @@
 mod common;
 
 use bytes::Bytes;
-use chain_replication::{Message, MessageBody, SnapshotId, MAX_COMMAND_BYTES};
+use chain_replication::{
+    AppendEntries, ChunkAcknowledgement, Message, MessageBody, SnapshotChunk, SnapshotId,
+    MAX_COMMAND_BYTES,
+};
 use common::{member, view, Net};
 
 /// Three members whose log has let its beginning go, and a machine that joins.
@@ -53,7 +56,7 @@
     while !net
         .mail
         .iter()
-        .any(|(_, to, msg)| *to == 4 && matches!(msg.body, MessageBody::SnapshotChunk { .. }))
+        .any(|(_, to, msg)| *to == 4 && matches!(msg.body, MessageBody::SnapshotChunk(_)))
     {
         assert!(net.step(), "no part was sent");
     }
@@ -117,9 +120,9 @@
         }
         let mut turns = 0;
         while let Some((from, to, mut msg)) = net.mail.pop_front() {
-            if let MessageBody::SnapshotChunk {
+            if let MessageBody::SnapshotChunk(SnapshotChunk {
                 id, offset, bytes, ..
-            } = &msg.body
+            }) = &msg.body
             {
                 // Whole and of the right name, and yet no table.
                 assert!(
@@ -155,9 +158,10 @@
         let writes = net.node(n).snapshot_records();
         let mut disk = chain_replication::RecoveredLog::default();
         writes.into_iter().for_each(|write| disk.replay(write));
-        disk.snapshot = disk
-            .snapshot
-            .map(|(view, number, body)| (view, number, vec![0xFF; body.len()]));
+        disk.snapshot = disk.snapshot.map(|old| chain_replication::StateSnapshot {
+            state: vec![0xFF; old.state.len()],
+            ..old
+        });
         let words = net.words(n % 3 + 1);
         net.seat(n).disk = disk;
         net.down(n);
@@ -228,14 +232,14 @@
         held.extend(settle_but_for_joiner(&mut net));
     }
     // It hears how far the others are while the entries are still on their way: it lacks 12 MB.
-    let frame = MessageBody::AppendEntries {
+    let frame = MessageBody::AppendEntries(AppendEntries {
         previous: net.node(4).last_received(),
         previous_view: 1,
         catch_up_target: 20,
         newest_synced: net.node(3).last_received(),
         committed: 20,
         entries: Vec::new(),
-    };
+    });
     let now = net.now;
     net.node(4).handle_message(
         now,
@@ -289,15 +293,16 @@
         let Some(mail) = net.mail.pop_front() else {
             continue;
         };
-        if let MessageBody::ChunkAcknowledgement { offset, .. } = &mail.2.body {
+        if let MessageBody::ChunkAcknowledgement(ChunkAcknowledgement { offset, .. }) = &mail.2.body
+        {
             taken = *offset;
         }
-        let part = matches!(mail.2.body, MessageBody::SnapshotChunk { .. });
+        let part = matches!(mail.2.body, MessageBody::SnapshotChunk(_));
         net.mail.push_front(mail);
         net.step();
         if part {
             net.mail
-                .retain(|(_, _, msg)| !matches!(msg.body, MessageBody::SnapshotChunk { .. }));
+                .retain(|(_, _, msg)| !matches!(msg.body, MessageBody::SnapshotChunk(_)));
         }
         if taken > 0 {
             break;
@@ -323,7 +328,7 @@
     let mut turn = 0;
     while let Some(mail) = net.mail.pop_front() {
         turn += 1;
-        if matches!(mail.2.body, MessageBody::SnapshotChunk { .. }) {
+        if matches!(mail.2.body, MessageBody::SnapshotChunk(_)) {
             old.push(mail.clone());
             if turn % 3 == 0 {
                 // It comes a second time, and after the next.
--- a/crates/control/chain-replication/tests/strangers.rs
+++ b/crates/control/chain-replication/tests/strangers.rs
@@ -3,7 +3,10 @@
 mod common;
 
 use bytes::Bytes;
-use chain_replication::{Entry, LogRecord, Message, MessageBody, SnapshotId};
+use chain_replication::{
+    Acknowledgement, AppendEntries, ChunkAcknowledgement, Entry, LogRecord, Message, MessageBody,
+    SnapshotChunk, SnapshotId,
+};
 use common::*;
 use proptest::prelude::*;
 use std::net::SocketAddr;
@@ -79,39 +82,39 @@
                     .into_iter()
                     .map(|(view, command)| Entry { view, command })
                     .collect();
-                MessageBody::AppendEntries {
+                MessageBody::AppendEntries(AppendEntries {
                     previous: before,
                     previous_view: before_view,
                     catch_up_target: needed,
                     newest_synced: newest,
                     committed,
                     entries: items,
-                }
+                })
             }
         ),
         (0u64..8, 0u64..8, any::<bool>()).prop_map(|(synced, committed, in_sync)| {
-            MessageBody::Acknowledge {
+            MessageBody::Acknowledge(Acknowledgement {
                 synced,
                 committed,
                 in_sync,
-            }
+            })
         }),
         (snapshot_id(), 0u32..40, bytes())
             .prop_map(|(id, offset, bytes)| MessageBody::snapshot_chunk(id, offset, bytes)),
         (snapshot_id(), 0u32..40, any::<u32>(), bytes()).prop_map(
-            |(id, offset, checksum, bytes)| MessageBody::SnapshotChunk {
+            |(id, offset, checksum, bytes)| MessageBody::SnapshotChunk(SnapshotChunk {
                 id,
                 offset,
                 checksum,
                 bytes
-            }
+            })
         ),
         (snapshot_id(), 0u32..40, any::<u8>()).prop_map(|(id, offset, held)| {
-            MessageBody::ChunkAcknowledgement {
+            MessageBody::ChunkAcknowledgement(ChunkAcknowledgement {
                 id,
                 offset,
                 received_beyond: held,
-            }
+            })
         }),
         (0u64..6, 0u64..4, snapshot_id(), 0u32..40).prop_map(|(number, last_view, id, offset)| {
             MessageBody::ResumeSnapshot {
--- a/crates/control/chain-replication/tests/wire.rs
+++ b/crates/control/chain-replication/tests/wire.rs
@@ -2,7 +2,8 @@
 
 use bytes::Bytes;
 use chain_replication::{
-    Entry, LogRecord, Member, Message, MessageBody, ReplicaStatus, SnapshotId, View,
+    Acknowledgement, AppendEntries, ChunkAcknowledgement, Entry, LogRecord, Member, Message,
+    MessageBody, ReplicaStatus, SnapshotId, View,
 };
 use proptest::prelude::*;
 
@@ -48,31 +49,31 @@
         Just(MessageBody::RequestPosition),
         (any::<[u64; 5]>(), items).prop_map(
             |([before, before_view, needed, newest, committed], items)| {
-                MessageBody::AppendEntries {
+                MessageBody::AppendEntries(AppendEntries {
                     previous: before,
                     previous_view: before_view,
                     catch_up_target: needed,
                     newest_synced: newest,
                     committed,
                     entries: items,
-                }
+                })
             }
         ),
         (any::<u64>(), any::<u64>(), any::<bool>()).prop_map(|(synced, committed, in_sync)| {
-            MessageBody::Acknowledge {
+            MessageBody::Acknowledge(Acknowledgement {
                 synced,
                 committed,
                 in_sync,
-            }
+            })
         }),
         (snapshot_id(), any::<u32>(), bytes())
             .prop_map(|(id, offset, bytes)| MessageBody::snapshot_chunk(id, offset, bytes)),
         (snapshot_id(), any::<u32>(), any::<u8>()).prop_map(|(id, offset, held)| {
-            MessageBody::ChunkAcknowledgement {
+            MessageBody::ChunkAcknowledgement(ChunkAcknowledgement {
                 id,
                 offset,
                 received_beyond: held,
-            }
+            })
         }),
         (any::<u64>(), any::<u64>(), snapshot_id(), any::<u32>()).prop_map(
             |(number, last_view, id, offset)| MessageBody::ResumeSnapshot {
--- a/crates/control/view-agreement/src/agreement.rs
+++ b/crates/control/view-agreement/src/agreement.rs
@@ -1,4 +1,8 @@
-//! One controller's part in the agreement: as an acceptor, and what it knows to be chosen.
+//! One controller's state in the agreement: what it has promised, accepted and learnt.
+//!
+//! Guarantees the order of records and messages: a message that depends on a record is sent only
+//! after the owner has reported that record as synced ([`Agreement::handle_synced`]). Holds no
+//! socket, file or clock: each call is given the time and queues [`Effect`]s for the owner.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -6,118 +10,111 @@
 use bytes::Bytes;
 use chain_replication::{Member, Millis};
 
-use crate::propose::Proposer;
-use crate::pulse::Pulse;
-use crate::records::{Record, RecoveredAcceptor};
-use crate::wire::{ControllerView, Message, MessageBody, Proposal, ProposalNumber};
+use crate::controller_view::ControllerView;
+use crate::effect::Effect;
+use crate::message::{Message, MessageBody};
+use crate::proposal::{Proposal, ProposalId, ProposalNumber};
+use crate::proposer::Proposer;
+use crate::quorum_check::QuorumChecks;
+use crate::record::{Record, RecoveredAcceptor};
 
-/// Words that wait for a sync at most: far more than a disk's stall of seconds makes; beyond it they are dropped, as
-/// a network may drop them.
-const MOST_HELD: usize = 1_024;
+/// Messages that may wait for a sync: far more than come up while a disk stalls for seconds; beyond
+/// it they are dropped, as a network may drop them.
+const MAX_AWAITING_SYNC: usize = 1_024;
 
-/// What the owner is to do, in this order.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Effect {
-    /// Tell a peer; may be lost.
-    Send {
-        /// Its peer address.
-        to: SocketAddr,
-        /// What is said.
-        message: Message,
-    },
-    /// Write and sync, in order; then `Agreement::handle_synced(ticket)`, which covers all tickets up to it.
-    Write {
-        /// Rises by one a record.
-        ticket: u64,
-        /// The record.
-        record: Bytes,
-    },
-    /// This view is the newest known.
-    ViewChosen(ControllerView),
-    /// The answer to `confirm_view`.
-    ViewConfirmed {
-        /// What `confirm_view` gave.
-        token: u64,
-        /// A majority said, after the question, that the view was still the newest.
-        is_current: bool,
-    },
+/// The bootstrap view, until its record is on disk.
+#[derive(Debug)]
+struct Bootstrap {
+    ticket: u64,
+    view: ControllerView,
+}
+
+/// A message that is sent once a ticket is synced.
+#[derive(Debug)]
+struct AwaitingSync {
+    ticket: u64,
+    to: SocketAddr,
+    message: Message,
 }
 
-/// One controller's part.
+/// One controller's state in the agreement.
 #[derive(Debug)]
 pub struct Agreement {
     pub(crate) me: Member,
     pub(crate) current: Option<ControllerView>,
-    /// The founding view, until its record is on disk.
-    founding: Option<(u64, ControllerView)>,
+    bootstrap: Option<Bootstrap>,
     /// For the view after the current one.
     pub(crate) promised: Option<ProposalNumber>,
     pub(crate) accepted: Option<Proposal>,
     /// When it was accepted here, or found on disk.
     pub(crate) accepted_at: Option<Millis>,
-    pub(crate) proposal: Option<Proposer>,
-    pub(crate) pulse: Pulse,
-    ticket: u64,
-    synced: u64,
-    /// The disk takes nothing: no vote is given and no view proposed.
-    suspended: bool,
-    /// Words that wait until a ticket is synced.
-    held: VecDeque<(u64, SocketAddr, Message)>,
-    /// Words of views that are over, and votes of strangers.
-    passed_over: u64,
-    pub(crate) out: Vec<Effect>,
+    pub(crate) proposer: Option<Proposer>,
+    pub(crate) quorum_checks: QuorumChecks,
+    last_ticket: u64,
+    synced_ticket: u64,
+    disk_writable: bool,
+    awaiting_sync: VecDeque<AwaitingSync>,
+    ignored_messages: u64,
+    pub(crate) effects: Vec<Effect>,
 }
 
 impl Agreement {
-    /// With what its disk holds, all of it synced. A founder gives the founding view, which counts only if nothing is
-    /// on its disk; its record is written before anything is said.
-    pub fn new(me: Member, founding: Option<ControllerView>, recovered: RecoveredAcceptor) -> Self {
-        let next = recovered.chosen.as_ref().map(|c| c.number() + 1);
+    /// Starts with what the disk holds, all of it synced.
+    ///
+    /// An initial member gives the bootstrap view, which counts only if nothing is on its disk: its
+    /// record is written before anything is sent.
+    pub fn new(
+        me: Member,
+        bootstrap: Option<ControllerView>,
+        recovered: RecoveredAcceptor,
+    ) -> Self {
+        let next = recovered.chosen.as_ref().map(|chosen| chosen.number() + 1);
+        let is_next = |promised: &ProposalId| Some(promised.view_number) == next;
         let mut agreement = Agreement {
             me,
-            founding: None,
+            bootstrap: None,
             promised: recovered
                 .promised
-                .filter(|p| Some(p.0) == next)
-                .map(|p| p.1),
+                .filter(is_next)
+                .map(|promised| promised.proposal_number),
             accepted: recovered
                 .accepted
-                .filter(|a| Some(a.value.number()) == next),
+                .filter(|accepted| Some(accepted.value.number()) == next),
             accepted_at: None,
             current: recovered.chosen,
-            proposal: None,
-            pulse: Pulse::default(),
-            ticket: 0,
-            synced: 0,
-            suspended: false,
-            held: VecDeque::new(),
-            passed_over: 0,
-            out: Vec::new(),
+            proposer: None,
+            quorum_checks: QuorumChecks::default(),
+            last_ticket: 0,
+            synced_ticket: 0,
+            disk_writable: true,
+            awaiting_sync: VecDeque::new(),
+            ignored_messages: 0,
+            effects: Vec::new(),
         };
-        match (&agreement.current, founding) {
-            (Some(current), _) => agreement.out.push(Effect::ViewChosen(current.clone())),
-            (None, Some(founding)) => {
+        match (&agreement.current, bootstrap) {
+            (Some(current), _) => agreement.effects.push(Effect::ViewChosen(current.clone())),
+            (None, Some(view)) => {
                 let ticket = agreement.write(&Record::Chosen {
-                    value: founding.clone(),
+                    value: view.clone(),
                 });
-                agreement.founding = Some((ticket, founding));
+                agreement.bootstrap = Some(Bootstrap { ticket, view });
             }
             (None, None) => {}
         }
         agreement
     }
 
-    /// Whether the disk takes what is written. While it doesn't, votes are neither given nor asked for; what others
-    /// have chosen is still learnt, and pings are answered, as neither needs the disk.
-    pub fn set_disk_writable(&mut self, able: bool) {
-        self.suspended = !able;
-        if self.suspended {
-            self.proposal = None;
+    /// Tells whether the disk takes records. While it doesn't, this controller neither votes nor
+    /// proposes; chosen views are still learnt and quorum checks answered, as neither needs the disk.
+    pub fn set_disk_writable(&mut self, writable: bool) {
+        self.disk_writable = writable;
+        if !writable {
+            self.proposer = None;
         }
     }
 
-    pub(crate) fn suspended(&self) -> bool {
-        self.suspended
+    pub(crate) fn disk_writable(&self) -> bool {
+        self.disk_writable
     }
 
     /// The newest view known.
@@ -126,92 +123,109 @@
     }
 
     /// Its number, 0 if none is known.
-    pub(crate) fn number(&self) -> u64 {
+    pub(crate) fn current_number(&self) -> u64 {
         self.current.as_ref().map_or(0, ControllerView::number)
     }
 
-    /// Asks a peer for the newest view: for those who know none, or whose acceptors are all gone.
+    /// Asks a peer for the newest view: for a controller that knows none, or whose acceptors are all gone.
     pub fn request_view(&mut self, _now: Millis, to: SocketAddr) {
         self.send(
             to,
             MessageBody::RequestView {
-                newest_known: self.number(),
+                newest_known: self.current_number(),
             },
         );
     }
 
-    /// Takes a word of a peer.
-    pub fn handle_message(&mut self, now: Millis, from: SocketAddr, msg: Message) {
+    /// Handles a message of a peer.
+    pub fn handle_message(&mut self, now: Millis, from: SocketAddr, message: Message) {
         let sender = Member {
-            id: msg.from,
+            id: message.from,
             addr: from,
             since: 0,
         };
-        self.passed_over += u64::from(self.counts_for_nothing(&sender, &msg.body));
-        match msg.body {
+        self.ignored_messages += u64::from(self.is_stale(&sender, &message.body));
+        match message.body {
             MessageBody::Prepare {
-                view_number: number,
-                proposal_number: ballot,
+                view_number,
+                proposal_number,
             } => {
-                if self.deciding(now, from, number) {
-                    self.prepare(from, number, ballot);
-                }
-            }
-            MessageBody::Accept { proposal } => {
-                if self.deciding(now, from, proposal.value.number()) {
-                    self.accept(now, from, proposal);
-                }
+                self.handle_prepare(
+                    from,
+                    ProposalId {
+                        view_number,
+                        proposal_number,
+                    },
+                );
             }
+            MessageBody::Accept { proposal } => self.handle_accept(now, from, proposal),
             MessageBody::Promise {
-                view_number: number,
-                proposal_number: ballot,
+                view_number,
+                proposal_number,
                 accepted,
             } => {
-                self.promised(now, &sender, number, ballot, accepted);
+                let promised = ProposalId {
+                    view_number,
+                    proposal_number,
+                };
+                self.handle_promise(now, &sender, promised, accepted);
             }
             MessageBody::Rejected {
-                view_number: number,
+                view_number,
                 promised,
-            } => self.refused(now, number, promised),
+            } => {
+                self.handle_rejected(
+                    now,
+                    ProposalId {
+                        view_number,
+                        proposal_number: promised,
+                    },
+                );
+            }
             MessageBody::Accepted {
-                view_number: number,
-                proposal_number: ballot,
-            } => self.accepted_by(now, &sender, number, ballot),
-            MessageBody::Chosen { value } => self.chosen(now, value),
-            MessageBody::RequestView { newest_known: have } => self.tell_newer(from, have),
-            MessageBody::QuorumCheck {
-                view_number: view,
-                round,
-            } => self.pinged(from, view, round),
+                view_number,
+                proposal_number,
+            } => {
+                self.handle_accepted(
+                    now,
+                    &sender,
+                    ProposalId {
+                        view_number,
+                        proposal_number,
+                    },
+                );
+            }
+            MessageBody::Chosen { value } => self.learn(now, value),
+            MessageBody::RequestView { newest_known } => self.send_if_newer(from, newest_known),
+            MessageBody::QuorumCheck { view_number, round } => {
+                self.handle_quorum_check(from, view_number, round);
+            }
             MessageBody::QuorumCheckReply {
-                view_number: view,
+                view_number,
                 round,
-                undecided: unsure,
-            } => self.ponged(&sender, view, round, unsure),
+                undecided,
+            } => {
+                if !undecided {
+                    self.handle_quorum_vote(&sender, view_number, round);
+                }
+            }
         }
-        self.release_held(now);
+        self.release_synced(now);
     }
 
-    /// Whether a word is of a view that is over, or the vote of one who has none.
-    fn counts_for_nothing(&self, sender: &Member, body: &MessageBody) -> bool {
+    /// Whether a message is about a superseded view, or the vote of a process that has none.
+    fn is_stale(&self, sender: &Member, body: &MessageBody) -> bool {
         let Some(current) = &self.current else {
             return false;
         };
         match body {
-            MessageBody::Prepare {
-                view_number: number,
-                ..
-            } => *number <= current.number(),
+            MessageBody::Prepare { view_number, .. } => *view_number <= current.number(),
             MessageBody::Accept { proposal } => proposal.value.number() <= current.number(),
             MessageBody::Chosen { value } => value.number() < current.number(),
-            MessageBody::Promise {
-                view_number: number,
-                ..
+            MessageBody::Promise { view_number, .. }
+            | MessageBody::Accepted { view_number, .. } => {
+                *view_number <= current.number() || !current.is_acceptor(sender)
             }
-            | MessageBody::Accepted {
-                view_number: number,
-                ..
-            } => *number <= current.number() || !current.is_acceptor(sender),
             MessageBody::QuorumCheckReply { .. } => !current.is_acceptor(sender),
             MessageBody::Rejected { .. }
             | MessageBody::RequestView { .. }
@@ -219,148 +233,96 @@
         }
     }
 
-    /// Words that counted for nothing since the start: of views that are over, or votes of strangers.
+    /// Messages ignored since the start: about superseded views, or votes of processes without one.
     pub fn ignored_messages(&self) -> u64 {
-        self.passed_over
-    }
-
-    /// Whether this controller decides on the view of this number now; if not, the two tell each other why.
-    fn deciding(&mut self, now: Millis, from: SocketAddr, number: u64) -> bool {
-        let Some(current) = &self.current else {
-            self.request_view(now, from);
-            return false;
-        };
-        if number <= current.number() {
-            self.tell_newer(from, number.saturating_sub(1));
-            return false;
-        }
-        if number > current.number() + 1 {
-            self.request_view(now, from);
-            return false;
-        }
-        !self.suspended && current.is_acceptor(&self.me)
+        self.ignored_messages
     }
 
-    pub(crate) fn tell_newer(&mut self, to: SocketAddr, have: u64) {
-        if let Some(value) = self.current.clone().filter(|c| c.number() > have) {
+    /// Sends the current view to a peer that knows an older one.
+    pub(crate) fn send_if_newer(&mut self, to: SocketAddr, newest_known: u64) {
+        if let Some(value) = self
+            .current
+            .clone()
+            .filter(|current| current.number() > newest_known)
+        {
             self.send(to, MessageBody::Chosen { value });
         }
     }
 
-    fn prepare(&mut self, from: SocketAddr, number: u64, ballot: ProposalNumber) {
-        if let Some(promised) = self.promised.filter(|p| *p > ballot) {
-            self.send(
-                from,
-                MessageBody::Rejected {
-                    view_number: number,
-                    promised,
-                },
-            );
+    /// Learns a view that was chosen.
+    pub(crate) fn learn(&mut self, now: Millis, value: ControllerView) {
+        if value.number() <= self.current_number() {
             return;
         }
-        self.promise(number, ballot);
-        let accepted = self.accepted.clone();
-        self.send_after_sync(
-            from,
-            MessageBody::Promise {
-                view_number: number,
-                proposal_number: ballot,
-                accepted,
-            },
-        );
-    }
-
-    /// Notes a try as the highest heeded; on disk too, where it is new.
-    pub(crate) fn promise(&mut self, number: u64, ballot: ProposalNumber) {
-        if self.promised != Some(ballot) {
-            self.promised = Some(ballot);
-            self.write(&Record::Promised {
-                view_number: number,
-                proposal_number: ballot,
-            });
-        }
-    }
-
-    fn accept(&mut self, now: Millis, from: SocketAddr, proposal: Proposal) {
-        let (number, ballot) = (proposal.value.number(), proposal.number);
-        if let Some(promised) = self.promised.filter(|p| *p > ballot) {
-            self.send(
-                from,
-                MessageBody::Rejected {
-                    view_number: number,
-                    promised,
-                },
-            );
-            return;
-        }
-        if self.accepted.as_ref() != Some(&proposal) {
-            self.promised = Some(ballot);
-            self.write(&Record::Accepted {
-                proposal: proposal.clone(),
-            });
-            self.accepted = Some(proposal);
-            self.accepted_at = Some(now);
-        }
-        self.send_after_sync(
-            from,
-            MessageBody::Accepted {
-                view_number: number,
-                proposal_number: ballot,
-            },
-        );
-    }
-
-    /// Takes a view that was chosen.
-    pub(crate) fn chosen(&mut self, now: Millis, value: ControllerView) {
-        if value.number() <= self.number() {
-            return;
-        }
-        self.founding = None;
+        self.bootstrap = None;
         self.write(&Record::Chosen {
             value: value.clone(),
         });
-        self.take_up(now, value);
+        self.install(now, value);
     }
 
-    fn take_up(&mut self, now: Millis, value: ControllerView) {
+    /// Makes a chosen view the current one. Promises and acceptances were for its number, and end.
+    fn install(&mut self, now: Millis, value: ControllerView) {
         self.current = Some(value.clone());
         self.promised = None;
         self.accepted = None;
         self.accepted_at = None;
-        self.proposal = None;
-        self.pulse_ended();
-        self.out.push(Effect::ViewChosen(value));
-        self.ping_all(now);
+        self.proposer = None;
+        self.end_quorum_checks();
+        self.effects.push(Effect::ViewChosen(value));
+        self.check_quorum(now);
     }
 
     /// All records up to this ticket are on disk.
     pub fn handle_synced(&mut self, now: Millis, ticket: u64) {
         // A ticket of an earlier incarnation covers nothing of this one.
-        self.synced = self.synced.max(ticket.min(self.ticket));
-        if let Some((_, value)) = self.founding.take_if(|(t, _)| *t <= ticket) {
-            self.take_up(now, value);
+        self.synced_ticket = self.synced_ticket.max(ticket.min(self.last_ticket));
+        if let Some(bootstrap) = self
+            .bootstrap
+            .take_if(|bootstrap| bootstrap.ticket <= ticket)
+        {
+            self.install(now, bootstrap.view);
         }
-        while self.held.front().is_some_and(|(t, _, _)| *t <= self.synced) {
-            let Some((_, to, msg)) = self.held.pop_front() else {
-                break;
-            };
-            self.release(now, to, msg);
+        while let Some(message) = self.next_synced_message() {
+            self.release(now, message);
+        }
+    }
+
+    fn next_synced_message(&mut self) -> Option<AwaitingSync> {
+        let synced = self.awaiting_sync.front()?.ticket <= self.synced_ticket;
+        if synced {
+            self.awaiting_sync.pop_front()
+        } else {
+            None
         }
     }
 
-    /// Time passes.
+    /// Sends what waits for no sync any more.
+    pub(crate) fn release_synced(&mut self, now: Millis) {
+        self.handle_synced(now, self.synced_ticket);
+    }
+
+    fn release(&mut self, now: Millis, AwaitingSync { to, message, .. }: AwaitingSync) {
+        if to == self.me.addr {
+            self.handle_message(now, to, message);
+        } else {
+            self.effects.push(Effect::Send { to, message });
+        }
+    }
+
+    /// Resends and expires what is due; to be called every few tens of milliseconds.
     pub fn tick(&mut self, now: Millis) {
         self.tick_proposal(now);
-        self.tick_pulse(now);
+        self.tick_quorum_checks(now);
     }
 
-    /// What the owner is to do. Words of this controller to itself have been taken by then.
+    /// What the owner is to carry out. Messages of this controller to itself are handled by then.
     pub fn take_effects(&mut self) -> Vec<Effect> {
-        self.pulse.taken();
-        std::mem::take(&mut self.out)
+        self.quorum_checks.effects_taken();
+        std::mem::take(&mut self.effects)
     }
 
-    /// Records that hold all that is known, for a file begun anew.
+    /// Records that hold the whole state, for a log that is begun anew.
     pub fn snapshot_records(&self) -> Vec<Bytes> {
         let mut records = Vec::new();
         if let Some(value) = &self.current {
@@ -379,11 +341,12 @@
                 .encode(),
             );
         }
-        if let Some(ballot) = self.promised {
+        if let Some(proposal_number) = self.promised {
+            let view_number = self.current_number() + 1;
             records.push(
                 Record::Promised {
-                    view_number: self.number() + 1,
-                    proposal_number: ballot,
+                    view_number,
+                    proposal_number,
                 }
                 .encode(),
             );
@@ -391,19 +354,19 @@
         records
     }
 
-    fn write(&mut self, record: &Record) -> u64 {
-        self.ticket += 1;
-        self.out.push(Effect::Write {
-            ticket: self.ticket,
+    pub(crate) fn write(&mut self, record: &Record) -> u64 {
+        self.last_ticket += 1;
+        self.effects.push(Effect::Write {
+            ticket: self.last_ticket,
             record: record.encode(),
         });
-        self.ticket
+        self.last_ticket
     }
 
-    /// Says something that is true whatever the disk holds.
+    /// Sends a message that holds whatever is on disk.
     pub(crate) fn send(&mut self, to: SocketAddr, body: MessageBody) {
         if to != self.me.addr {
-            self.out.push(Effect::Send {
+            self.effects.push(Effect::Send {
                 to,
                 message: Message {
                     from: self.me.id,
@@ -413,30 +376,18 @@
         }
     }
 
-    /// Says something once all that was written so far is on disk; to itself too.
+    /// Sends a message, to this controller too, once all that was written so far is on disk.
     pub(crate) fn send_after_sync(&mut self, to: SocketAddr, body: MessageBody) {
-        if self.held.len() < MOST_HELD {
-            self.held.push_back((
-                self.ticket,
+        if self.awaiting_sync.len() < MAX_AWAITING_SYNC {
+            let message = Message {
+                from: self.me.id,
+                body,
+            };
+            self.awaiting_sync.push_back(AwaitingSync {
+                ticket: self.last_ticket,
                 to,
-                Message {
-                    from: self.me.id,
-                    body,
-                },
-            ));
-        }
-    }
-
-    /// Lets go what waits for nothing any more.
-    pub(crate) fn release_held(&mut self, now: Millis) {
-        self.handle_synced(now, self.synced);
-    }
-
-    fn release(&mut self, now: Millis, to: SocketAddr, msg: Message) {
-        if to == self.me.addr {
-            self.handle_message(now, to, msg);
-        } else {
-            self.out.push(Effect::Send { to, message: msg });
+                message,
+            });
         }
     }
 }
--- a/crates/control/view-agreement/tests/agreement.rs
+++ b/crates/control/view-agreement/tests/agreement.rs
@@ -7,8 +7,8 @@
 use chain_replication::{Member, Millis, View};
 use proptest::prelude::*;
 use view_agreement::{
-    Agreement, ControllerView, Effect, Message, MessageBody, Proposal, ProposalNumber, Record,
-    RecoveredAcceptor,
+    Agreement, ControllerView, Effect, Message, MessageBody, Proposal, ProposalId, ProposalNumber,
+    Record, RecoveredAcceptor,
 };
 
 fn addr(n: usize) -> SocketAddr {
@@ -265,7 +265,13 @@
     for record in &net.disks[1] {
         recovered.read(record).expect("what was written");
     }
-    assert_eq!(recovered.promised, Some((2, ballot)));
+    assert_eq!(
+        recovered.promised,
+        Some(ProposalId {
+            view_number: 2,
+            proposal_number: ballot
+        })
+    );
     let mut whole = RecoveredAcceptor::default();
     for record in net.controllers[1].snapshot_records() {
         whole.read(&record).expect("what was written");
--- a/crates/control/view-agreement/tests/byte_layout.rs
+++ b/crates/control/view-agreement/tests/byte_layout.rs
@@ -7,7 +7,8 @@
 use bytes::Bytes;
 use chain_replication::{DecodeError, Member, View};
 use view_agreement::{
-    ControllerView, Message, MessageBody, Proposal, ProposalNumber, Record, RecoveredAcceptor,
+    ControllerView, Message, MessageBody, Proposal, ProposalId, ProposalNumber, Record,
+    RecoveredAcceptor,
 };
 
 fn hex(bytes: &[u8]) -> String {
@@ -280,5 +281,11 @@
         proposer_id: 0xcd,
         ..ballot()
     };
-    assert_eq!(recovered.promised, Some((7, promised)));
+    assert_eq!(
+        recovered.promised,
+        Some(ProposalId {
+            view_number: 7,
+            proposal_number: promised
+        })
+    );
 }
