--- a/crates/batch/batch-store/src/process.rs
+++ b/crates/batch/batch-store/src/process.rs
@@ -4,7 +4,7 @@
 use crate::{Effect, Store, Terms};
 use batch::wire::{Message, PlacementMap};
 use bytes::Bytes;
-use peer_transport::{Event, Handler, Links, Me, Peer, Reply};
+use peer_transport::{ConnectionEvent, Handler, Peer, Reply, Transport};
 use relay_tree::{Follow, Role, StateTable};
 use replicated_state::{decode_addresses, CONTROLLERS_KEY, RELAY};
 use slog::{crit, error, info, warn, Logger};
@@ -203,7 +203,7 @@
     store: RefCell<Store<Reply>>,
     journal: RefCell<Option<Journal>>,
     state_table: RefCell<StateTable>,
-    links: Rc<Links>,
+    links: Rc<Transport>,
     /// Controllers as the settings name them, and as the controllers themselves do.
     controllers: RefCell<(Vec<SocketAddr>, Vec<SocketAddr>)>,
     seldom: RefCell<Rarely>,
@@ -230,7 +230,7 @@
         }
         for effect in effects {
             match effect {
-                Effect::Tell { to, kind, body } => self.links.tell(to, kind, body),
+                Effect::Tell { to, kind, body } => self.links.send(to, kind, body),
                 Effect::Write {
                     part,
                     ticket,
@@ -331,7 +331,7 @@
             }
         }
         for (to, msg) in state_table.take_messages() {
-            self.links.tell(to, RELAY, msg.encode());
+            self.links.send(to, RELAY, msg.encode());
         }
     }
 
@@ -375,7 +375,7 @@
 }
 
 impl Handler for Process {
-    fn told(&self, from: &Rc<Peer>, kind: u16, body: Bytes) {
+    fn handle_message(&self, from: &Rc<Peer>, kind: u16, body: Bytes) {
         let now = self.now();
         if kind == RELAY {
             match relay_tree::Message::decode(&body) {
@@ -393,7 +393,7 @@
         self.act();
     }
 
-    fn called(&self, from: &Rc<Peer>, kind: u16, body: Bytes, reply: Reply) {
+    fn handle_call(&self, from: &Rc<Peer>, kind: u16, body: Bytes, reply: Reply) {
         let now = self.now();
         if let Err(why) = self.store.borrow_mut().called(now, kind, &body, reply) {
             self.odd(from, kind, &why);
@@ -408,10 +408,10 @@
 }
 
 /// Says which connections with other processes were refused.
-fn connection_events(log: Logger) -> impl Fn(Event) + 'static {
+fn connection_events(log: Logger) -> impl Fn(ConnectionEvent) + 'static {
     let seldom = Seldom::default();
     move |event| {
-        if event.is_refusal() {
+        if event.is_rejection() {
             seldom.line("connection", |left_out| {
                 warn!(log, "connection refused"; "code" => 2212, "why" => %event, "left_out" => left_out);
             });
@@ -460,7 +460,7 @@
             as u64,
     };
     info!(log, "starting"; "addr" => %addr, "id" => identity, "partitions" => parts.len());
-    let me = Me {
+    let me = Peer {
         addr,
         id: identity,
         node: settings.node.clone(),
@@ -478,7 +478,7 @@
         state_table: RefCell::new(
             StateTable::new(draw(), addr, Follow::First, Role::Relay).with_id(identity),
         ),
-        links: Links::with_events(me, connection_events(log.clone())),
+        links: Transport::with_events(me, connection_events(log.clone())),
         controllers: RefCell::new((settings.controller_peers(), Vec::new())),
         seldom: RefCell::default(),
         passed_over: Cell::default(),
--- a/crates/common/peer-transport/src/events.rs
+++ b/crates/common/peer-transport/src/events.rs
@@ -1,60 +1,61 @@
-//! What becomes of connections apart from their frames: what is told for the log, and what is counted.
+//! What happens to connections apart from their frames, for the log and for metrics.
 
 use crate::frame::FrameError;
-use crate::MOST_INCOMING;
+use crate::limits::MAX_INCOMING;
 use std::net::SocketAddr;
 
 /// What happened to a connection, for the log.
 #[derive(Debug, thiserror::Error)]
-pub enum Event {
-    /// Its bytes were refused.
-    #[error("connection with {peer} refused: {why}")]
-    Refused {
-        /// Whom it is with: the listening address where known.
+pub enum ConnectionEvent {
+    /// Its bytes were rejected.
+    #[error("connection with {peer} rejected: {source}")]
+    Rejected {
+        /// The peer's listening address where known, else the other end.
         peer: SocketAddr,
         /// Why.
-        why: FrameError,
+        source: FrameError,
     },
     /// It couldn't be opened, or broke.
-    #[error("connection with {peer} lost: {error}")]
+    #[error("connection with {peer} lost: {source}")]
     Lost {
-        /// Whom it is with.
+        /// The peer's listening address where known, else the other end.
         peer: SocketAddr,
         /// What the system says.
-        error: std::io::Error,
+        source: std::io::Error,
     },
-    /// The peer opened a newer one, or reads no answers.
-    #[error("connection of {peer} cut off: it has a newer one or reads no answers")]
-    CutOff {
-        /// Whom it is with.
+    /// The peer opened a newer one, or reads no replies.
+    #[error("connection from {peer} closed: superseded or its replies are not read")]
+    Superseded {
+        /// The peer's listening address where known, else the other end.
         peer: SocketAddr,
     },
     /// It was opened, and then no hello came.
-    #[error("connection of {from} ended: no hello came")]
-    NoHello {
+    #[error("connection from {from} closed: no hello received")]
+    HelloTimeout {
         /// The other end.
         from: SocketAddr,
     },
-    /// More connections than are allowed were opened.
-    #[error("connection of {from} refused: {MOST_INCOMING} are open")]
+    /// As many connections as allowed are open.
+    #[error("connection from {from} rejected: {MAX_INCOMING} are open")]
     TooMany {
         /// The other end.
         from: SocketAddr,
     },
     /// A connection couldn't be accepted.
-    #[error("a connection couldn't be accepted: {error}")]
+    #[error("accept failed: {source}")]
     AcceptFailed {
         /// What the system says.
-        error: std::io::Error,
+        source: std::io::Error,
     },
 }
 
-impl Event {
-    /// Whether what the other end said, or that it said nothing, was refused; else the network is to blame.
-    pub fn is_refusal(&self) -> bool {
+impl ConnectionEvent {
+    /// Whether this side ended the connection for what the other end sent or didn't send; else the
+    /// network is to blame.
+    pub fn is_rejection(&self) -> bool {
         matches!(
             self,
-            Event::Refused { .. } | Event::NoHello { .. } | Event::TooMany { .. }
+            Self::Rejected { .. } | Self::HelloTimeout { .. } | Self::TooMany { .. }
         )
     }
 }
@@ -62,10 +63,11 @@
 /// What was left out since the start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Tells that were dropped: no room, in a pause, too long, or their connection broke before they were written.
-    pub tells_dropped: u64,
+    /// One-way messages that were dropped: queue full, in a backoff, too long, or their connection
+    /// broke before they were written.
+    pub messages_dropped: u64,
     /// Calls that weren't taken.
-    pub calls_refused: u64,
-    /// Connections that ended as their bytes were refused, no hello came, or too many were open.
-    pub connections_refused: u64,
+    pub calls_rejected: u64,
+    /// Connections of which [`ConnectionEvent::is_rejection`] was said.
+    pub connections_rejected: u64,
 }
--- a/crates/common/peer-transport/src/incoming.rs
+++ b/crates/common/peer-transport/src/incoming.rs
@@ -1,75 +1,43 @@
-//! Connections that others opened: their tells and calls are handed to the handler in order, answers go back.
+//! Connections that peers have opened: their messages and calls go to the handler in order, replies
+//! go back.
 
-use crate::channel::{Channel, Stage};
-use crate::events::Event;
-use crate::frame::{Decoder, Frame, FrameError, Hello, Item, Use};
-use crate::links::{tune, Core, Handler, Peer};
+use crate::accepted::Accepted;
+use crate::channel::{Batch, Channel};
+use crate::events::ConnectionEvent;
+use crate::frame::{Decoder, Frame, FrameError, FrameType, Hello, Item};
+use crate::handler::Handler;
+use crate::limits::{HELLO_TIMEOUT, MAX_BODY_BYTES, MAX_CALLS_PER_CONNECTION, MAX_INCOMING};
+use crate::peer::Peer;
+use crate::registry::Registry;
 use crate::reply::{Reply, Route};
-use crate::{HELLO_WITHIN, MOST_BODY, MOST_CALLS_OF_A_PEER, MOST_INCOMING, MOST_QUEUED};
-use bytes::Bytes;
-use std::cell::Cell;
+use crate::socket::tune;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::AsyncReadExt;
 use tokio::net::tcp::ReadHalf;
 use tokio::net::{TcpListener, TcpStream};
-use tokio::sync::Notify;
 use tokio::task::JoinSet;
 
 /// After a failed accept (no descriptor free, mostly) nothing is accepted for a moment.
-const AFTER_FAILED_ACCEPT: Duration = Duration::from_millis(50);
-
-/// Room beside the answers for telling that there is none.
-const NO_ANSWERS: usize = 64 << 10;
-
-/// One accepted connection, as its replies see it.
-pub(crate) struct Incoming {
-    channel: Channel,
-    unanswered: Cell<usize>,
-    ended: Cell<bool>,
-    end: Notify,
-}
-
-impl Incoming {
-    /// Queues an answer. One for which there is no room is told as none, so that its caller doesn't wait; a peer that
-    /// reads nothing at all is cut off.
-    pub fn answer(&self, frame: Frame) {
-        self.unanswered.set(self.unanswered.get().saturating_sub(1));
-        if self.ended.get() {
-            return;
-        }
-        let none = Frame {
-            used: Use::Unanswered,
-            kind: 0,
-            call: frame.call,
-            body: Bytes::new(),
-        };
-        if !self.channel.push(frame, MOST_QUEUED)
-            && !self.channel.push(none, MOST_QUEUED + NO_ANSWERS)
-        {
-            self.finish();
-        }
-    }
-
-    /// Makes the connection's task end.
-    pub fn finish(&self) {
-        self.ended.set(true);
-        self.end.notify_one();
-    }
-}
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
 /// Why a connection ended.
 enum Ended {
     Closed,
-    Refused(FrameError),
+    Rejected(FrameError),
     Lost(std::io::Error),
-    NoHello,
-    Replaced,
+    HelloTimeout,
+    Superseded,
 }
 
 /// Accepts connections for ever.
-pub(crate) async fn serve(core: &Rc<Core>, listener: TcpListener, handler: Rc<dyn Handler>) {
+pub(crate) async fn serve(
+    registry: &Rc<Registry>,
+    listener: TcpListener,
+    handler: Rc<dyn Handler>,
+) {
+    let context = &registry.context;
     let mut tasks = JoinSet::new();
     loop {
         let accepted = tokio::select! {
@@ -78,150 +46,139 @@
             accepted = listener.accept() => accepted,
         };
         match accepted {
-            Ok((_, from)) if tasks.len() >= MOST_INCOMING => core.event(Event::TooMany { from }),
+            Ok((_, from)) if tasks.len() >= MAX_INCOMING => {
+                context.event(ConnectionEvent::TooMany { from });
+            }
             Ok((stream, from)) => {
-                tasks.spawn_local(connection(core.clone(), stream, from, handler.clone()));
+                let connection = Connection {
+                    registry: registry.clone(),
+                    accepted: Rc::new(Accepted::new(Channel::new(context.queued.clone()))),
+                    handler: handler.clone(),
+                };
+                tasks.spawn_local(connection.run(stream, from));
             }
-            Err(error) => {
-                core.event(Event::AcceptFailed { error });
-                tokio::time::sleep(AFTER_FAILED_ACCEPT).await;
+            Err(source) => {
+                context.event(ConnectionEvent::AcceptFailed { source });
+                tokio::time::sleep(ACCEPT_BACKOFF).await;
             }
         }
     }
 }
 
-async fn connection(
-    core: Rc<Core>,
-    mut stream: TcpStream,
-    from: SocketAddr,
+/// The task of an accepted connection.
+struct Connection {
+    registry: Rc<Registry>,
+    accepted: Rc<Accepted>,
     handler: Rc<dyn Handler>,
-) {
-    tune(&stream);
-    let incoming = Rc::new(Incoming {
-        channel: Channel::new(core.waiting.clone()),
-        unanswered: Cell::new(0),
-        ended: Cell::new(false),
-        end: Notify::new(),
-    });
-    let mut peer = None;
-    let ended = {
+}
+
+impl Connection {
+    async fn run(self, mut stream: TcpStream, from: SocketAddr) {
+        tune(&stream);
+        let mut peer = None;
+        let ended = self.exchange(&mut stream, &mut peer).await;
+        self.accepted.end();
+        if let Some(peer) = &peer {
+            self.registry.remove_incoming(peer.addr, &self.accepted);
+        }
+        let from = peer.map_or(from, |peer| peer.addr);
+        let context = &self.registry.context;
+        match ended {
+            Ended::Closed => {}
+            Ended::Rejected(source) => {
+                context.event(ConnectionEvent::Rejected { peer: from, source });
+            }
+            Ended::Lost(source) => context.event(ConnectionEvent::Lost { peer: from, source }),
+            Ended::HelloTimeout => context.event(ConnectionEvent::HelloTimeout { from }),
+            Ended::Superseded => context.event(ConnectionEvent::Superseded { peer: from }),
+        }
+    }
+
+    /// Reads and writes until the connection ends. `peer` is set once the hello has come.
+    async fn exchange(&self, stream: &mut TcpStream, peer: &mut Option<Rc<Peer>>) -> Ended {
         let (mut reader, mut writer) = stream.split();
-        let hello = core.hello.clone();
-        incoming.channel.begin(hello.len());
+        let channel = &self.accepted.channel;
+        let hello = self.registry.context.hello.clone();
+        channel.count_hello(hello.len());
         let write = async {
-            let mut stage = Stage::new(hello);
+            let mut batch = Batch::new(hello);
             loop {
-                if let Err(error) = incoming.channel.write(&mut stage, &mut writer).await {
+                if let Err(error) = channel.write(&mut batch, &mut writer).await {
                     return Ended::Lost(error);
                 }
-                incoming.channel.something().await;
+                channel.wait_for_frames().await;
             }
         };
-        let end = async {
-            while !incoming.ended.get() {
-                incoming.end.notified().await;
-            }
-            Ended::Replaced
-        };
         tokio::select! {
             biased;
-            ended = end => ended,
-            // First, so that the hello goes out even to a peer whose own is refused.
+            () = self.accepted.wait_closed() => Ended::Superseded,
+            // First, so that the hello goes out even to a peer whose own is rejected.
             ended = write => ended,
-            ended = read(&core, &incoming, &mut reader, &mut peer, &*handler) => ended,
+            ended = self.read(&mut reader, peer) => ended,
         }
-    };
-    incoming.ended.set(true);
-    incoming.channel.clear();
-    if let Some(peer) = &peer {
-        core.forget_incoming(peer.addr, &incoming);
-    }
-    let from = peer.map_or(from, |peer| peer.addr);
-    match ended {
-        Ended::Closed => {}
-        Ended::Refused(why) => core.event(Event::Refused { peer: from, why }),
-        Ended::Lost(error) => core.event(Event::Lost { peer: from, error }),
-        Ended::NoHello => core.event(Event::NoHello { from }),
-        Ended::Replaced => core.event(Event::CutOff { peer: from }),
     }
-}
 
-async fn read(
-    core: &Rc<Core>,
-    incoming: &Rc<Incoming>,
-    reader: &mut ReadHalf<'_>,
-    peer: &mut Option<Rc<Peer>>,
-    handler: &dyn Handler,
-) -> Ended {
-    let mut decoder = Decoder::new(MOST_BODY);
-    let hello = async {
-        loop {
-            match decoder.next_item() {
-                Ok(Some(Item::Hello(hello))) => return Ok(hello),
-                Ok(_) => {}
-                Err(why) => return Err(Ended::Refused(why)),
-            }
-            read_some(&mut decoder, reader).await?;
-        }
-    };
-    let from = match tokio::time::timeout(HELLO_WITHIN, hello).await {
-        Ok(Ok(hello)) => greeted(core, incoming, hello),
-        Ok(Err(ended)) => return ended,
-        Err(_) => return Ended::NoHello,
-    };
-    *peer = Some(from.clone());
-    loop {
+    async fn read(&self, reader: &mut ReadHalf<'_>, peer: &mut Option<Rc<Peer>>) -> Ended {
+        let mut decoder = Decoder::new(MAX_BODY_BYTES);
+        let hello = read_hello(&mut decoder, reader);
+        let from = match tokio::time::timeout(HELLO_TIMEOUT, hello).await {
+            Ok(Ok(hello)) => self.registry.context.learn_peer(hello),
+            Ok(Err(ended)) => return ended,
+            Err(_) => return Ended::HelloTimeout,
+        };
+        self.registry.add_incoming(from.addr, &self.accepted);
+        *peer = Some(from.clone());
         loop {
-            // The handler may have brought the connection to its end, and then nothing of it counts any more.
-            if incoming.ended.get() {
-                return Ended::Replaced;
-            }
-            match decoder.next_item() {
-                Ok(Some(Item::Frame(frame))) => {
-                    if let Err(why) = hand_over(incoming, &from, frame, handler) {
-                        return Ended::Refused(why);
+            loop {
+                // The handler may have ended the connection, and then nothing of it counts any
+                // more.
+                if self.accepted.is_closed() {
+                    return Ended::Superseded;
+                }
+                match decoder.next_item() {
+                    Ok(Some(Item::Frame(frame))) => {
+                        if let Err(error) = self.deliver(&from, frame) {
+                            return Ended::Rejected(error);
+                        }
                     }
+                    Ok(_) => break,
+                    Err(error) => return Ended::Rejected(error),
                 }
-                Ok(_) => break,
-                Err(why) => return Ended::Refused(why),
             }
-        }
-        if let Err(ended) = read_some(&mut decoder, reader).await {
-            return ended;
+            if let Err(ended) = read_some(&mut decoder, reader).await {
+                return ended;
+            }
         }
     }
-}
 
-/// A newer connection of a peer ends its older one, so that nothing old comes after something new.
-fn greeted(core: &Rc<Core>, incoming: &Rc<Incoming>, hello: Hello) -> Rc<Peer> {
-    let peer = core.learned(hello);
-    core.remember_incoming(peer.addr, incoming);
-    peer
+    fn deliver(&self, from: &Rc<Peer>, frame: Frame) -> Result<(), FrameError> {
+        match frame.frame_type {
+            FrameType::OneWay => self.handler.handle_message(from, frame.kind, frame.body),
+            FrameType::Call => {
+                let open_calls = self.accepted.call_received();
+                let (to, call_id) = (self.accepted.clone(), frame.call_id);
+                let reply = Reply::new(Route::Connection { to, call_id });
+                if open_calls <= MAX_CALLS_PER_CONNECTION {
+                    self.handler
+                        .handle_call(from, frame.kind, frame.body, reply);
+                }
+            }
+            // Messages and calls go one way on a connection, replies the other.
+            other @ (FrameType::Reply | FrameType::NoReply) => return Err(other.unexpected()),
+        }
+        Ok(())
+    }
 }
 
-fn hand_over(
-    incoming: &Rc<Incoming>,
-    from: &Rc<Peer>,
-    frame: Frame,
-    handler: &dyn Handler,
-) -> Result<(), FrameError> {
-    match frame.used {
-        Use::Tell => handler.told(from, frame.kind, frame.body),
-        Use::Call => {
-            incoming.unanswered.set(incoming.unanswered.get() + 1);
-            let reply = Reply::new(Route::Connection {
-                to: incoming.clone(),
-                call: frame.call,
-            });
-            if incoming.unanswered.get() <= MOST_CALLS_OF_A_PEER {
-                handler.called(from, frame.kind, frame.body, reply);
-            }
+async fn read_hello(decoder: &mut Decoder, reader: &mut ReadHalf<'_>) -> Result<Hello, Ended> {
+    loop {
+        match decoder.next_item() {
+            Ok(Some(Item::Hello(hello))) => return Ok(hello),
+            Ok(_) => {}
+            Err(error) => return Err(Ended::Rejected(error)),
         }
-        // Calls go one way on a connection, answers the other.
-        Use::Reply => return Err(FrameError::UnknownUse(2)),
-        Use::Unanswered => return Err(FrameError::UnknownUse(3)),
+        read_some(decoder, reader).await?;
     }
-    Ok(())
 }
 
 async fn read_some(decoder: &mut Decoder, reader: &mut ReadHalf<'_>) -> Result<(), Ended> {
--- a/crates/common/peer-transport/src/local.rs
+++ b/crates/common/peer-transport/src/local.rs
@@ -1,17 +1,25 @@
-//! Tells and calls to the process itself: no socket, but never inline either, so that a handler isn't entered twice.
+//! Messages and calls to the process itself: no socket, but never inline either, so that a handler
+//! isn't entered twice.
 
-use crate::links::{CallError, Core};
+use crate::call::CallSender;
+use crate::context::Context;
+use crate::limits::MAX_QUEUED_MESSAGE_BYTES;
 use crate::reply::{Reply, Route};
-use crate::MOST_QUEUED_TELLS;
 use bytes::Bytes;
+use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::rc::Rc;
-use tokio::sync::oneshot;
 use tokio::task::{spawn_local, AbortHandle};
 
+/// Delivers to the handler of the same process.
+pub(crate) struct LocalDelivery {
+    context: Rc<Context>,
+    queue: RefCell<Queue>,
+}
+
 #[derive(Default)]
-pub(crate) struct Local {
-    queue: VecDeque<Item>,
+struct Queue {
+    items: VecDeque<Item>,
     bytes: usize,
     task: Option<AbortHandle>,
 }
@@ -19,62 +27,65 @@
 struct Item {
     kind: u16,
     body: Bytes,
-    answer: Option<oneshot::Sender<Result<Bytes, CallError>>>,
+    /// None for a one-way message.
+    reply: Option<CallSender>,
 }
 
-impl Local {
-    /// Ends the task.
-    pub fn abort(&mut self) {
-        if let Some(task) = self.task.take() {
-            task.abort();
+impl LocalDelivery {
+    pub fn new(context: Rc<Context>) -> Self {
+        Self {
+            context,
+            queue: RefCell::default(),
         }
     }
-}
 
-/// Queues a tell, or a call if `answer` is given. False if it isn't taken.
-pub(crate) fn push(
-    core: &Rc<Core>,
-    kind: u16,
-    body: Bytes,
-    answer: Option<oneshot::Sender<Result<Bytes, CallError>>>,
-) -> bool {
-    let mut local = core.local.borrow_mut();
-    let full = !local.queue.is_empty() && local.bytes + body.len() > MOST_QUEUED_TELLS;
-    if full || core.handler().is_none() {
-        return false;
+    /// Queues a message, or a call if `reply` is given. False if it isn't taken.
+    pub fn push(self: &Rc<Self>, kind: u16, body: Bytes, reply: Option<CallSender>) -> bool {
+        let mut queue = self.queue.borrow_mut();
+        let full = !queue.items.is_empty() && queue.bytes + body.len() > MAX_QUEUED_MESSAGE_BYTES;
+        if full || self.context.handler().is_none() {
+            return false;
+        }
+        queue.bytes += body.len();
+        queue.items.push_back(Item { kind, body, reply });
+        if queue.task.is_none() {
+            queue.task = Some(spawn_local(self.clone().run()).abort_handle());
+        }
+        true
     }
-    local.bytes += body.len();
-    local.queue.push_back(Item { kind, body, answer });
-    if local.task.is_none() {
-        local.task = Some(spawn_local(run(core.clone())).abort_handle());
+
+    /// Ends the task.
+    pub fn abort(&self) {
+        if let Some(task) = self.queue.borrow_mut().task.take() {
+            task.abort();
+        }
     }
-    true
-}
 
-async fn run(core: Rc<Core>) {
-    loop {
-        let item = {
-            let mut local = core.local.borrow_mut();
-            let Some(item) = local.queue.pop_front() else {
-                local.task = None;
-                return;
+    async fn run(self: Rc<Self>) {
+        loop {
+            let item = {
+                let mut queue = self.queue.borrow_mut();
+                let Some(item) = queue.items.pop_front() else {
+                    queue.task = None;
+                    return;
+                };
+                queue.bytes -= item.body.len();
+                item
+            };
+            // Without a handler the process is about to end: a call's reply is dropped, and its
+            // outcome unknown.
+            let Some(handler) = self.context.handler() else {
+                continue;
             };
-            local.bytes -= item.body.len();
-            item
-        };
-        // Without a handler the process is about to end: a call's answer is dropped, and so unclear.
-        let Some(handler) = core.handler() else {
-            continue;
-        };
-        match item.answer {
-            None => handler.told(&core.own, item.kind, item.body),
-            Some(answer) => handler.called(
-                &core.own,
-                item.kind,
-                item.body,
-                Reply::new(Route::Local(answer)),
-            ),
+            let from = &self.context.local_peer;
+            match item.reply {
+                None => handler.handle_message(from, item.kind, item.body),
+                Some(sender) => {
+                    let reply = Reply::new(Route::Local(sender));
+                    handler.handle_call(from, item.kind, item.body, reply);
+                }
+            }
+            tokio::task::consume_budget().await;
         }
-        tokio::task::consume_budget().await;
     }
 }
--- a/crates/common/peer-transport/src/pending.rs
+++ b/crates/common/peer-transport/src/pending.rs
@@ -1,55 +1,55 @@
-//! The calls that wait for an answer from one address, by number. No I/O: answers, failures and callers that leave come in,
-//! the one to be told comes out.
+//! The calls that wait for a reply from one address, by id. No I/O: replies, failures and callers
+//! that leave come in, the waiter to be told comes out.
 //!
-//! A number is given once, over all connections to the address: an answer that comes twice, late, or to a call of an
-//! earlier connection finds nobody.
+//! An id is given once over all connections to the address: a reply that comes twice, late, or to a
+//! call of an earlier connection finds no waiter.
 
 use std::collections::HashMap;
 
-/// What waits at an address; `W` is told the answer.
+/// The calls that wait for a reply; `W` receives the outcome.
 #[derive(Debug)]
 pub struct PendingCalls<W> {
-    waiting: HashMap<u32, W>,
-    last: u32,
+    waiters: HashMap<u32, W>,
+    last_id: u32,
 }
 
 impl<W> Default for PendingCalls<W> {
     fn default() -> Self {
         PendingCalls {
-            waiting: HashMap::new(),
-            last: 0,
+            waiters: HashMap::new(),
+            last_id: 0,
         }
     }
 }
 
 impl<W> PendingCalls<W> {
-    /// The number that the next call gets: one that no call waits under, never 0.
-    pub fn next_number(&self) -> u32 {
-        let mut number = self.last.wrapping_add(1);
-        while number == 0 || self.waiting.contains_key(&number) {
-            number = number.wrapping_add(1);
+    /// The id that the next call gets: one that no call waits under, never 0.
+    pub fn next_id(&self) -> u32 {
+        let mut id = self.last_id.wrapping_add(1);
+        while id == 0 || self.waiters.contains_key(&id) {
+            id = id.wrapping_add(1);
         }
-        number
+        id
     }
 
-    /// A call with the number that [`PendingCalls::next_number`] gave waits from now on.
-    pub fn begin(&mut self, number: u32, waiter: W) {
-        self.last = number;
-        self.waiting.insert(number, waiter);
+    /// A call with the id that [`PendingCalls::next_id`] gave waits from now on.
+    pub fn insert(&mut self, id: u32, waiter: W) {
+        self.last_id = id;
+        self.waiters.insert(id, waiter);
     }
 
-    /// An answer to this number has come, or its caller leaves: whom it is for, if anybody still waits.
-    pub fn take(&mut self, number: u32) -> Option<W> {
-        self.waiting.remove(&number)
+    /// A reply with this id has come, or its caller leaves: the waiter, if the call still waits.
+    pub fn take(&mut self, id: u32) -> Option<W> {
+        self.waiters.remove(&id)
     }
 
-    /// The connection has ended: all who wait.
-    pub fn end_all(&mut self) -> impl Iterator<Item = (u32, W)> {
-        std::mem::take(&mut self.waiting).into_iter()
+    /// The connection has ended: all waiters with their ids.
+    pub fn take_all(&mut self) -> impl Iterator<Item = (u32, W)> {
+        std::mem::take(&mut self.waiters).into_iter()
     }
 
-    /// Whether nobody waits.
+    /// Whether no call waits.
     pub fn is_empty(&self) -> bool {
-        self.waiting.is_empty()
+        self.waiters.is_empty()
     }
 }
--- a/crates/common/peer-transport/src/reply.rs
+++ b/crates/common/peer-transport/src/reply.rs
@@ -1,19 +1,18 @@
-//! The answer to a call, to be given once.
+//! The reply to a call, to be given once.
 
-use crate::frame::{Frame, Use};
-use crate::incoming::Incoming;
-use crate::links::CallError;
-use crate::MOST_BODY;
+use crate::accepted::Accepted;
+use crate::call::{CallError, CallSender};
+use crate::frame::{Frame, FrameType};
+use crate::limits::MAX_BODY_BYTES;
 use bytes::Bytes;
 use std::rc::Rc;
-use tokio::sync::oneshot;
 
-/// Answers one call. Dropped without an answer, it tells the caller at once that none will come.
+/// Replies to one call. Dropped without a reply, it tells the caller at once that none will come.
 pub struct Reply(Option<Route>);
 
 pub(crate) enum Route {
-    Connection { to: Rc<Incoming>, call: u32 },
-    Local(oneshot::Sender<Result<Bytes, CallError>>),
+    Connection { to: Rc<Accepted>, call_id: u32 },
+    Local(CallSender),
 }
 
 impl Reply {
@@ -21,30 +20,31 @@
         Self(Some(route))
     }
 
-    /// Sends the answer. One that is longer than a frame may be counts as none.
+    /// Sends the reply. A body over [`MAX_BODY_BYTES`] counts as no reply.
     pub fn send(mut self, body: Bytes) {
-        let body = (body.len() <= MOST_BODY).then_some(body);
+        let body = (body.len() <= MAX_BODY_BYTES).then_some(body);
         self.finish(body);
     }
 
     fn finish(&mut self, body: Option<Bytes>) {
         match self.0.take() {
-            Some(Route::Connection { to, call }) => {
-                let used = if body.is_some() {
-                    Use::Reply
+            Some(Route::Connection { to, call_id }) => {
+                let frame_type = if body.is_some() {
+                    FrameType::Reply
                 } else {
-                    Use::Unanswered
+                    FrameType::NoReply
                 };
-                to.answer(Frame {
-                    used,
+                let body = body.unwrap_or_default();
+                to.reply(Frame {
+                    frame_type,
                     kind: 0,
-                    call,
-                    body: body.unwrap_or_default(),
+                    call_id,
+                    body,
                 });
             }
             Some(Route::Local(to)) => {
-                // The caller may have gone.
-                let _ = to.send(body.ok_or(CallError::Unclear));
+                // The caller may have left.
+                let _ = to.send(body.ok_or(CallError::Unknown));
             }
             None => {}
         }
--- a/crates/common/peer-transport/tests/bytes.rs
+++ b/crates/common/peer-transport/tests/bytes.rs
@@ -1,9 +1,10 @@
-//! The bytes of a hello and of each kind of frame, exactly, written and read. The page is docs/peer-frames.md.
+//! The bytes of a hello and of each frame type, exactly, encoded and decoded. The page is
+//! docs/peer-frames.md.
 
 #![expect(clippy::unwrap_used, reason = "a test ends at the first surprise")]
 
 use bytes::Bytes;
-use peer_transport::frame::{Decoder, Frame, Hello, Item, Use, HEAD, VERSION};
+use peer_transport::frame::{Decoder, Frame, FrameType, Hello, Item, HEADER_BYTES, VERSION};
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
@@ -57,36 +58,36 @@
 
 #[test]
 fn each_kind_of_frame_has_these_bytes() {
-    let frame = |used, kind, call, body| Frame {
-        used,
+    let frame = |frame_type, kind, call_id, body| Frame {
+        frame_type,
         kind,
-        call,
+        call_id,
         body: Bytes::from_static(body),
     };
     let cases = [
         (
-            frame(Use::Tell, 0x0203, 0, b"tell"),
+            frame(FrameType::OneWay, 0x0203, 0, b"tell"),
             "040000000302000000000074656c6c",
         ),
         (
-            frame(Use::Call, 0xfffe, 0x0a0b_0c0d, b""),
+            frame(FrameType::Call, 0xfffe, 0x0a0b_0c0d, b""),
             "00000000feff010d0c0b0a",
         ),
         (
-            frame(Use::Reply, 0, 0x0a0b_0c0d, b"\x00\xff"),
+            frame(FrameType::Reply, 0, 0x0a0b_0c0d, b"\x00\xff"),
             "020000000000020d0c0b0a00ff",
         ),
         (
-            frame(Use::Unanswered, 0, u32::MAX, b""),
+            frame(FrameType::NoReply, 0, u32::MAX, b""),
             "00000000000003ffffffff",
         ),
     ];
     for (frame, expected) in cases {
-        let bytes = [&frame.head()[..], &frame.body].concat();
+        let bytes = [&frame.header()[..], &frame.body].concat();
         assert_eq!(hex(&bytes), expected, "{frame:?}");
         assert_eq!(frame.len(), bytes.len());
         let whole = from_hex(&[HELLO, expected].concat());
         assert_eq!(decoded(&whole)[1..], [Item::Frame(frame)]);
     }
-    assert_eq!((HEAD, VERSION), (11, 1));
+    assert_eq!((HEADER_BYTES, VERSION), (11, 1));
 }
--- a/crates/common/peer-transport/tests/spoilt.rs
+++ b/crates/common/peer-transport/tests/corrupted.rs
@@ -1,14 +1,15 @@
-//! A stream of frames that was changed, cut, or of which a part came twice: what was whole before stays as it was, what is
-//! read of the rest is bounded by what came, and nothing panics.
+//! A stream of frames that was changed, truncated, or of which a part came twice: complete items
+//! before that stay as they were, what is decoded of the rest is bounded by what came, and nothing
+//! panics.
 
 #![expect(clippy::unwrap_used, reason = "a test ends at the first surprise")]
 
 use bytes::Bytes;
-use peer_transport::frame::{Decoder, Frame, Hello, Item, Use, HEAD};
+use peer_transport::frame::{Decoder, Frame, FrameType, Hello, Item, HEADER_BYTES};
 use proptest::prelude::*;
 
 const MOST: usize = 4_000;
-/// What a decoder sets aside beside a frame and what has come.
+/// What a decoder allocates beside a frame and what has come.
 const READ_AHEAD: usize = 64 << 10;
 
 fn hello() -> Hello {
@@ -21,22 +22,22 @@
 }
 
 fn frame() -> impl Strategy<Value = Frame> {
-    let used = prop_oneof![
-        Just(Use::Tell),
-        Just(Use::Call),
-        Just(Use::Reply),
-        Just(Use::Unanswered)
+    let frame_type = prop_oneof![
+        Just(FrameType::OneWay),
+        Just(FrameType::Call),
+        Just(FrameType::Reply),
+        Just(FrameType::NoReply)
     ];
     (
-        used,
+        frame_type,
         any::<u16>(),
         any::<u32>(),
         prop::collection::vec(any::<u8>(), 0..300),
     )
-        .prop_map(|(used, kind, call, body)| Frame {
-            used,
+        .prop_map(|(frame_type, kind, call_id, body)| Frame {
+            frame_type,
             kind,
-            call,
+            call_id,
             body: Bytes::from(body),
         })
 }
@@ -46,14 +47,14 @@
     let mut bytes = hello().encode().to_vec();
     let mut ends = vec![bytes.len()];
     for frame in frames {
-        bytes.extend_from_slice(&frame.head());
+        bytes.extend_from_slice(&frame.header());
         bytes.extend_from_slice(&frame.body);
         ends.push(bytes.len());
     }
     (bytes, ends)
 }
 
-/// What comes out until the first refusal, reading so many bytes at a time.
+/// What is decoded until the first rejection, reading so many bytes at a time.
 fn read(bytes: &[u8], at_once: usize) -> (Vec<Item>, bool) {
     let (mut decoder, mut items) = (Decoder::new(MOST), Vec::new());
     for piece in bytes.chunks(at_once) {
@@ -66,8 +67,8 @@
             }
         }
         assert!(
-            decoder.buffer().capacity() <= HEAD + MOST + READ_AHEAD,
-            "more than a frame is set aside"
+            decoder.buffer().capacity() <= HEADER_BYTES + MOST + READ_AHEAD,
+            "more than a frame is allocated"
         );
     }
     (items, false)
@@ -77,7 +78,7 @@
     #![proptest_config(ProptestConfig { cases: 512, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn what_came_whole_before_the_spoilt_place_is_as_it_was(
+    fn complete_items_before_the_corrupt_byte_are_unchanged(
         frames in prop::collection::vec(frame(), 0..6),
         at in any::<prop::sample::Index>(),
         len in 0usize..40,
@@ -99,21 +100,21 @@
         let whole = ends.iter().filter(|end| **end <= at).count();
         let mut expected = vec![Item::Hello(hello())];
         expected.extend(frames.iter().cloned().map(Item::Frame));
-        prop_assert!(items.len() >= whole, "{} of {} that had come whole", items.len(), whole);
+        prop_assert!(items.len() >= whole, "{} of {} complete ones", items.len(), whole);
         prop_assert_eq!(&items[..whole], &expected[..whole]);
-        // Each frame has a head that came: no more frames than that come out.
-        prop_assert!(items.len() <= 1 + bytes.len() / HEAD);
+        // Each frame has a header that came: no more frames than that are decoded.
+        prop_assert!(items.len() <= 1 + bytes.len() / HEADER_BYTES);
         if how == 1 {
-            prop_assert!(!refused && items.len() == whole, "of one cut short nothing is taken, and its rest waited for");
+            prop_assert!(!refused && items.len() == whole, "a truncated frame is not decoded");
         }
     }
 
-    /// The head of a frame that is announced as long as may be sets nothing aside beyond that, however often it comes.
+    /// The announced length of a frame allocates no more than the limit, however often it comes.
     #[test]
     fn announced_lengths_are_bounded(len in any::<u32>(), heads in 1usize..4) {
         let mut bytes = hello().encode().to_vec();
         for _ in 0..heads {
-            let mut head = Frame { used: Use::Tell, kind: 1, call: 0, body: Bytes::new() }.head();
+            let mut head = Frame { frame_type: FrameType::OneWay, kind: 1, call_id: 0, body: Bytes::new() }.header();
             head[..4].copy_from_slice(&len.to_le_bytes());
             bytes.extend_from_slice(&head);
         }
--- a/crates/common/peer-transport/tests/frames.rs
+++ b/crates/common/peer-transport/tests/frames.rs
@@ -1,10 +1,12 @@
-//! The bytes of a connection, without one.
+//! Encoding and decoding the bytes of a connection.
 
 #![expect(clippy::unwrap_used, reason = "a test ends at the first surprise")]
 
 use bytes::Bytes;
 use insta::assert_snapshot;
-use peer_transport::frame::{Decoder, Frame, FrameError, Hello, Item, Use, HEAD, VERSION};
+use peer_transport::frame::{
+    Decoder, Frame, FrameError, FrameType, Hello, Item, HEADER_BYTES, VERSION,
+};
 use proptest::prelude::*;
 use std::net::SocketAddr;
 
@@ -13,7 +15,7 @@
 fn hello() -> impl Strategy<Value = Hello> {
     (any::<SocketAddr>(), any::<u64>(), ".{0,40}", ".{0,40}").prop_map(|(addr, id, node, zone)| {
         Hello {
-            // Scope and flow of an IPv6 address aren't told.
+            // Scope and flow of an IPv6 address aren't encoded.
             addr: SocketAddr::new(addr.ip(), addr.port()),
             id,
             node: node.as_str().into(),
@@ -23,14 +25,19 @@
 }
 
 fn frame() -> impl Strategy<Value = Frame> {
-    let used = prop::sample::select(vec![Use::Tell, Use::Call, Use::Reply, Use::Unanswered]);
+    let frame_type = prop::sample::select(vec![
+        FrameType::OneWay,
+        FrameType::Call,
+        FrameType::Reply,
+        FrameType::NoReply,
+    ]);
     // Bodies on both sides of the length from which they aren't copied.
     let len = prop_oneof![0..200usize, 4000..4200usize, 10_000..50_000usize];
-    (used, any::<u16>(), any::<u32>(), len, any::<u8>()).prop_map(
-        |(used, kind, call, len, byte)| Frame {
-            used,
+    (frame_type, any::<u16>(), any::<u32>(), len, any::<u8>()).prop_map(
+        |(frame_type, kind, call_id, len, byte)| Frame {
+            frame_type,
             kind,
-            call,
+            call_id,
             body: Bytes::from(vec![byte; len]),
         },
     )
@@ -39,7 +46,7 @@
 fn bytes(hello: &Hello, frames: &[Frame]) -> Vec<u8> {
     let mut bytes = hello.encode().to_vec();
     for frame in frames {
-        bytes.extend_from_slice(&frame.head());
+        bytes.extend_from_slice(&frame.header());
         bytes.extend_from_slice(&frame.body);
     }
     bytes
@@ -64,7 +71,7 @@
 
 proptest! {
     #[test]
-    fn any_split_of_the_bytes_gives_the_same(
+    fn any_split_of_the_bytes_decodes_the_same(
         hello in hello(),
         frames in prop::collection::vec(frame(), 0..8),
         reads in prop::collection::vec(1..20_000usize, 1..20),
@@ -88,7 +95,7 @@
     }
 
     #[test]
-    fn one_byte_at_a_time_gives_the_same(hello in hello(), frames in prop::collection::vec(frame(), 0..2)) {
+    fn byte_by_byte_decodes_the_same(hello in hello(), frames in prop::collection::vec(frame(), 0..2)) {
         let mut decoder = Decoder::new(MOST);
         let mut items = Vec::new();
         for byte in bytes(&hello, &frames) {
@@ -99,7 +106,7 @@
     }
 
     #[test]
-    fn any_bytes_are_taken(
+    fn arbitrary_bytes_are_decoded_or_rejected(
         greeted: bool,
         bytes in prop::collection::vec(any::<u8>(), 0..500),
         reads in prop::collection::vec(1..100usize, 1..20),
@@ -120,7 +127,7 @@
     }
 
     #[test]
-    fn a_changed_hello_is_refused_or_read(hello in hello(), at in any::<prop::sample::Index>(), byte: u8) {
+    fn a_changed_hello_is_decoded_or_rejected(hello in hello(), at in any::<prop::sample::Index>(), byte: u8) {
         let mut bytes = hello.encode().to_vec();
         let at = at.index(bytes.len());
         bytes[at] = byte;
@@ -140,38 +147,38 @@
 }
 
 #[test]
-fn what_is_refused_says_why() {
+fn rejections_say_why() {
     assert_snapshot!(refused(b"GET / HTTP/1.1\r\n"), @"not a peer of the tier: the connection doesn't begin with a hello");
-    // Three bytes are enough to see it.
+    // Three bytes are enough to tell.
     assert_snapshot!(refused(b"GET"), @"not a peer of the tier: the connection doesn't begin with a hello");
     assert_snapshot!(refused(b"FRP"), @"0 items");
     let mut newer = some_hello().encode().to_vec();
     newer[4] = VERSION as u8 + 1;
-    // The version is seen before the rest is there.
-    assert_snapshot!(refused(&newer[..8]), @"the peer speaks version 2 of the frames, this program speaks 1");
+    // The version is checked before the rest is there.
+    assert_snapshot!(refused(&newer[..8]), @"unsupported protocol version 2, expected 1");
     let mut bad = some_hello().encode().to_vec();
     bad[16] = 5;
-    assert_snapshot!(refused(&bad), @"the hello can't be read");
+    assert_snapshot!(refused(&bad), @"malformed hello");
     let mut long = some_hello().encode().to_vec();
     long[7] = 255;
-    assert_snapshot!(refused(&long), @"the hello can't be read");
+    assert_snapshot!(refused(&long), @"malformed hello");
     let frame = |len| Frame {
-        used: Use::Tell,
+        frame_type: FrameType::OneWay,
         kind: 1,
-        call: 0,
+        call_id: 0,
         body: Bytes::from(vec![0; len]),
     };
     assert_snapshot!(refused(&bytes(&some_hello(), &[frame(1000)])), @"2 items");
-    assert_snapshot!(refused(&bytes(&some_hello(), &[frame(1001)])), @"a frame of 1001 bytes is announced, 1000 are the most");
+    assert_snapshot!(refused(&bytes(&some_hello(), &[frame(1001)])), @"frame body of 1001 bytes exceeds the limit of 1000");
     let mut unknown = bytes(&some_hello(), &[frame(0)]);
-    let flags = unknown.len() - HEAD + 6;
+    let flags = unknown.len() - HEADER_BYTES + 6;
     unknown[flags] = 9;
-    assert_snapshot!(refused(&unknown), @"a frame has the unknown use 9");
+    assert_snapshot!(refused(&unknown), @"unexpected frame type 9");
 }
 
-/// Names that are too long are cut between characters.
+/// Names that are too long are truncated between characters.
 #[test]
-fn long_names_are_cut() {
+fn long_names_are_truncated() {
     let hello = Hello {
         node: "ä".repeat(200).as_str().into(),
         ..some_hello()
@@ -184,9 +191,9 @@
     assert_eq!(back.node, "ä".repeat(127));
 }
 
-/// A hello may say more than this program knows.
+/// A hello may have more fields than this program knows.
 #[test]
-fn what_comes_after_the_known_fields_of_a_hello_is_passed_over() {
+fn unknown_fields_of_a_hello_are_ignored() {
     let mut bytes = some_hello().encode().to_vec();
     let len = bytes.len() - 8 + 5;
     bytes[6] = len as u8;
@@ -197,13 +204,13 @@
     assert_eq!(decoder.next_item(), Ok(None));
 }
 
-/// A small body that is kept doesn't keep the buffer it came in.
+/// A small body that is kept doesn't keep the buffer that it came in.
 #[test]
 fn small_bodies_are_copied_and_long_ones_are_not() {
     let frame = |len| Frame {
-        used: Use::Tell,
+        frame_type: FrameType::OneWay,
         kind: 1,
-        call: 0,
+        call_id: 0,
         body: Bytes::from(vec![1; len]),
     };
     let mut decoder = Decoder::new(MOST);
--- a/crates/common/peer-transport/tests/pending_threads.rs
+++ b/crates/common/peer-transport/tests/pending_threads.rs
@@ -1,9 +1,10 @@
-//! The real table of pending calls between callers, an answerer, one who ends the connection and callers that leave, in the
-//! orders that a scheduler may give them between any two looks at the table. Each caller gets the answer to its own call, or
-//! an error, once; nobody waits for ever.
+//! The real table of pending calls between callers, a peer that replies, an end of the connection
+//! and callers that leave, in the interleavings that a scheduler may choose between any two
+//! accesses to the table. Each caller gets the reply to its own call, or an error, once; no caller
+//! waits for ever.
 //!
-//! `pending.rs` plays whole events in every order; here a step may come amid another, as it could were one of them split
-//! by a wait.
+//! `pending.rs` plays complete events in every order; here a step may come amid another, as it
+//! could were one of them split by an await.
 
 #![expect(clippy::unwrap_used, reason = "a test ends at the first surprise")]
 
@@ -18,48 +19,49 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum Fault {
     None,
-    /// The number is looked up in one turn and taken in another.
-    NumberInTwoTurns,
-    /// Whoever ends the connection begins a new table, so that numbers are given again while answers are on their way.
-    NumbersBeginAnew,
-    /// The end of the connection tells those who wait and leaves them in the table.
+    /// The id is looked up in one turn and inserted in another.
+    IdInTwoTurns,
+    /// The end of the connection begins a new table, so that ids are given again while replies are
+    /// in flight.
+    IdsRestart,
+    /// The end of the connection fails the waiting calls and leaves them in the table.
     LeftInTable,
 }
 
 const CALLERS: u32 = 3;
-/// Orders that are drawn: all planted faults show within a fraction of them.
+/// Interleavings that are drawn: all planted faults show within a fraction of them.
 const ORDERS: usize = 1_000;
 
-/// What a caller gets: whose call was answered, or that the connection has ended.
+/// What a caller gets: whose call was replied to, or that the connection has ended.
 type Outcome = Result<u32, ()>;
 
 struct Shared {
     table: PendingCalls<Sender<Outcome>>,
-    /// To the peer, by the connection that is open now: the number of a call, and who makes it.
+    /// To the peer, by the connection that is open now: the id of a call, and its caller.
     wire: Sender<(u32, u32)>,
 }
 
 fn call(fault: Fault, shared: &Mutex<Shared>, caller: u32) -> (u32, Receiver<Outcome>) {
     let (waiter, outcome) = channel();
-    if fault == Fault::NumberInTwoTurns {
-        let number = shared.lock().unwrap().table.next_number();
+    if fault == Fault::IdInTwoTurns {
+        let number = shared.lock().unwrap().table.next_id();
         let mut shared = shared.lock().unwrap();
-        shared.table.begin(number, waiter);
+        shared.table.insert(number, waiter);
         let _ = shared.wire.send((number, caller));
         return (number, outcome);
     }
     let mut shared = shared.lock().unwrap();
-    let number = shared.table.next_number();
-    shared.table.begin(number, waiter);
+    let number = shared.table.next_id();
+    shared.table.insert(number, waiter);
     let _ = shared.wire.send((number, caller));
     (number, outcome)
 }
 
-/// The peer's answers as they come in; those of an earlier connection may come late.
-fn answers(shared: &Mutex<Shared>, calls: &Receiver<(u32, u32)>) {
+/// The peer's replies as they come in; those of an earlier connection may come late.
+fn replies(shared: &Mutex<Shared>, calls: &Receiver<(u32, u32)>) {
     while let Ok((number, caller)) = calls.recv() {
         let waiter = shared.lock().unwrap().table.take(number);
-        // One that left or has heard of the end needs no answer.
+        // A caller that left or was failed needs no reply.
         if let Some(waiter) = waiter {
             let _ = waiter.send(Ok(caller));
         }
@@ -68,14 +70,14 @@
 
 fn end_connection(fault: Fault, shared: &Mutex<Shared>) {
     let mut shared = shared.lock().unwrap();
-    let ended: Vec<(u32, Sender<Outcome>)> = shared.table.end_all().collect();
+    let ended: Vec<(u32, Sender<Outcome>)> = shared.table.take_all().collect();
     for (number, waiter) in ended {
         let _ = waiter.send(Err(()));
         if fault == Fault::LeftInTable {
-            shared.table.begin(number, waiter);
+            shared.table.insert(number, waiter);
         }
     }
-    if fault == Fault::NumbersBeginAnew {
+    if fault == Fault::IdsRestart {
         shared.table = PendingCalls::default();
     }
 }
@@ -88,7 +90,7 @@
     }));
     let answerer = {
         let shared = Arc::clone(&shared);
-        thread::spawn(move || answers(&shared, &calls))
+        thread::spawn(move || replies(&shared, &calls))
     };
     let ender = {
         let shared = Arc::clone(&shared);
@@ -100,13 +102,13 @@
             thread::spawn(move || {
                 let (number, outcome) = call(fault, &shared, caller);
                 if caller == 0 {
-                    // It leaves without waiting: its number is nobody's from then on.
+                    // It leaves without waiting: its id is nobody's from then on.
                     shared.lock().unwrap().table.take(number);
                     return;
                 }
                 match outcome.recv() {
                     Ok(Ok(answered)) => {
-                        assert_eq!(answered, caller, "an answer went to another caller")
+                        assert_eq!(answered, caller, "a reply went to another caller")
                     }
                     Ok(Err(())) => {}
                     Err(_) => panic!("a caller was forgotten"),
@@ -120,29 +122,25 @@
         .for_each(|caller| caller.join().unwrap());
     ender.join().unwrap();
     let mut shared = shared.lock().unwrap();
-    assert!(shared.table.is_empty(), "somebody is left in the table");
-    // The wire ends with the last who could write to it, and then the answerer does.
+    assert!(shared.table.is_empty(), "a call is left in the table");
+    // The wire closes with its last sender, and then the answering thread ends.
     shared.wire = channel().0;
     drop(shared);
     answerer.join().unwrap();
 }
 
 #[test]
-fn each_caller_gets_its_own_answer_or_an_error_once() {
+fn each_caller_gets_its_own_reply_or_an_error_once() {
     shuttle::check_random(|| play(Fault::None), ORDERS);
     shuttle::check_pct(|| play(Fault::None), ORDERS, 3);
 }
 
 #[test]
-fn each_planted_fault_is_found() {
-    for fault in [
-        Fault::NumberInTwoTurns,
-        Fault::NumbersBeginAnew,
-        Fault::LeftInTable,
-    ] {
+fn each_planted_fault_is_detected() {
+    for fault in [Fault::IdInTwoTurns, Fault::IdsRestart, Fault::LeftInTable] {
         let played = catch_unwind(AssertUnwindSafe(|| {
             shuttle::check_random(move || play(fault), ORDERS)
         }));
-        assert!(played.is_err(), "{fault:?} is not found");
+        assert!(played.is_err(), "{fault:?} is not detected");
     }
 }
--- a/crates/common/peer-transport/tests/sockets.rs
+++ b/crates/common/peer-transport/tests/sockets.rs
@@ -1,12 +1,12 @@
-//! Processes that speak with each other over the loopback.
+//! Processes that exchange frames over the loopback.
 
 #![expect(clippy::unwrap_used, reason = "a test ends at the first surprise")]
 
 mod support;
 
 use bytes::Bytes;
-use peer_transport::frame::{Frame, Item, Use, HEAD};
-use peer_transport::{CallError, MOST_BODY, MOST_QUEUED, MOST_QUEUED_TELLS};
+use peer_transport::frame::{Frame, FrameType, Item, HEADER_BYTES};
+use peer_transport::{CallError, MAX_BODY_BYTES, MAX_QUEUED_BYTES, MAX_QUEUED_MESSAGE_BYTES};
 use std::time::Duration;
 use support::*;
 use tokio::task::spawn_local;
@@ -16,85 +16,85 @@
 }
 
 #[test]
-fn tells_come_in_order_and_say_whom_they_are_from() {
+fn messages_arrive_in_order_with_their_sender() {
     run(async {
         let (one, other) = (process(1).await, process(2).await);
         for at in 0..5000u32 {
-            // Long ones between short ones: they are written from another place.
+            // Long bodies between short ones: they aren't gathered.
             let body = if at % 100 == 7 {
                 [&at.to_le_bytes()[..], &[1; 9000]].concat().into()
             } else {
                 number(at)
             };
-            one.links.tell(other.addr, 5, body);
+            one.transport.send(other.addr, 5, body);
         }
         other
-            .notes
-            .until(|notes| notes.told.borrow().len() == 5000)
+            .received
+            .until(|received| received.messages.borrow().len() == 5000)
             .await;
-        for (at, (from, kind, body)) in other.notes.told.borrow().iter().enumerate() {
+        for (at, (from, kind, body)) in other.received.messages.borrow().iter().enumerate() {
             assert_eq!((&body[..4], *kind), (&(at as u32).to_le_bytes()[..], 5));
             assert_eq!(
                 (from.addr, from.id, &*from.node, &*from.zone),
                 (one.addr, 1, "node-1", "zone")
             );
         }
-        assert_eq!(one.links.counters().tells_dropped, 0);
-        assert_eq!(one.links.waiting(), 0);
-        assert_eq!(one.links.peer(other.addr).unwrap().id, 2);
+        assert_eq!(one.transport.counters().messages_dropped, 0);
+        assert_eq!(one.transport.queued_bytes(), 0);
+        assert_eq!(one.transport.peer(other.addr).unwrap().id, 2);
     });
 }
 
 #[test]
-fn calls_are_answered_each_with_its_own() {
+fn each_call_gets_its_own_reply() {
     run(async {
         let (one, other) = (process(1).await, process(2).await);
         let calls: Vec<_> = (0..500)
             .map(|at| {
-                let (links, to) = (one.links.clone(), other.addr);
-                spawn_local(async move { links.call(to, ECHO, number(at), LONG).await })
+                let (transport, to) = (one.transport.clone(), other.addr);
+                spawn_local(async move { transport.call(to, ECHO, number(at), LONG).await })
             })
             .collect();
         for (at, call) in calls.into_iter().enumerate() {
             assert_eq!(call.await.unwrap(), Ok(number(at as u32)));
         }
-        // Both ways at once, on a connection for each.
+        // The other direction, on a connection of its own.
         assert_eq!(
-            other.links.call(one.addr, ECHO, number(9), LONG).await,
+            other.transport.call(one.addr, ECHO, number(9), LONG).await,
             Ok(number(9))
         );
-        let longest = Bytes::from(vec![3; MOST_BODY]);
+        let longest = Bytes::from(vec![3; MAX_BODY_BYTES]);
         assert_eq!(
-            one.links
+            one.transport
                 .call(other.addr, ECHO, longest.clone(), LONG)
                 .await,
             Ok(longest)
         );
-        let longer = Bytes::from(vec![3; MOST_BODY + 1]);
+        let longer = Bytes::from(vec![3; MAX_BODY_BYTES + 1]);
         assert_eq!(
-            one.links.call(other.addr, ECHO, longer, LONG).await,
+            one.transport.call(other.addr, ECHO, longer, LONG).await,
             Err(CallError::NotSent)
         );
     });
 }
 
 #[test]
-fn a_dropped_reply_is_told_at_once() {
+fn a_dropped_reply_ends_the_call_at_once() {
     run(async {
         let (one, other) = (process(1).await, process(2).await);
         assert_eq!(
-            one.links.call(other.addr, DROP, number(1), LONG).await,
-            Err(CallError::Unclear)
+            one.transport.call(other.addr, DROP, number(1), LONG).await,
+            Err(CallError::Unknown)
         );
-        // An answer that is too long is none.
-        let much = number(MOST_BODY as u32 + 1);
+        // A reply that is too long counts as none.
+        let much = number(MAX_BODY_BYTES as u32 + 1);
         assert_eq!(
-            one.links.call(other.addr, MUCH, much, LONG).await,
-            Err(CallError::Unclear)
+            one.transport.call(other.addr, MUCH, much, LONG).await,
+            Err(CallError::Unknown)
         );
-        // The connection is as good as before.
+        // The connection still works.
         assert_eq!(
-            one.links.call(other.addr, ECHO, number(2), LONG).await,
+            one.transport.call(other.addr, ECHO, number(2), LONG).await,
             Ok(number(2))
         );
         assert!(one.events.borrow().is_empty());
@@ -102,20 +102,20 @@
 }
 
 #[test]
-fn answers_may_come_in_any_order_and_late() {
+fn replies_may_come_out_of_order() {
     run(async {
         let (one, other) = (process(1).await, process(2).await);
         let calls: Vec<_> = (0..3)
             .map(|at| {
-                let (links, to) = (one.links.clone(), other.addr);
-                spawn_local(async move { links.call(to, KEEP, number(at), LONG).await })
+                let (transport, to) = (one.transport.clone(), other.addr);
+                spawn_local(async move { transport.call(to, DEFER, number(at), LONG).await })
             })
             .collect();
         other
-            .notes
-            .until(|notes| notes.kept.borrow().len() == 3)
+            .received
+            .until(|received| received.replies.borrow().len() == 3)
             .await;
-        let kept = other.notes.kept.take();
+        let kept = other.received.replies.take();
         for (at, reply) in kept.into_iter().enumerate().rev() {
             reply.send(number(10 + at as u32));
         }
@@ -126,23 +126,23 @@
 }
 
 #[test]
-fn a_peer_that_dies_in_a_call_leaves_it_unclear() {
+fn a_peer_that_dies_in_a_call_leaves_its_outcome_unknown() {
     run(async {
         let (one, other) = (process(1).await, process(2).await);
         let call = {
-            let (links, to) = (one.links.clone(), other.addr);
-            spawn_local(async move { links.call(to, KEEP, number(1), LONG).await })
+            let (transport, to) = (one.transport.clone(), other.addr);
+            spawn_local(async move { transport.call(to, DEFER, number(1), LONG).await })
         };
         other
-            .notes
-            .until(|notes| !notes.kept.borrow().is_empty())
+            .received
+            .until(|received| !received.replies.borrow().is_empty())
             .await;
         other.serving.abort();
-        assert_eq!(call.await.unwrap(), Err(CallError::Unclear));
-        // A reply that comes too late goes nowhere.
+        assert_eq!(call.await.unwrap(), Err(CallError::Unknown));
+        // A reply to an ended call is ignored.
         other
-            .notes
-            .kept
+            .received
+            .replies
             .take()
             .into_iter()
             .for_each(|reply| reply.send(number(2)));
@@ -150,30 +150,30 @@
 }
 
 #[test]
-fn nobody_there_is_not_sent_and_pauses() {
+fn a_refused_connection_is_not_sent_and_backs_off() {
     run(async {
         let one = process(1).await;
         let (listener, addr) = listener().await;
         drop(listener);
         assert_eq!(
-            one.links.call(addr, ECHO, number(1), LONG).await,
+            one.transport.call(addr, ECHO, number(1), LONG).await,
             Err(CallError::NotSent)
         );
         assert_eq!(one.events.borrow().len(), 1);
-        // Within the pause nothing is tried.
+        // In the backoff nothing is tried.
         assert_eq!(
-            one.links.call(addr, ECHO, number(1), LONG).await,
+            one.transport.call(addr, ECHO, number(1), LONG).await,
             Err(CallError::NotSent)
         );
-        one.links.tell(addr, 5, number(1));
+        one.transport.send(addr, 5, number(1));
         assert_eq!(one.events.borrow().len(), 1);
-        assert_eq!(one.links.counters().tells_dropped, 1);
-        assert_eq!(one.links.counters().calls_refused, 1);
+        assert_eq!(one.transport.counters().messages_dropped, 1);
+        assert_eq!(one.transport.counters().calls_rejected, 1);
     });
 }
 
 #[test]
-fn an_unknown_version_is_refused_by_both_sides() {
+fn an_unsupported_version_is_rejected_by_both_sides() {
     run(async {
         let one = process(1).await;
         let (listener, addr) = listener().await;
@@ -186,22 +186,22 @@
         assert!(raw.next().await.is_none());
 
         let call = spawn_local({
-            let links = one.links.clone();
-            async move { links.call(addr, ECHO, number(1), LONG).await }
+            let transport = one.transport.clone();
+            async move { transport.call(addr, ECHO, number(1), LONG).await }
         });
         let mut raw = Raw::new(listener.accept().await.unwrap().0);
         assert!(raw.frame().await.is_some());
         raw.send(&newer).await;
-        assert_eq!(call.await.unwrap(), Err(CallError::Unclear));
+        assert_eq!(call.await.unwrap(), Err(CallError::Unknown));
         let events = one.events.borrow();
         assert_eq!(events.len(), 2);
         for event in &*events {
             assert!(
-                event.ends_with("the peer speaks version 7 of the frames, this program speaks 1"),
+                event.ends_with("unsupported protocol version 7, expected 1"),
                 "{event}"
             );
         }
-        assert!(one.notes.told.borrow().is_empty());
+        assert!(one.received.messages.borrow().is_empty());
     });
 }
 
@@ -212,50 +212,50 @@
         let (_listener, addr) = listener().await;
         let mut raw = Raw::connect(one.addr).await;
         raw.send(&hello(9, addr).encode()).await;
-        let tell = Frame {
-            used: Use::Tell,
+        let message = Frame {
+            frame_type: FrameType::OneWay,
             kind: 5,
-            call: 0,
+            call_id: 0,
             body: number(1),
         };
-        raw.send(&frame_bytes(&tell)).await;
-        let mut head = tell.head();
-        head[..4].copy_from_slice(&(MOST_BODY as u32 + 1).to_le_bytes());
-        raw.send(&head[..HEAD]).await;
+        raw.send(&frame_bytes(&message)).await;
+        let mut head = message.header();
+        head[..4].copy_from_slice(&(MAX_BODY_BYTES as u32 + 1).to_le_bytes());
+        raw.send(&head[..HEADER_BYTES]).await;
         assert!(raw.frame().await.is_none());
-        // What came whole before it counts.
-        assert_eq!(one.notes.told.borrow().len(), 1);
+        // The complete frame before it counts.
+        assert_eq!(one.received.messages.borrow().len(), 1);
         let reason = format!(
-            "connection with {addr} refused: a frame of 8388609 bytes is announced, 8388608 are the most"
+            "connection with {addr} rejected: frame body of 8388609 bytes exceeds the limit of 8388608"
         );
         assert_eq!(*one.events.borrow(), [reason]);
     });
 }
 
 #[test]
-fn answers_on_the_wrong_side_end_the_connection() {
+fn frames_in_the_wrong_direction_end_the_connection() {
     run(async {
         let one = process(1).await;
         let (listener, addr) = listener().await;
         let mut raw = Raw::connect(one.addr).await;
         raw.send(&hello(9, addr).encode()).await;
         raw.send(&frame_bytes(&Frame {
-            used: Use::Reply,
+            frame_type: FrameType::Reply,
             kind: 0,
-            call: 3,
+            call_id: 3,
             body: Bytes::new(),
         }))
         .await;
         assert!(raw.frame().await.is_none());
 
-        one.links.tell(addr, 5, number(1));
+        one.transport.send(addr, 5, number(1));
         let mut raw = Raw::new(listener.accept().await.unwrap().0);
         raw.send(&hello(9, addr).encode()).await;
         assert!(raw.frame().await.is_some());
         raw.send(&frame_bytes(&Frame {
-            used: Use::Tell,
+            frame_type: FrameType::OneWay,
             kind: 5,
-            call: 0,
+            call_id: 0,
             body: Bytes::new(),
         }))
         .await;
@@ -264,173 +264,181 @@
     });
 }
 
-/// One peer that reads nothing fills its own queue; others are spoken to as before.
+/// A peer that reads nothing fills its own queue; others are reached as before.
 #[test]
-fn a_peer_that_never_reads_blocks_nobody() {
+fn a_peer_that_never_reads_blocks_no_other() {
     run(async {
         let (one, other) = (process(1).await, process(2).await);
         let (deaf, addr) = listener().await;
         let body = Bytes::from(vec![1; 100_000]);
         for _ in 0..20 {
-            one.links.tell(addr, 5, body.clone());
+            one.transport.send(addr, 5, body.clone());
         }
         let _held = deaf.accept().await.unwrap();
         let mut sent = 20;
-        while one.links.counters().tells_dropped == 0 {
-            one.links.tell(addr, 5, body.clone());
+        while one.transport.counters().messages_dropped == 0 {
+            one.transport.send(addr, 5, body.clone());
             sent += 1;
             assert_eq!(
-                one.links.call(other.addr, ECHO, number(sent), LONG).await,
+                one.transport
+                    .call(other.addr, ECHO, number(sent), LONG)
+                    .await,
                 Ok(number(sent))
             );
-            assert!(one.links.waiting() <= MOST_QUEUED_TELLS);
+            assert!(one.transport.queued_bytes() <= MAX_QUEUED_MESSAGE_BYTES);
         }
-        // A call that waits behind them was certainly not sent.
+        // A call that is queued behind them was certainly not sent.
         let short = Duration::from_millis(1);
         assert_eq!(
-            one.links.call(addr, ECHO, number(1), short).await,
+            one.transport.call(addr, ECHO, number(1), short).await,
             Err(CallError::NotSent)
         );
     });
 }
 
-/// Answers that nobody reads don't fill the memory: those without room are told as none.
+/// Replies that nobody reads don't fill the memory: those that don't fit are replaced by no reply.
 #[test]
-fn answers_wait_within_bounds() {
+fn queued_replies_are_bounded() {
     run(async {
         let one = process(1).await;
         let (_listener, addr) = listener().await;
         let mut raw = Raw::connect(one.addr).await;
         raw.send(&hello(9, addr).encode()).await;
-        for call in 0..8 {
-            let body = number(MOST_BODY as u32);
+        for call_id in 0..8 {
+            let body = number(MAX_BODY_BYTES as u32);
             raw.send(&frame_bytes(&Frame {
-                used: Use::Call,
+                frame_type: FrameType::Call,
                 kind: MUCH,
-                call,
+                call_id,
                 body,
             }))
             .await;
         }
-        one.notes
-            .until(|notes| notes.called.borrow().len() == 8)
+        one.received
+            .until(|received| received.called.borrow().len() == 8)
             .await;
-        assert!(one.links.waiting() <= MOST_QUEUED);
+        assert!(one.transport.queued_bytes() <= MAX_QUEUED_BYTES);
         let mut answers = Vec::new();
         while answers.len() < 8 {
             let Some(frame) = raw.frame().await else {
                 break;
             };
-            answers.push((frame.call, frame.used, frame.body.len()));
+            answers.push((frame.call_id, frame.frame_type, frame.body.len()));
         }
-        // A machine that is too busy to read for a second is cut off, and only then some may be missing.
+        // A machine that is too busy to read for a second is disconnected, and only then some may
+        // be missing.
         assert!(
             answers.len() == 8 || one.events.borrow()[0].contains("timed out"),
             "{answers:?}"
         );
-        for (call, (number, used, len)) in answers.into_iter().enumerate() {
+        for (call, (number, frame_type, len)) in answers.into_iter().enumerate() {
             let expected = if call < 2 {
-                (Use::Reply, MOST_BODY)
+                (FrameType::Reply, MAX_BODY_BYTES)
             } else {
-                (Use::Unanswered, 0)
+                (FrameType::NoReply, 0)
             };
-            assert_eq!((number as usize, used, len), (call, expected.0, expected.1));
+            assert_eq!(
+                (number as usize, frame_type, len),
+                (call, expected.0, expected.1)
+            );
         }
     });
 }
 
 #[test]
-fn a_call_that_is_given_up_may_be_answered_later() {
+fn a_late_reply_to_an_abandoned_call_is_ignored() {
     run(async {
         let (one, other) = (process(1).await, process(2).await);
         assert_eq!(
-            one.links.call(other.addr, ECHO, number(1), LONG).await,
+            one.transport.call(other.addr, ECHO, number(1), LONG).await,
             Ok(number(1))
         );
         let short = Duration::from_millis(20);
         assert_eq!(
-            one.links.call(other.addr, KEEP, number(1), short).await,
-            Err(CallError::Unclear)
+            one.transport
+                .call(other.addr, DEFER, number(1), short)
+                .await,
+            Err(CallError::Unknown)
         );
         other
-            .notes
-            .kept
+            .received
+            .replies
             .take()
             .into_iter()
             .for_each(|reply| reply.send(number(2)));
         assert_eq!(
-            one.links.call(other.addr, ECHO, number(3), LONG).await,
+            one.transport.call(other.addr, ECHO, number(3), LONG).await,
             Ok(number(3))
         );
     });
 }
 
-/// A peer that comes back with another identity is known by it from its first hello on.
+/// A peer that restarts with another identity is known by it from its first hello on.
 #[test]
 fn a_restarted_peer_is_known_by_its_new_identity() {
     run(async {
         let one = process(1).await;
         let (_listener, addr) = listener().await;
-        let tell = |at| {
+        let message = |at| {
             frame_bytes(&Frame {
-                used: Use::Tell,
+                frame_type: FrameType::OneWay,
                 kind: 5,
-                call: 0,
+                call_id: 0,
                 body: number(at),
             })
         };
         let mut before = Raw::connect(one.addr).await;
         before
-            .send(&[&hello(8, addr).encode()[..], &tell(1)].concat())
+            .send(&[&hello(8, addr).encode()[..], &message(1)].concat())
             .await;
-        one.notes
-            .until(|notes| notes.told.borrow().len() == 1)
+        one.received
+            .until(|received| received.messages.borrow().len() == 1)
             .await;
         let mut after = Raw::connect(one.addr).await;
         after
-            .send(&[&hello(9, addr).encode()[..], &tell(2)].concat())
+            .send(&[&hello(9, addr).encode()[..], &message(2)].concat())
             .await;
-        one.notes
-            .until(|notes| notes.told.borrow().len() == 2)
+        one.received
+            .until(|received| received.messages.borrow().len() == 2)
             .await;
-        // The older connection is over.
+        // The older connection is closed.
         assert!(before.frame().await.is_none());
         let ids: Vec<u64> = one
-            .notes
-            .told
+            .received
+            .messages
             .borrow()
             .iter()
             .map(|(from, ..)| from.id)
             .collect();
         assert_eq!(ids, [8, 9]);
-        assert_eq!(one.links.peer(addr).unwrap().id, 9);
+        assert_eq!(one.transport.peer(addr).unwrap().id, 9);
     });
 }
 
 #[test]
-fn tells_and_calls_to_oneself_go_the_same_way() {
+fn messages_and_calls_to_itself_reach_the_own_handler() {
     run(async {
         let one = process(1).await;
-        assert!(one.links.local(one.addr));
+        assert!(one.transport.is_local(one.addr));
         assert_eq!(
-            one.links.call(one.addr, ECHO, number(1), LONG).await,
+            one.transport.call(one.addr, ECHO, number(1), LONG).await,
             Ok(number(1))
         );
         assert_eq!(
-            one.links.call(one.addr, DROP, number(1), LONG).await,
-            Err(CallError::Unclear)
+            one.transport.call(one.addr, DROP, number(1), LONG).await,
+            Err(CallError::Unknown)
         );
         for at in 0..100 {
-            one.links.tell(one.addr, 5, number(at));
+            one.transport.send(one.addr, 5, number(at));
         }
         assert!(
-            one.notes.told.borrow().is_empty(),
-            "the handler isn't entered from within a tell"
+            one.received.messages.borrow().is_empty(),
+            "the handler isn't entered from within send"
         );
-        one.notes
-            .until(|notes| notes.told.borrow().len() == 100)
+        one.received
+            .until(|received| received.messages.borrow().len() == 100)
             .await;
-        let told = one.notes.told.borrow();
+        let told = one.received.messages.borrow();
         assert!(told
             .iter()
             .enumerate()
@@ -438,14 +446,14 @@
     });
 }
 
-/// Everything that is queued in a turn goes out together.
+/// Everything that is queued in a turn of the event loop goes out together.
 #[test]
-fn what_is_queued_in_a_turn_comes_in_one_piece() {
+fn frames_queued_in_a_turn_go_out_in_one_write() {
     run(async {
         let one = process(1).await;
         let (listener, addr) = listener().await;
         for at in 0..100 {
-            one.links.tell(addr, 5, number(at));
+            one.transport.send(addr, 5, number(at));
         }
         let stream = listener.accept().await.unwrap().0;
         let mut buffer = vec![0; 64 << 10];
@@ -455,8 +463,8 @@
                 break read;
             }
         };
-        let expected =
-            hello(1, one.addr).encode().len() + "node-1".len() - "raw".len() + 100 * (HEAD + 4);
+        let expected = hello(1, one.addr).encode().len() + "node-1".len() - "raw".len()
+            + 100 * (HEADER_BYTES + 4);
         assert_eq!(read, expected);
     });
 }
@@ -466,39 +474,40 @@
     run(async {
         let (one, other) = (process(1).await, process(2).await);
         for _ in 0..1000 {
-            one.links.tell(other.addr, 5, Bytes::from(vec![0; 2000]));
+            one.transport
+                .send(other.addr, 5, Bytes::from(vec![0; 2000]));
         }
-        assert!(one.links.waiting() > 0);
-        assert!(one.links.flush(LONG).await);
-        assert_eq!(one.links.waiting(), 0);
+        assert!(one.transport.queued_bytes() > 0);
+        assert!(one.transport.flush(LONG).await);
+        assert_eq!(one.transport.queued_bytes(), 0);
         other
-            .notes
-            .until(|notes| notes.told.borrow().len() == 1000)
+            .received
+            .until(|received| received.messages.borrow().len() == 1000)
             .await;
-        assert!(one.links.flush(Duration::ZERO).await);
+        assert!(one.transport.flush(Duration::ZERO).await);
     });
 }
 
-/// Dropping the links ends the connections; calls that are under way end with it.
+/// Dropping the transport ends its connections.
 #[test]
-fn dropped_links_leave_nothing_behind() {
+fn a_dropped_transport_closes_its_connections() {
     run(async {
         let other = process(2).await;
         let (_listener, addr) = listener().await;
-        let me = peer_transport::Me {
+        let me = peer_transport::Peer {
             addr,
             id: 1,
             node: "node-1".into(),
             zone: "zone".into(),
         };
-        let links = peer_transport::Links::new(me);
-        links.tell(other.addr, 5, number(1));
+        let transport = peer_transport::Transport::new(me);
+        transport.send(other.addr, 5, number(1));
         other
-            .notes
-            .until(|notes| notes.told.borrow().len() == 1)
+            .received
+            .until(|received| received.messages.borrow().len() == 1)
             .await;
-        assert_eq!(other.links.peer(addr).unwrap().id, 1);
-        drop(links);
+        assert_eq!(other.transport.peer(addr).unwrap().id, 1);
+        drop(transport);
         // A new connection is the only one then.
         let mut raw = Raw::connect(other.addr).await;
         raw.send(&hello(3, addr).encode()).await;
@@ -506,8 +515,8 @@
     });
 }
 
-/// A call and the other end of its connection, which is driven by hand and has read the call.
-async fn called_by_hand(
+/// A call and the other end of its connection, which is driven by the test and has read the call.
+async fn open_call(
     one: &Process,
     listener: &tokio::net::TcpListener,
     body: Bytes,
@@ -516,31 +525,31 @@
     Raw,
     Frame,
 ) {
-    let (links, to) = (one.links.clone(), listener.local_addr().unwrap());
-    let call = spawn_local(async move { links.call(to, ECHO, body, LONG).await });
+    let (transport, to) = (one.transport.clone(), listener.local_addr().unwrap());
+    let call = spawn_local(async move { transport.call(to, ECHO, body, LONG).await });
     let mut raw = Raw::new(listener.accept().await.unwrap().0);
     raw.send(&hello(9, to).encode()).await;
     let frame = raw.frame().await.unwrap();
     (call, raw, frame)
 }
 
-fn reply(call: u32, body: Bytes) -> Vec<u8> {
+fn reply(call_id: u32, body: Bytes) -> Vec<u8> {
     frame_bytes(&Frame {
-        used: Use::Reply,
+        frame_type: FrameType::Reply,
         kind: 0,
-        call,
+        call_id,
         body,
     })
 }
 
-/// Calls once more, after the pause that follows a failure.
+/// Calls once more, after the backoff that follows a failure.
 async fn call_again(
     one: &Process,
     to: std::net::SocketAddr,
     body: Bytes,
 ) -> Result<Bytes, CallError> {
     for _ in 0..500 {
-        match one.links.call(to, ECHO, body.clone(), LONG).await {
+        match one.transport.call(to, ECHO, body.clone(), LONG).await {
             Err(CallError::NotSent) => tokio::time::sleep(Duration::from_millis(5)).await,
             said => return said,
         }
@@ -548,17 +557,18 @@
     Err(CallError::NotSent)
 }
 
-/// The peer answers a call twice, answers one that nobody made, and answers out of turn: each caller gets its own.
+/// The peer replies twice, replies to a call that nobody made, and out of order: each caller gets
+/// its own reply.
 #[test]
-fn surplus_answers_and_those_to_no_call_reach_nobody() {
+fn surplus_replies_are_ignored() {
     run(async {
         let one = process(1).await;
         let (listener, addr) = listener().await;
-        let (first, mut raw, frame) = called_by_hand(&one, &listener, number(1)).await;
-        let surplus = reply(frame.call, number(99));
+        let (first, mut raw, frame) = open_call(&one, &listener, number(1)).await;
+        let surplus = reply(frame.call_id, number(99));
         raw.send(
             &[
-                &reply(frame.call, number(11))[..],
+                &reply(frame.call_id, number(11))[..],
                 &surplus,
                 &surplus,
                 &reply(77, number(98)),
@@ -567,39 +577,40 @@
         )
         .await;
         assert_eq!(first.await.unwrap(), Ok(number(11)));
-        let links = one.links.clone();
-        let second = spawn_local(async move { links.call(addr, ECHO, number(2), LONG).await });
+        let transport = one.transport.clone();
+        let second = spawn_local(async move { transport.call(addr, ECHO, number(2), LONG).await });
         let frame = raw.frame().await.unwrap();
-        raw.send(&[&surplus[..], &reply(frame.call, number(12))].concat())
+        raw.send(&[&surplus[..], &reply(frame.call_id, number(12))].concat())
             .await;
         assert_eq!(second.await.unwrap(), Ok(number(12)));
     });
 }
 
-/// A peer ends its sending, is started again at its address, and the new one answers the number of a call to the old one.
+/// A peer shuts its sending side, restarts at its address, and the new one replies to the id of a
+/// call to the old one.
 #[test]
-fn an_answer_to_a_call_of_an_earlier_connection_reaches_nobody() {
+fn a_reply_to_a_call_of_an_earlier_connection_is_ignored() {
     run(async {
         let one = process(1).await;
         let (listener, addr) = listener().await;
-        let (first, mut raw, before) = called_by_hand(&one, &listener, number(1)).await;
+        let (first, mut raw, before) = open_call(&one, &listener, number(1)).await;
         tokio::io::AsyncWriteExt::shutdown(&mut raw.stream)
             .await
             .unwrap();
         assert_eq!(
             first.await.unwrap(),
-            Err(CallError::Unclear),
+            Err(CallError::Unknown),
             "it was written, and may have been acted on"
         );
         let answer = async {
             let mut raw = Raw::new(listener.accept().await.unwrap().0);
             raw.send(&hello(10, addr).encode()).await;
             let frame = raw.frame().await.unwrap();
-            assert_ne!(frame.call, before.call, "a number is given once");
+            assert_ne!(frame.call_id, before.call_id, "an id is given once");
             raw.send(
                 &[
-                    reply(before.call, number(99)),
-                    reply(frame.call, number(12)),
+                    reply(before.call_id, number(99)),
+                    reply(frame.call_id, number(12)),
                 ]
                 .concat(),
             )
@@ -611,18 +622,19 @@
     });
 }
 
-/// A reset while one call is written whole and another in part: only the second has certainly not been received.
+/// A reset while one call is completely written and another partly: only the second has certainly
+/// not been received.
 #[test]
-fn a_call_that_was_written_in_part_is_not_sent_and_one_that_was_written_whole_is_unclear() {
+fn a_partly_written_call_is_not_sent_and_a_completely_written_one_is_unknown() {
     run(async {
         let one = process(1).await;
         let (listener, addr) = listener().await;
-        let (whole, raw, _) = called_by_hand(&one, &listener, number(1)).await;
-        let links = one.links.clone();
-        let body = Bytes::from(vec![7; MOST_BODY]);
-        let part = spawn_local(async move { links.call(addr, ECHO, body, LONG).await });
-        // Nothing more is read here: what the system takes of it is far less than the whole.
-        while one.links.waiting() == 0 {
+        let (whole, raw, _) = open_call(&one, &listener, number(1)).await;
+        let transport = one.transport.clone();
+        let body = Bytes::from(vec![7; MAX_BODY_BYTES]);
+        let part = spawn_local(async move { transport.call(addr, ECHO, body, LONG).await });
+        // Nothing more is read here: the system takes far less than all of it.
+        while one.transport.queued_bytes() == 0 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
@@ -630,47 +642,47 @@
             .set_linger(Some(Duration::ZERO))
             .unwrap();
         drop(raw);
-        assert_eq!(whole.await.unwrap(), Err(CallError::Unclear));
+        assert_eq!(whole.await.unwrap(), Err(CallError::Unknown));
         assert_eq!(part.await.unwrap(), Err(CallError::NotSent));
-        assert_eq!(one.links.waiting(), 0);
+        assert_eq!(one.transport.queued_bytes(), 0);
     });
 }
 
-// Everything starts at once: a process that was refused by one that came later waited for the end of its pause, though the
-// other one had spoken to it by then.
+// Regression: when everything starts at once, a process that was refused by one that came later
+// waited for the end of its backoff, though the other one had connected to it by then.
 #[test]
-fn a_pause_ends_when_the_peer_shows_that_it_is_up() {
+fn a_backoff_ends_when_the_peer_connects() {
     run(async {
         let one = process(1).await;
         let (nobody, addr) = listener().await;
         drop(nobody);
-        // The pauses grow.
-        while one.links.counters().calls_refused < 20 {
-            let refused = one.links.call(addr, ECHO, Bytes::new(), LONG).await;
+        // The backoff grows.
+        while one.transport.counters().calls_rejected < 20 {
+            let refused = one.transport.call(addr, ECHO, Bytes::new(), LONG).await;
             assert_eq!(refused, Err(CallError::NotSent));
             tokio::task::yield_now().await;
         }
         let other = start(2, tokio::net::TcpListener::bind(addr).await.unwrap(), addr);
         assert_eq!(
-            one.links.call(addr, ECHO, Bytes::new(), LONG).await,
+            one.transport.call(addr, ECHO, Bytes::new(), LONG).await,
             Err(CallError::NotSent),
-            "a pause"
+            "a backoff"
         );
-        other.links.tell(one.addr, 5, Bytes::new());
-        one.notes
-            .until(|notes| !notes.told.borrow().is_empty())
+        other.transport.send(one.addr, 5, Bytes::new());
+        one.received
+            .until(|received| !received.messages.borrow().is_empty())
             .await;
         assert_eq!(
-            one.links.call(addr, ECHO, Bytes::from("x"), LONG).await,
+            one.transport.call(addr, ECHO, Bytes::from("x"), LONG).await,
             Ok(Bytes::from("x"))
         );
     });
 }
 
-// The first packet of a connection that goes to a machine without power is lost, and the system repeats it only after a
-// second. Here a listener with no room for it stands for that machine.
+// Regression: the first packet of a connection to a machine without power is lost, and the system
+// repeats it only after a second. Here a listener with a full backlog stands for that machine.
 #[test]
-fn an_attempt_that_gets_no_answer_has_another_one_beside_it() {
+fn an_unanswered_connection_attempt_is_hedged() {
     run(async {
         let one = process(1).await;
         let full = tokio::net::TcpSocket::new_v4().unwrap();
@@ -683,11 +695,11 @@
         while fill.iter().filter(|stream| stream.is_finished()).count() < 2 {
             tokio::task::yield_now().await;
         }
-        let links = one.links.clone();
-        let call = async move { links.call(addr, ECHO, Bytes::from("x"), LONG).await };
+        let transport = one.transport.clone();
+        let call = async move { transport.call(addr, ECHO, Bytes::from("x"), LONG).await };
         let call = tokio::task::spawn_local(call);
         tokio::task::yield_now().await;
-        // From now on there is room for the next packet.
+        // From now on the backlog has room for the next packet.
         drop(full);
         let listener = tokio::net::TcpSocket::new_v4().unwrap();
         listener.set_reuseaddr(true).unwrap();
@@ -704,49 +716,50 @@
     });
 }
 
-/// What is refused is counted, whoever said it: a stranger, one of another version, one that answers where it should ask. What
-/// came whole before it was handed over, once; what comes after it is nobody's.
+/// Rejected connections are counted: a stranger's, of another version, with a frame in the wrong
+/// direction. Complete frames before the rejected bytes were delivered, once; nothing after them
+/// is.
 #[test]
-fn connections_that_are_refused_are_counted_and_give_nothing_half() {
+fn rejected_connections_are_counted_and_deliver_complete_frames_only() {
     run(async {
         let process = process(1).await;
         let hello = hello(2, "127.0.0.1:1".parse().unwrap()).encode();
-        let tell = frame_bytes(&Frame {
-            used: Use::Tell,
+        let message = frame_bytes(&Frame {
+            frame_type: FrameType::OneWay,
             kind: 5,
-            call: 0,
+            call_id: 0,
             body: number(7),
         });
         let reply = frame_bytes(&Frame {
-            used: Use::Reply,
+            frame_type: FrameType::Reply,
             kind: 0,
-            call: 3,
+            call_id: 3,
             body: number(8),
         });
         let mut newer = hello.to_vec();
         newer[4] = newer[4].wrapping_add(1);
-        let mut unknown = tell.clone();
+        let mut unknown = message.clone();
         unknown[6] = 9;
-        let mut long = tell.clone();
+        let mut long = message.clone();
         long[..4].copy_from_slice(&u32::MAX.to_le_bytes());
-        let spoilt: [Vec<u8>; 5] = [
+        let corrupt: [Vec<u8>; 5] = [
             b"GET / HTTP/1.1\r\n\r\n".to_vec(),
             newer,
-            [&hello[..], &tell, &unknown, &tell].concat(),
-            [&hello[..], &tell, &long, &tell].concat(),
-            [&hello[..], &tell, &reply, &tell].concat(),
+            [&hello[..], &message, &unknown, &message].concat(),
+            [&hello[..], &message, &long, &message].concat(),
+            [&hello[..], &message, &reply, &message].concat(),
         ];
-        for (refused, bytes) in (1u64..).zip(spoilt) {
+        for (refused, bytes) in (1u64..).zip(corrupt) {
             let mut peer = Raw::connect(process.addr).await;
             peer.send(&bytes).await;
-            // Its end: the connection is closed on it.
+            // The connection is closed on it.
             while peer.next().await.is_some() {}
-            assert_eq!(process.links.counters().connections_refused, refused);
+            assert_eq!(process.transport.counters().connections_rejected, refused);
         }
         assert_eq!(
-            process.notes.told.borrow().len(),
+            process.received.messages.borrow().len(),
             3,
-            "one of each that spoke well at first"
+            "one of each that began correctly"
         );
     });
 }
--- a/crates/common/peer-transport/tests/support/mod.rs
+++ b/crates/common/peer-transport/tests/support/mod.rs
@@ -1,9 +1,9 @@
-//! Processes that listen on the loopback, and a handler that writes down what it is told.
+//! Processes that listen on the loopback, and a handler that records what it receives.
 #![allow(dead_code)]
 
 use bytes::Bytes;
 use peer_transport::frame::{Decoder, Frame, Hello, Item};
-use peer_transport::{Handler, Links, Me, Peer, Reply};
+use peer_transport::{Handler, Peer, Reply, Transport};
 use std::cell::RefCell;
 use std::future::Future;
 use std::net::SocketAddr;
@@ -14,28 +14,28 @@
 use tokio::sync::Notify;
 use tokio::task::{spawn_local, JoinHandle, LocalSet};
 
-/// What nothing takes that works.
+/// Longer than anything takes that works.
 pub const LONG: Duration = Duration::from_secs(20);
 
-/// Calls of this kind are answered with their body.
+/// Calls of this kind get their body as the reply.
 pub const ECHO: u16 = 1;
 /// The replies to calls of this kind are dropped.
 pub const DROP: u16 = 2;
 /// The replies to calls of this kind are kept until the test asks for them.
-pub const KEEP: u16 = 3;
-/// Calls of this kind are answered with as many bytes as their body says.
+pub const DEFER: u16 = 3;
+/// Calls of this kind get as many bytes as their body says.
 pub const MUCH: u16 = 4;
 
 #[derive(Default)]
-pub struct Notes {
-    pub told: RefCell<Vec<(Rc<Peer>, u16, Bytes)>>,
+pub struct Received {
+    pub messages: RefCell<Vec<(Rc<Peer>, u16, Bytes)>>,
     pub called: RefCell<Vec<u16>>,
-    pub kept: RefCell<Vec<Reply>>,
+    pub replies: RefCell<Vec<Reply>>,
     changed: Notify,
 }
 
-impl Notes {
-    /// Waits until it is so.
+impl Received {
+    /// Waits until the condition holds.
     pub async fn until(&self, is: impl Fn(&Self) -> bool) {
         while !is(self) {
             self.changed.notified().await;
@@ -43,17 +43,17 @@
     }
 }
 
-impl Handler for Notes {
-    fn told(&self, from: &Rc<Peer>, kind: u16, body: Bytes) {
-        self.told.borrow_mut().push((from.clone(), kind, body));
+impl Handler for Received {
+    fn handle_message(&self, from: &Rc<Peer>, kind: u16, body: Bytes) {
+        self.messages.borrow_mut().push((from.clone(), kind, body));
         self.changed.notify_one();
     }
 
-    fn called(&self, _from: &Rc<Peer>, kind: u16, body: Bytes, reply: Reply) {
+    fn handle_call(&self, _from: &Rc<Peer>, kind: u16, body: Bytes, reply: Reply) {
         self.called.borrow_mut().push(kind);
         match kind {
             ECHO => reply.send(body),
-            KEEP => self.kept.borrow_mut().push(reply),
+            DEFER => self.replies.borrow_mut().push(reply),
             MUCH => reply
                 .send(vec![0; u32::from_le_bytes(body[..].try_into().unwrap()) as usize].into()),
             _ => drop(reply),
@@ -62,11 +62,11 @@
     }
 }
 
-/// A process.
+/// A process with a transport.
 pub struct Process {
     pub addr: SocketAddr,
-    pub links: Rc<Links>,
-    pub notes: Rc<Notes>,
+    pub transport: Rc<Transport>,
+    pub received: Rc<Received>,
     pub events: Rc<RefCell<Vec<String>>>,
     pub serving: JoinHandle<()>,
 }
@@ -84,22 +84,22 @@
 
 pub fn start(id: u64, listener: TcpListener, addr: SocketAddr) -> Process {
     let events = Rc::new(RefCell::new(Vec::new()));
-    let me = Me {
+    let me = Peer {
         addr,
         id,
         node: format!("node-{id}").as_str().into(),
         zone: "zone".into(),
     };
-    let links = Links::with_events(me, {
+    let transport = Transport::with_events(me, {
         let events = events.clone();
         move |event| events.borrow_mut().push(event.to_string())
     });
-    let notes = Rc::new(Notes::default());
-    let serving = spawn_local(links.clone().serve(listener, notes.clone()));
+    let received = Rc::new(Received::default());
+    let serving = spawn_local(transport.clone().serve(listener, received.clone()));
     Process {
         addr,
-        links,
-        notes,
+        transport,
+        received,
         events,
         serving,
     }
@@ -129,10 +129,10 @@
 }
 
 pub fn frame_bytes(frame: &Frame) -> Vec<u8> {
-    [&frame.head()[..], &frame.body].concat()
+    [&frame.header()[..], &frame.body].concat()
 }
 
-/// The other end of a connection, driven by hand.
+/// The other end of a connection, driven by the test.
 pub struct Raw {
     pub stream: TcpStream,
     decoder: Decoder,
@@ -142,7 +142,7 @@
     pub fn new(stream: TcpStream) -> Self {
         Self {
             stream,
-            decoder: Decoder::new(peer_transport::MOST_BODY),
+            decoder: Decoder::new(peer_transport::MAX_BODY_BYTES),
         }
     }
 
--- a/crates/common/peer-transport/tests/times.rs
+++ b/crates/common/peer-transport/tests/times.rs
@@ -1,13 +1,15 @@
-//! Pauses, idleness and deadlines, with a clock that jumps to the next timer when there is nothing to do.
+//! Backoff, idleness and time-outs, with a clock that jumps to the next timer when there is nothing
+//! to do.
 
 #![expect(clippy::unwrap_used, reason = "a test ends at the first surprise")]
 
 mod support;
 
 use bytes::Bytes;
-use peer_transport::frame::{Frame, Item, Use};
+use peer_transport::frame::{Frame, FrameType, Item};
 use peer_transport::{
-    CallError, Links, Me, CONNECT_WITHIN, HELLO_WITHIN, IDLE_CLOSE, LEAST_PAUSE, MOST_PAUSE,
+    CallError, Peer, Transport, CONNECT_TIMEOUT, HELLO_TIMEOUT, IDLE_TIMEOUT,
+    RECONNECT_BACKOFF_MAX, RECONNECT_BACKOFF_MIN,
 };
 use std::cell::Cell;
 use std::future::Future;
@@ -29,10 +31,10 @@
     runtime.block_on(LocalSet::new().run_until(test));
 }
 
-/// Links that listen nowhere, and how many connections of theirs were lost.
-fn caller() -> (Rc<Links>, Rc<Cell<usize>>) {
+/// A transport that listens nowhere, and how many of its connections were lost.
+fn caller() -> (Rc<Transport>, Rc<Cell<usize>>) {
     let lost = Rc::new(Cell::new(0));
-    let me = Me {
+    let me = Peer {
         addr: "127.0.0.1:1".parse().unwrap(),
         id: 1,
         node: "one".into(),
@@ -40,17 +42,17 @@
     };
     let count = lost.clone();
     (
-        Links::with_events(me, move |_| count.set(count.get() + 1)),
+        Transport::with_events(me, move |_| count.set(count.get() + 1)),
         lost,
     )
 }
 
 /// How long nothing is tried after a connection has just been lost.
-async fn pause(links: &Links, lost: &Cell<usize>, to: SocketAddr) -> Duration {
+async fn backoff(transport: &Transport, lost: &Cell<usize>, to: SocketAddr) -> Duration {
     let (start, before) = (Instant::now(), lost.get());
     loop {
         assert_eq!(
-            links.call(to, ECHO, Bytes::new(), LONG).await,
+            transport.call(to, ECHO, Bytes::new(), LONG).await,
             Err(CallError::NotSent)
         );
         if lost.get() > before {
@@ -61,86 +63,97 @@
 }
 
 #[test]
-fn pauses_grow_and_start_anew_after_a_success() {
+fn backoff_grows_and_resets_after_a_success() {
     run_paused(async {
-        let (links, lost) = caller();
+        let (transport, lost) = caller();
         let (nobody, addr) = listener().await;
         drop(nobody);
-        links
+        transport
             .call(addr, ECHO, Bytes::new(), LONG)
             .await
             .unwrap_err();
-        let mut pauses = Vec::new();
+        let mut backoffs = Vec::new();
         for _ in 0..10 {
-            pauses.push(pause(&links, &lost, addr).await);
+            backoffs.push(backoff(&transport, &lost, addr).await);
         }
-        for (failures, pause) in pauses.iter().enumerate() {
-            let most = (LEAST_PAUSE + LEAST_PAUSE * (1 << failures)).min(MOST_PAUSE) + STEP;
+        for (failures, backoff) in backoffs.iter().enumerate() {
+            let most = (RECONNECT_BACKOFF_MIN + RECONNECT_BACKOFF_MIN * (1 << failures))
+                .min(RECONNECT_BACKOFF_MAX)
+                + STEP;
             assert!(
-                *pause >= LEAST_PAUSE && *pause <= most,
-                "{pause:?} after {failures} more"
+                *backoff >= RECONNECT_BACKOFF_MIN && *backoff <= most,
+                "{backoff:?} after {failures} more"
             );
         }
         assert!(
-            pauses.iter().any(|pause| *pause > MOST_PAUSE / 2),
-            "{pauses:?}"
+            backoffs
+                .iter()
+                .any(|backoff| *backoff > RECONNECT_BACKOFF_MAX / 2),
+            "{backoffs:?}"
         );
 
         let other = start(2, tokio::net::TcpListener::bind(addr).await.unwrap(), addr);
-        advance(MOST_PAUSE).await;
+        advance(RECONNECT_BACKOFF_MAX).await;
         assert_eq!(
-            links.call(addr, ECHO, Bytes::new(), LONG).await,
+            transport.call(addr, ECHO, Bytes::new(), LONG).await,
             Ok(Bytes::new())
         );
         other.serving.abort();
         let _ = other.serving.await;
         // The connection ends, and the next one can't be opened.
-        while links.call(addr, ECHO, Bytes::new(), LONG).await != Err(CallError::NotSent) {}
-        let pause = pause(&links, &lost, addr).await;
-        assert!(pause <= 2 * LEAST_PAUSE + STEP, "{pause:?}");
+        while transport.call(addr, ECHO, Bytes::new(), LONG).await != Err(CallError::NotSent) {}
+        let backoff = backoff(&transport, &lost, addr).await;
+        assert!(backoff <= 2 * RECONNECT_BACKOFF_MIN + STEP, "{backoff:?}");
     });
 }
 
 #[test]
 fn an_idle_connection_is_closed_and_opened_again() {
     run_paused(async {
-        let (links, lost) = caller();
+        let (transport, lost) = caller();
         let (listener, addr) = listener().await;
-        links.tell(addr, 5, Bytes::new());
+        transport.send(addr, 5, Bytes::new());
         let mut raw = Raw::new(listener.accept().await.unwrap().0);
         raw.send(&hello(2, addr).encode()).await;
         let start = Instant::now();
         assert!(raw.frame().await.is_some());
         assert!(raw.frame().await.is_none());
-        assert!(start.elapsed() >= IDLE_CLOSE && start.elapsed() <= IDLE_CLOSE * 3 / 2 + STEP);
+        assert!(start.elapsed() >= IDLE_TIMEOUT && start.elapsed() <= IDLE_TIMEOUT * 3 / 2 + STEP);
         assert_eq!(lost.get(), 0);
-        // There is no pause after that.
-        links.tell(addr, 5, Bytes::new());
+        // There is no backoff after that.
+        transport.send(addr, 5, Bytes::new());
         let mut raw = Raw::new(listener.accept().await.unwrap().0);
         assert!(raw.frame().await.is_some());
-        assert_eq!(links.counters().tells_dropped, 0);
+        assert_eq!(transport.counters().messages_dropped, 0);
     });
 }
 
 #[test]
 fn a_connection_with_an_open_call_is_not_idle() {
     run_paused(async {
-        let (links, _) = caller();
+        let (transport, _) = caller();
         let (listener, addr) = listener().await;
         let call = spawn_local({
-            let links = links.clone();
-            async move { links.call(addr, ECHO, Bytes::new(), 10 * IDLE_CLOSE).await }
+            let transport = transport.clone();
+            async move {
+                transport
+                    .call(addr, ECHO, Bytes::new(), 10 * IDLE_TIMEOUT)
+                    .await
+            }
         });
         let mut raw = Raw::new(listener.accept().await.unwrap().0);
         raw.send(&hello(2, addr).encode()).await;
-        let Some(Frame { call: number, .. }) = raw.frame().await else {
+        let Some(Frame {
+            call_id: number, ..
+        }) = raw.frame().await
+        else {
             panic!("no call")
         };
-        tokio::time::sleep(5 * IDLE_CLOSE).await;
+        tokio::time::sleep(5 * IDLE_TIMEOUT).await;
         raw.send(&frame_bytes(&Frame {
-            used: Use::Reply,
+            frame_type: FrameType::Reply,
             kind: 0,
-            call: number,
+            call_id: number,
             body: Bytes::from("x"),
         }))
         .await;
@@ -149,16 +162,16 @@
 }
 
 #[test]
-fn calls_end_at_their_time() {
+fn calls_time_out() {
     run_paused(async {
-        let (links, lost) = caller();
+        let (transport, lost) = caller();
         let (listener, addr) = listener().await;
         let within = Duration::from_millis(700);
         let start = Instant::now();
-        // The other end takes it and says nothing.
+        // The other end receives it and sends nothing.
         assert_eq!(
-            links.call(addr, ECHO, Bytes::new(), within).await,
-            Err(CallError::Unclear)
+            transport.call(addr, ECHO, Bytes::new(), within).await,
+            Err(CallError::Unknown)
         );
         assert!(
             start.elapsed() >= within && start.elapsed() <= within + 2 * STEP,
@@ -167,36 +180,37 @@
         );
         assert_eq!(lost.get(), 0);
         let mut raw = Raw::new(listener.accept().await.unwrap().0);
-        // An answer that comes too late is passed over.
+        // A reply that comes too late is ignored.
         raw.send(&hello(2, addr).encode()).await;
         let late = Frame {
-            used: Use::Reply,
+            frame_type: FrameType::Reply,
             kind: 0,
-            call: raw.frame().await.unwrap().call,
+            call_id: raw.frame().await.unwrap().call_id,
             body: Bytes::new(),
         };
         raw.send(&frame_bytes(&late)).await;
-        let call = spawn_local(async move { links.call(addr, ECHO, Bytes::new(), within).await });
-        let number = raw.frame().await.unwrap().call;
+        let call =
+            spawn_local(async move { transport.call(addr, ECHO, Bytes::new(), within).await });
+        let number = raw.frame().await.unwrap().call_id;
         raw.send(&frame_bytes(&Frame {
-            used: Use::Unanswered,
+            frame_type: FrameType::NoReply,
             kind: 0,
-            call: number,
+            call_id: number,
             body: Bytes::new(),
         }))
         .await;
-        assert_eq!(call.await.unwrap(), Err(CallError::Unclear));
+        assert_eq!(call.await.unwrap(), Err(CallError::Unknown));
         assert_eq!(lost.get(), 0);
     });
 }
 
-/// A full queue of new connections says nothing to the first packet, as a machine behind a cut.
+/// A full backlog doesn't answer the first packet, like a machine behind a partition.
 #[test]
-fn a_connection_that_does_not_open_is_given_up() {
+fn connecting_times_out() {
     run_paused(async {
-        let (links, lost) = caller();
+        let (transport, lost) = caller();
         let (listener, addr) = listener().await;
-        // A queue of connections that is full drops the opening packet.
+        // A full backlog drops the opening packet.
         let mut held = Vec::new();
         drop(listener);
         let full = std::net::TcpListener::from(small_queue(addr));
@@ -209,10 +223,12 @@
         }
         let start = Instant::now();
         assert_eq!(
-            links.call(addr, ECHO, Bytes::new(), LONG).await,
+            transport.call(addr, ECHO, Bytes::new(), LONG).await,
             Err(CallError::NotSent)
         );
-        assert!(start.elapsed() >= CONNECT_WITHIN && start.elapsed() <= CONNECT_WITHIN + 2 * STEP);
+        assert!(
+            start.elapsed() >= CONNECT_TIMEOUT && start.elapsed() <= CONNECT_TIMEOUT + 2 * STEP
+        );
         assert_eq!(lost.get(), 1);
         drop(full);
     });
@@ -226,14 +242,14 @@
 }
 
 #[test]
-fn a_connection_without_a_hello_is_ended() {
+fn a_connection_without_a_hello_times_out() {
     run_paused(async {
         let one = process(1).await;
         let mut raw = Raw::connect(one.addr).await;
         assert!(matches!(raw.next().await, Some(Item::Hello(_))));
         let start = Instant::now();
         assert!(raw.next().await.is_none());
-        assert!(start.elapsed() <= HELLO_WITHIN + STEP);
-        assert!(one.events.borrow()[0].ends_with("no hello came"));
+        assert!(start.elapsed() <= HELLO_TIMEOUT + STEP);
+        assert!(one.events.borrow()[0].ends_with("no hello received"));
     });
 }
--- a/crates/control/controller/src/shell.rs
+++ b/crates/control/controller/src/shell.rs
@@ -6,7 +6,7 @@
 use crate::op::{Ask, Op, Reply};
 use crate::owner::{Out, Owner, TICK};
 use bytes::Bytes;
-use peer_transport::{Event, Handler, Links, Me, Peer};
+use peer_transport::{ConnectionEvent, Handler, Peer, Transport};
 use slog::{crit, info, warn, Logger};
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -72,7 +72,7 @@
 }
 
 impl Handler for Hand {
-    fn told(&self, from: &Rc<Peer>, kind: u16, body: Bytes) {
+    fn handle_message(&self, from: &Rc<Peer>, kind: u16, body: Bytes) {
         if self
             .ops
             .try_send(Op::Told {
@@ -89,7 +89,7 @@
         }
     }
 
-    fn called(&self, _: &Rc<Peer>, _: u16, _: Bytes, _: peer_transport::Reply) {
+    fn handle_call(&self, _: &Rc<Peer>, _: u16, _: Bytes, _: peer_transport::Reply) {
         // Nothing is asked of controllers by frames; the caller hears at once that there is no answer.
     }
 }
@@ -221,13 +221,13 @@
         let _ =
             tokio::time::timeout(FOUNDING_WAIT, synced.wait_for(|on_disk| *on_disk > newest)).await;
     }
-    let me = Me {
+    let me = Peer {
         addr,
         id: incarnation,
         node: settings.node.clone(),
         zone: settings.zone.clone(),
     };
-    let links = Links::with_events(me, connection_events(log.clone()));
+    let links = Transport::with_events(me, connection_events(log.clone()));
     let owner = Owner::new(begin, &found, settings, log.clone())?;
     // The records that were read are of no more use, and may be as large as the disk.
     drop(found);
@@ -254,10 +254,10 @@
 }
 
 /// Says which connections of other processes were refused.
-fn connection_events(log: Logger) -> impl Fn(Event) + 'static {
+fn connection_events(log: Logger) -> impl Fn(ConnectionEvent) + 'static {
     let seldom = Seldom::default();
     move |event| {
-        if event.is_refusal() {
+        if event.is_rejection() {
             seldom.line("connection", |left_out| {
                 warn!(log, "connection refused"; "code" => 1408, "why" => %event, "left_out" => left_out);
             });
@@ -269,7 +269,7 @@
 struct Shell {
     owner: Owner,
     journal: Journal,
-    links: Rc<Links>,
+    links: Rc<Transport>,
     clock: Instant,
     /// Who waits for the answer of which number. Bounded by the connections of `ctl`.
     calls: HashMap<u64, Reply>,
@@ -340,7 +340,7 @@
         match op {
             Op::Asked { ask, reply } => {
                 if ask == Ask::Status {
-                    let refused = self.links.counters().connections_refused;
+                    let refused = self.links.counters().connections_rejected;
                     self.owner.measured(self.journal.room(), refused);
                 }
                 self.call += 1;
@@ -363,7 +363,7 @@
         let (now, _) = self.now();
         for out in self.owner.take() {
             match out {
-                Out::Tell { to, kind, body } => self.links.tell(to, kind, body),
+                Out::Tell { to, kind, body } => self.links.send(to, kind, body),
                 Out::Write { told, record } => self.journal.write(now, told, record),
                 Out::Reply { call, answer } => {
                     // Who has gone away needs no answer.
--- a/crates/control/controller/tests/largest.rs
+++ b/crates/control/controller/tests/largest.rs
@@ -19,4 +19,5 @@
 }
 
 // A frame holds it, with room for the frame's own fields and for those of the messages within.
-const _: () = assert!(chain_replication::MAX_COMMAND_BYTES + 4_096 <= peer_transport::MOST_BODY);
+const _: () =
+    assert!(chain_replication::MAX_COMMAND_BYTES + 4_096 <= peer_transport::MAX_BODY_BYTES);
--- a/crates/gateway/gateway/src/batch_front.rs
+++ b/crates/gateway/gateway/src/batch_front.rs
@@ -183,7 +183,7 @@
             let answer = tokio::select! {
                 biased;
                 answer = self.gateway.links.call(to, kind, call.clone(), within) => answer,
-                () = elsewhere => Err(CallError::Unclear),
+                () = elsewhere => Err(CallError::Unknown),
             };
             match answer.map(|body| read(&body)) {
                 Ok(Some(Heard::This(answer))) => return (Some(answer), unclear),
@@ -193,7 +193,7 @@
                         moved = Some(to);
                     }
                 }
-                Ok(Some(Heard::Unsure) | None) | Err(CallError::Unclear) => unclear = true,
+                Ok(Some(Heard::Unsure) | None) | Err(CallError::Unknown) => unclear = true,
                 Err(CallError::NotSent) => {}
             }
             let again = Instant::now() + AGAIN * (1 << failures.min(MOST_DOUBLINGS));
--- a/crates/gateway/gateway/src/control.rs
+++ b/crates/gateway/gateway/src/control.rs
@@ -96,7 +96,7 @@
 pub struct Hub(pub Rc<Gateway>);
 
 impl Handler for Hub {
-    fn told(&self, from: &Rc<Peer>, kind: u16, body: Bytes) {
+    fn handle_message(&self, from: &Rc<Peer>, kind: u16, body: Bytes) {
         let gateway = &self.0;
         if kind != RELAY {
             one(&gateway.counts.odd);
@@ -125,7 +125,7 @@
         }
     }
 
-    fn called(&self, _: &Rc<Peer>, _: u16, _: Bytes, reply: Reply) {
+    fn handle_call(&self, _: &Rc<Peer>, _: u16, _: Bytes, reply: Reply) {
         // Nothing is asked of a gateway; dropped, the reply tells so.
         drop(reply);
     }
@@ -157,7 +157,7 @@
             .or(control.hello_to.borrow().first())
             .copied();
         if let Some(controller) = to {
-            gateway.links.tell(controller, HELLO, Bytes::new());
+            gateway.links.send(controller, HELLO, Bytes::new());
         }
     }
 }
@@ -214,7 +214,7 @@
 fn send(gateway: &Rc<Gateway>) {
     let messages = gateway.control.state_table.borrow_mut().take_messages();
     for (to, msg) in messages {
-        gateway.links.tell(to, RELAY, msg.encode());
+        gateway.links.send(to, RELAY, msg.encode());
     }
 }
 
--- a/crates/gateway/gateway/src/gateway.rs
+++ b/crates/gateway/gateway/src/gateway.rs
@@ -12,7 +12,7 @@
 use batch::wire::PlacementMap;
 use http1::{Connections, Phase};
 use hyper::http::response::Parts;
-use peer_transport::Links;
+use peer_transport::Transport;
 use route_config::Config;
 use slog::{warn, Logger};
 use std::cell::{Cell, RefCell};
@@ -72,7 +72,7 @@
     /// What happened.
     pub counts: Counts,
     /// Connections to the other processes.
-    pub links: Rc<Links>,
+    pub links: Rc<Transport>,
     /// Which stores keep which batch jobs.
     pub map: RefCell<Option<Rc<PlacementMap>>>,
     /// The map, the configuration or the phase has changed.
--- a/crates/gateway/gateway/src/run.rs
+++ b/crates/gateway/gateway/src/run.rs
@@ -10,7 +10,7 @@
 use crate::memory::Memory;
 use crate::{limits, ready, report, stop};
 use http1::{Connections, Phase};
-use peer_transport::{Event, Links, Me};
+use peer_transport::{ConnectionEvent, Peer, Transport};
 use slog::{crit, error, info, warn, Logger};
 use std::cell::{Cell, RefCell};
 use std::collections::hash_map::RandomState;
@@ -144,13 +144,13 @@
         let most = (descriptors as f64 * CLIENTS_SHARE) as usize;
         let connections = Rc::new(Connections::new(phases, most, limits::at_first()));
         let bodies = settings.limits.ram_mb.max(16) * 1024 * 1024 / BODIES_SHARE;
-        let me_as_peer = Me {
+        let me_as_peer = Peer {
             addr: me,
             id,
             node: settings.node.clone(),
             zone: settings.zone.clone(),
         };
-        let links = Links::with_events(me_as_peer, connection_events(log.clone()));
+        let links = Transport::with_events(me_as_peer, connection_events(log.clone()));
         let gateway = Rc::new(Gateway {
             clock,
             id,
@@ -228,10 +228,10 @@
 }
 
 /// Says which connections with other processes were refused.
-fn connection_events(log: Logger) -> impl Fn(Event) + 'static {
+fn connection_events(log: Logger) -> impl Fn(ConnectionEvent) + 'static {
     let seldom = Seldom::default();
     move |event| {
-        if event.is_refusal() {
+        if event.is_rejection() {
             seldom.line("connection refused", |left_out| {
                 warn!(log, "connection refused"; "code" => codes::CONNECTION_REFUSED, "why" => %event, "left_out" => left_out);
             });
--- a/crates/gateway/gateway/tests/common/controller.rs
+++ b/crates/gateway/gateway/tests/common/controller.rs
@@ -1,7 +1,7 @@
 //! A stand-in of a controller: a root of the tree of relays that tells what a test sets.
 
 use bytes::Bytes;
-use peer_transport::{Handler, Links, Me, Peer, Reply};
+use peer_transport::{Handler, Peer, Reply, Transport};
 use relay_tree::{Follow, Message, Role, Stamp, StateTable};
 use replicated_state::{encode_addresses, CONTROLLERS_KEY, HELLO, RELAY};
 use std::cell::{Cell, RefCell};
@@ -14,7 +14,7 @@
 
 pub struct Controller {
     pub addr: SocketAddr,
-    pub links: Rc<Links>,
+    pub links: Rc<Transport>,
     state_table: RefCell<StateTable>,
     since: Instant,
     /// How old what it tells is; none: in touch.
@@ -26,7 +26,7 @@
     pub async fn new() -> Rc<Self> {
         let socket = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let addr = socket.local_addr().unwrap();
-        let me = Me {
+        let me = Peer {
             addr,
             id: 11,
             node: "edge-a-0".into(),
@@ -34,7 +34,7 @@
         };
         let controller = Rc::new(Controller {
             addr,
-            links: Links::new(me),
+            links: Transport::new(me),
             state_table: RefCell::new(StateTable::new(11, addr, Follow::All, Role::Root)),
             since: Instant::now(),
             age: Cell::new(0),
@@ -99,7 +99,7 @@
     fn send(&self) {
         let messages = self.state_table.borrow_mut().take_messages();
         for (to, msg) in messages {
-            self.links.tell(to, RELAY, msg.encode());
+            self.links.send(to, RELAY, msg.encode());
         }
     }
 }
@@ -107,7 +107,7 @@
 struct Ear(Rc<Controller>);
 
 impl Handler for Ear {
-    fn told(&self, from: &Rc<Peer>, kind: u16, body: Bytes) {
+    fn handle_message(&self, from: &Rc<Peer>, kind: u16, body: Bytes) {
         match kind {
             RELAY => {
                 let now = self.0.now();
@@ -123,5 +123,5 @@
         }
     }
 
-    fn called(&self, _: &Rc<Peer>, _: u16, _: Bytes, _: Reply) {}
+    fn handle_call(&self, _: &Rc<Peer>, _: u16, _: Bytes, _: Reply) {}
 }
--- a/crates/gateway/gateway/tests/common/store.rs
+++ b/crates/gateway/gateway/tests/common/store.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use chain_replication::{Member, View};
 use gateway::gateway::Gateway;
-use peer_transport::{Handler, Links, Me, Peer, Reply};
+use peer_transport::{Handler, Peer, Reply, Transport};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -43,7 +43,7 @@
             script: RefCell::new(Box::new(script)),
             silent: RefCell::default(),
         });
-        let links = Links::new(Me {
+        let links = Transport::new(Peer {
             addr,
             id,
             node: format!("storage-{id}").into(),
@@ -77,11 +77,11 @@
 struct Ear(Rc<Store>);
 
 impl Handler for Ear {
-    fn told(&self, _: &Rc<Peer>, kind: u16, _: Bytes) {
+    fn handle_message(&self, _: &Rc<Peer>, kind: u16, _: Bytes) {
         panic!("told {kind:#x}");
     }
 
-    fn called(&self, _: &Rc<Peer>, kind: u16, body: Bytes, reply: Reply) {
+    fn handle_call(&self, _: &Rc<Peer>, kind: u16, body: Bytes, reply: Reply) {
         self.0.calls.borrow_mut().push((kind, body.clone()));
         let say = (self.0.script.borrow())(kind, &body);
         match say {
