--- a/crates/dispatcher/fordrelay/tests/tier/offline.rs
+++ b/crates/dispatcher/fordrelay/tests/tier/offline.rs
@@ -125,7 +125,7 @@
         .collect();
     assert!(twice.is_empty(), "two meanings of one number: {twice:?}");
     let mut said = 0;
-    for place in ["controller", "batch-store", "gateway"] {
+    for place in ["control/controller", "batch/batch-store", "gateway/gateway"] {
         let mut folders = vec![root.join("crates").join(place).join("src")];
         while let Some(folder) = folders.pop() {
             for entry in std::fs::read_dir(&folder).unwrap() {
