--- a/crates/control/chain-replication/src/codec.rs
+++ b/crates/control/chain-replication/src/codec.rs
@@ -54,6 +54,9 @@
 }
 
 /// Reads an address: its family (4 or 6), its bytes, the port.
+///
+/// # Errors
+/// The bytes end too soon, or the family is neither 4 nor 6.
 #[binrw::parser(reader, endian)]
 pub fn read_addr() -> BinResult<SocketAddr> {
     let pos = reader.stream_position()?;
@@ -73,6 +76,9 @@
 }
 
 /// Writes an address as [`read_addr`] reads it.
+///
+/// # Errors
+/// The writer fails.
 #[binrw::writer(writer, endian)]
 pub fn write_addr(addr: &SocketAddr) -> BinResult<()> {
     match addr.ip() {
@@ -83,6 +89,9 @@
 }
 
 /// Reads a length in four bytes and so many bytes, at most `max_bytes`.
+///
+/// # Errors
+/// The bytes end too soon, or the length is above `max_bytes`.
 #[binrw::parser(reader, endian)]
 pub fn read_bytes(max_bytes: u32) -> BinResult<Bytes> {
     let pos = reader.stream_position()?;
@@ -105,6 +114,9 @@
 }
 
 /// Writes bytes as [`read_bytes`] reads them.
+///
+/// # Errors
+/// There are more than 4 GiB, or the writer fails.
 #[binrw::writer(writer, endian)]
 pub fn write_bytes(bytes: &Bytes) -> BinResult<()> {
     let pos = writer.stream_position()?;
--- a/crates/control/view-agreement/src/acceptor.rs
+++ b/crates/control/view-agreement/src/acceptor.rs
@@ -14,77 +14,51 @@
 impl Agreement {
     /// Phase 1b: promises to accept nothing below this number, unless a higher one was promised.
     pub(crate) fn handle_prepare(&mut self, from: SocketAddr, proposal: ProposalId) {
-        let ProposalId {
-            view_number,
-            proposal_number,
-        } = proposal;
-        if !self.votes_on(from, view_number) || self.reject_lower(from, proposal) {
+        if !self.votes_on(from, proposal.view_number) || self.reject_lower(from, proposal) {
             return;
         }
-        self.promise(view_number, proposal_number);
+        self.promise(proposal);
         let accepted = self.accepted.clone();
-        self.send_after_sync(
-            from,
-            MessageBody::Promise {
-                view_number,
-                proposal_number,
-                accepted,
-            },
-        );
+        let promised = proposal;
+        self.send_after_sync(from, MessageBody::Promise { promised, accepted });
     }
 
     /// Phase 2b: accepts a proposal, unless a higher number was promised.
     pub(crate) fn handle_accept(&mut self, now: Millis, from: SocketAddr, proposal: Proposal) {
-        let ProposalId {
-            view_number,
-            proposal_number,
-        } = proposal.id();
-        if !self.votes_on(from, view_number) || self.reject_lower(from, proposal.id()) {
+        let accepted = proposal.id();
+        if !self.votes_on(from, accepted.view_number) || self.reject_lower(from, accepted) {
             return;
         }
         if self.accepted.as_ref() != Some(&proposal) {
-            self.promised = Some(proposal_number);
+            self.promised = Some(proposal.number);
             self.write(&Record::Accepted {
                 proposal: proposal.clone(),
             });
             self.accepted = Some(proposal);
             self.accepted_at = Some(now);
         }
-        self.send_after_sync(
-            from,
-            MessageBody::Accepted {
-                view_number,
-                proposal_number,
-            },
-        );
+        self.send_after_sync(from, MessageBody::Accepted { accepted });
     }
 
     /// Makes this number the highest promised one; recorded where it is new.
-    pub(crate) fn promise(&mut self, view_number: u64, proposal_number: ProposalNumber) {
-        if self.promised != Some(proposal_number) {
-            self.promised = Some(proposal_number);
-            self.write(&Record::Promised {
-                view_number,
-                proposal_number,
-            });
+    pub(crate) fn promise(&mut self, promised: ProposalId) {
+        if self.promised != Some(promised.proposal_number) {
+            self.promised = Some(promised.proposal_number);
+            self.write(&Record::Promised { promised });
         }
     }
 
     /// Rejects a proposal below the promised number; whether it did.
     fn reject_lower(&mut self, from: SocketAddr, proposal: ProposalId) -> bool {
-        let Some(promised) = self
-            .promised
-            .filter(|promised| *promised > proposal.proposal_number)
-        else {
+        let is_higher = |promised: &ProposalNumber| *promised > proposal.proposal_number;
+        let Some(proposal_number) = self.promised.filter(is_higher) else {
             return false;
         };
-        self.send(
-            from,
-            MessageBody::Rejected {
-                view_number: proposal.view_number,
-                promised,
-            },
-        );
+        let promised = ProposalId {
+            proposal_number,
+            ..proposal
+        };
+        self.send(from, MessageBody::Rejected { promised });
         true
     }
 
--- a/crates/control/view-agreement/src/agreement.rs
+++ b/crates/control/view-agreement/src/agreement.rs
@@ -146,55 +146,13 @@
         };
         self.ignored_messages += u64::from(self.is_stale(&sender, &message.body));
         match message.body {
-            MessageBody::Prepare {
-                view_number,
-                proposal_number,
-            } => {
-                self.handle_prepare(
-                    from,
-                    ProposalId {
-                        view_number,
-                        proposal_number,
-                    },
-                );
-            }
-            MessageBody::Accept { proposal } => self.handle_accept(now, from, proposal),
-            MessageBody::Promise {
-                view_number,
-                proposal_number,
-                accepted,
-            } => {
-                let promised = ProposalId {
-                    view_number,
-                    proposal_number,
-                };
+            MessageBody::Prepare { proposal } => self.handle_prepare(from, proposal),
+            MessageBody::Promise { promised, accepted } => {
                 self.handle_promise(now, &sender, promised, accepted);
             }
-            MessageBody::Rejected {
-                view_number,
-                promised,
-            } => {
-                self.handle_rejected(
-                    now,
-                    ProposalId {
-                        view_number,
-                        proposal_number: promised,
-                    },
-                );
-            }
-            MessageBody::Accepted {
-                view_number,
-                proposal_number,
-            } => {
-                self.handle_accepted(
-                    now,
-                    &sender,
-                    ProposalId {
-                        view_number,
-                        proposal_number,
-                    },
-                );
-            }
+            MessageBody::Rejected { promised } => self.handle_rejected(now, promised),
+            MessageBody::Accept { proposal } => self.handle_accept(now, from, proposal),
+            MessageBody::Accepted { accepted } => self.handle_accepted(now, &sender, accepted),
             MessageBody::Chosen { value } => self.learn(now, value),
             MessageBody::RequestView { newest_known } => self.send_if_newer(from, newest_known),
             MessageBody::QuorumCheck { view_number, round } => {
@@ -219,12 +177,14 @@
             return false;
         };
         match body {
-            MessageBody::Prepare { view_number, .. } => *view_number <= current.number(),
+            MessageBody::Prepare { proposal } => proposal.view_number <= current.number(),
             MessageBody::Accept { proposal } => proposal.value.number() <= current.number(),
             MessageBody::Chosen { value } => value.number() < current.number(),
-            MessageBody::Promise { view_number, .. }
-            | MessageBody::Accepted { view_number, .. } => {
-                *view_number <= current.number() || !current.is_acceptor(sender)
+            MessageBody::Promise {
+                promised: voted, ..
+            }
+            | MessageBody::Accepted { accepted: voted } => {
+                voted.view_number <= current.number() || !current.is_acceptor(sender)
             }
             MessageBody::QuorumCheckReply { .. } => !current.is_acceptor(sender),
             MessageBody::Rejected { .. }
@@ -342,14 +302,11 @@
             );
         }
         if let Some(proposal_number) = self.promised {
-            let view_number = self.current_number() + 1;
-            records.push(
-                Record::Promised {
-                    view_number,
-                    proposal_number,
-                }
-                .encode(),
-            );
+            let promised = ProposalId {
+                view_number: self.current_number() + 1,
+                proposal_number,
+            };
+            records.push(Record::Promised { promised }.encode());
         }
         records
     }
--- a/crates/control/view-agreement/src/message.rs
+++ b/crates/control/view-agreement/src/message.rs
@@ -5,7 +5,7 @@
 use chain_replication::DecodeError;
 
 use crate::controller_view::ControllerView;
-use crate::proposal::{Proposal, ProposalNumber};
+use crate::proposal::{Proposal, ProposalId};
 
 /// A message between controllers.
 #[binrw]
@@ -26,18 +26,14 @@
     /// Proposer to acceptor, phase 1a: promise to accept no proposal with a lower number.
     #[brw(magic = 1u8)]
     Prepare {
-        /// The view to be chosen.
-        view_number: u64,
-        /// The proposal's number.
-        proposal_number: ProposalNumber,
+        /// The view to be chosen, and the number that the promise is asked for.
+        proposal: ProposalId,
     },
     /// Acceptor to proposer, phase 1b: promised.
     #[brw(magic = 2u8)]
     Promise {
-        /// The view to be chosen.
-        view_number: u64,
-        /// The number of the proposal that is promised to.
-        proposal_number: ProposalNumber,
+        /// The proposal that is promised to.
+        promised: ProposalId,
         #[br(temp)]
         #[bw(calc = u8::from(accepted.is_some()))]
         has_accepted: u8,
@@ -48,10 +44,8 @@
     /// Acceptor to proposer, in either phase: a higher number was promised.
     #[brw(magic = 3u8)]
     Rejected {
-        /// The view to be chosen.
-        view_number: u64,
-        /// The highest number that the acceptor has promised.
-        promised: ProposalNumber,
+        /// The view to be chosen, and the highest number that the acceptor has promised.
+        promised: ProposalId,
     },
     /// Proposer to acceptor, phase 2a: accept this proposal.
     #[brw(magic = 4u8)]
@@ -62,10 +56,8 @@
     /// Acceptor to proposer, phase 2b: accepted.
     #[brw(magic = 5u8)]
     Accepted {
-        /// The view to be chosen.
-        view_number: u64,
-        /// The number of the accepted proposal.
-        proposal_number: ProposalNumber,
+        /// The accepted proposal.
+        accepted: ProposalId,
     },
     /// To learners: this view was chosen.
     #[brw(magic = 6u8)]
--- a/crates/control/view-agreement/src/proposal.rs
+++ b/crates/control/view-agreement/src/proposal.rs
@@ -44,6 +44,8 @@
 }
 
 /// One proposal of one instance of Paxos. Ordered by the instance, then by the number.
+#[binrw]
+#[brw(big)]
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ProposalId {
     /// The number of the view to be chosen: it names the instance.
--- a/crates/control/view-agreement/src/proposing.rs
+++ b/crates/control/view-agreement/src/proposing.rs
@@ -79,20 +79,11 @@
         let Some(proposer) = self.proposer.as_mut() else {
             return;
         };
-        let ProposalId {
-            view_number,
-            proposal_number,
-        } = proposer.start_attempt(number, next_attempt_at);
+        let proposal = proposer.start_attempt(number, next_attempt_at);
         // Our own number is on disk before it is sent: after a restart it is not used twice.
-        self.promise(view_number, proposal_number);
+        self.promise(proposal);
         for acceptor in self.acceptors() {
-            self.send_after_sync(
-                acceptor.addr,
-                MessageBody::Prepare {
-                    view_number,
-                    proposal_number,
-                },
-            );
+            self.send_after_sync(acceptor.addr, MessageBody::Prepare { proposal });
         }
         self.release_synced(now);
     }
--- a/crates/control/view-agreement/src/record.rs
+++ b/crates/control/view-agreement/src/record.rs
@@ -5,7 +5,7 @@
 use chain_replication::DecodeError;
 
 use crate::controller_view::ControllerView;
-use crate::proposal::{Proposal, ProposalId, ProposalNumber};
+use crate::proposal::{Proposal, ProposalId};
 
 /// A record on disk; written and synced in the order in which the records are given out.
 #[binrw]
@@ -21,10 +21,8 @@
     /// No proposal with a lower number is accepted for this view, and our own numbers are above it.
     #[brw(magic = 2u8)]
     Promised {
-        /// The view to be chosen.
-        view_number: u64,
-        /// The number of the proposal.
-        proposal_number: ProposalNumber,
+        /// The proposal that was promised to.
+        promised: ProposalId,
     },
     /// This proposal was accepted.
     #[brw(magic = 3u8)]
@@ -73,15 +71,7 @@
                     self.chosen = Some(value);
                 }
             }
-            Record::Promised {
-                view_number,
-                proposal_number,
-            } => {
-                self.promise(ProposalId {
-                    view_number,
-                    proposal_number,
-                });
-            }
+            Record::Promised { promised } => self.promise(promised),
             Record::Accepted { proposal } => {
                 // An acceptance implies the promise: no record of its own is written for that.
                 self.promise(proposal.id());
--- a/crates/control/view-agreement/tests/agree.rs
+++ b/crates/control/view-agreement/tests/agree.rs
@@ -153,62 +153,11 @@
 
     /// Views that were chosen, and what broke.
     fn play(&mut self) -> (u64, Option<String>) {
-        let count = self.controllers.len();
         for now in 1..6_000 {
-            for n in 0..count {
-                if self.below(4) == 0 {
-                    let controller = &mut self.controllers[n];
-                    controller.safe = controller.records.len();
-                    controller.agreement.handle_synced(now, controller.ticket);
-                }
-                if (now + n as Millis * 3).is_multiple_of(20) {
-                    self.controllers[n].agreement.tick(now);
-                }
-                let current = self.controllers[n].agreement.current_view().cloned();
-                if let (Some(current), true) = (current, self.below(60) == 0) {
-                    // A value of its own: the members in another order, marked by a number that nobody else uses.
-                    let number = current.number() + 1;
-                    let mark = self.rng.next_u64();
-                    let mut view = View {
-                        number,
-                        ..current.view
-                    };
-                    view.joining = vec![Member {
-                        id: mark,
-                        ..member(9, number)
-                    }];
-                    let next = ControllerView {
-                        view,
-                        acceptors: current.acceptors,
-                    };
-                    self.controllers[n].agreement.propose(now, next);
-                }
-                if self.below(1_000) == 0 {
-                    let power = self.below(2) == 0;
-                    self.restart(n, power);
-                }
-                self.drain(now, n);
-            }
-            let (due, later) = std::mem::take(&mut self.mail)
-                .into_iter()
-                .partition(|m| m.0 <= now);
-            self.mail = later;
-            let due: Vec<(Millis, SocketAddr, SocketAddr, Message)> = due;
-            for (_, to, from, msg) in due {
-                if let Some(n) = (0..count).find(|n| member(*n, 0).addr == to) {
-                    // The worst moments to end: just after accepting, just after having it chosen.
-                    let accept = matches!(
-                        msg.body,
-                        MessageBody::Accept { .. } | MessageBody::Accepted { .. }
-                    );
-                    self.controllers[n].agreement.handle_message(now, from, msg);
-                    self.drain(now, n);
-                    if accept && self.below(8) == 0 {
-                        let power = self.below(2) == 0;
-                        self.restart(n, power);
-                    }
-                }
+            for n in 0..self.controllers.len() {
+                self.step(now, n);
             }
+            self.deliver(now);
             if self.broken.is_some() {
                 break;
             }
@@ -219,6 +168,68 @@
             .map_or(0, |(number, _)| *number);
         (newest, self.broken.take())
     }
+
+    /// A millisecond of one controller: a sync, a tick, a proposal, a restart, each by chance.
+    fn step(&mut self, now: Millis, n: usize) {
+        if self.below(4) == 0 {
+            let controller = &mut self.controllers[n];
+            controller.safe = controller.records.len();
+            controller.agreement.handle_synced(now, controller.ticket);
+        }
+        if (now + n as Millis * 3).is_multiple_of(20) {
+            self.controllers[n].agreement.tick(now);
+        }
+        let current = self.controllers[n].agreement.current_view().cloned();
+        if let (Some(current), true) = (current, self.below(60) == 0) {
+            // A value of its own: marked by a number that nobody else uses.
+            let number = current.number() + 1;
+            let mark = self.rng.next_u64();
+            let mut view = View {
+                number,
+                ..current.view
+            };
+            view.joining = vec![Member {
+                id: mark,
+                ..member(9, number)
+            }];
+            let next = ControllerView {
+                view,
+                acceptors: current.acceptors,
+            };
+            self.controllers[n].agreement.propose(now, next);
+        }
+        if self.below(1_000) == 0 {
+            let power = self.below(2) == 0;
+            self.restart(n, power);
+        }
+        self.drain(now, n);
+    }
+
+    /// Hands over the messages that are due.
+    fn deliver(&mut self, now: Millis) {
+        let (due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.mail)
+            .into_iter()
+            .partition(|mail| mail.0 <= now);
+        self.mail = later;
+        for (_, to, from, message) in due {
+            let Some(n) = (0..self.controllers.len()).find(|n| member(*n, 0).addr == to) else {
+                continue;
+            };
+            // The worst moments to end: just after accepting, just after having it chosen.
+            let is_accept = matches!(
+                message.body,
+                MessageBody::Accept { .. } | MessageBody::Accepted { .. }
+            );
+            self.controllers[n]
+                .agreement
+                .handle_message(now, from, message);
+            self.drain(now, n);
+            if is_accept && self.below(8) == 0 {
+                let power = self.below(2) == 0;
+                self.restart(n, power);
+            }
+        }
+    }
 }
 
 #[test]
--- a/crates/control/view-agreement/tests/agreement.rs
+++ b/crates/control/view-agreement/tests/agreement.rs
@@ -252,8 +252,10 @@
     let prepare = Message {
         from: 0,
         body: MessageBody::Prepare {
-            view_number: 2,
-            proposal_number: ballot,
+            proposal: ProposalId {
+                view_number: 2,
+                proposal_number: ballot,
+            },
         },
     };
     net.controllers[1].handle_message(net.now, addr(0), prepare);
@@ -290,8 +292,10 @@
         Message {
             from: 0,
             body: MessageBody::Prepare {
-                view_number: 2,
-                proposal_number: ballot,
+                proposal: ProposalId {
+                    view_number: 2,
+                    proposal_number: ballot,
+                },
             },
         },
     );
@@ -311,7 +315,7 @@
     fn spoilt_words_are_borne(at in any::<prop::sample::Index>(), byte in any::<u8>()) {
         let ballot = ProposalNumber { round: 5, proposer_id: 0, proposer_addr: addr(0) };
         let accepted = Some(Proposal { number: ballot, value: founding() });
-        let msg = Message { from: 1, body: MessageBody::Promise { view_number: 2, proposal_number: ballot, accepted } };
+        let msg = Message { from: 1, body: MessageBody::Promise { promised: ProposalId { view_number: 2, proposal_number: ballot }, accepted } };
         let mut bytes = msg.encode().to_vec();
         prop_assert_eq!(Message::decode(&bytes).unwrap(), msg);
         let at = at.index(bytes.len());
--- a/crates/control/view-agreement/tests/byte_layout.rs
+++ b/crates/control/view-agreement/tests/byte_layout.rs
@@ -109,23 +109,29 @@
 fn prepare_and_promise() {
     assert_message(
         MessageBody::Prepare {
-            view_number: 6,
-            proposal_number: ballot(),
+            proposal: ProposalId {
+                view_number: 6,
+                proposal_number: ballot(),
+            },
         },
         &format!("01 0000000000000006 {BALLOT}"),
     );
     assert_message(
         MessageBody::Promise {
-            view_number: 6,
-            proposal_number: ballot(),
+            promised: ProposalId {
+                view_number: 6,
+                proposal_number: ballot(),
+            },
             accepted: None,
         },
         &format!("02 0000000000000006 {BALLOT} 00"),
     );
     assert_message(
         MessageBody::Promise {
-            view_number: 6,
-            proposal_number: ballot(),
+            promised: ProposalId {
+                view_number: 6,
+                proposal_number: ballot(),
+            },
             accepted: Some(accepted()),
         },
         &format!("02 0000000000000006 {BALLOT} 01 {BALLOT} {VALUE}"),
@@ -136,8 +142,10 @@
 fn rejection_that_names_the_higher_proposal() {
     assert_message(
         MessageBody::Rejected {
-            view_number: 6,
-            promised: ballot(),
+            promised: ProposalId {
+                view_number: 6,
+                proposal_number: ballot(),
+            },
         },
         &format!("03 0000000000000006 {BALLOT}"),
     );
@@ -153,8 +161,10 @@
     );
     assert_message(
         MessageBody::Accepted {
-            view_number: 6,
-            proposal_number: ballot(),
+            accepted: ProposalId {
+                view_number: 6,
+                proposal_number: ballot(),
+            },
         },
         &format!("05 0000000000000006 {BALLOT}"),
     );
@@ -204,8 +214,10 @@
     assert_record(Record::Chosen { value: value() }, &format!("01 {VALUE}"));
     assert_record(
         Record::Promised {
-            view_number: 6,
-            proposal_number: ballot(),
+            promised: ProposalId {
+                view_number: 6,
+                proposal_number: ballot(),
+            },
         },
         &format!("02 0000000000000006 {BALLOT}"),
     );
--- a/crates/control/view-agreement/tests/strangers.rs
+++ b/crates/control/view-agreement/tests/strangers.rs
@@ -6,8 +6,8 @@
 use proptest::prelude::*;
 use std::net::SocketAddr;
 use view_agreement::{
-    Agreement, ControllerView, Effect, Message, MessageBody, Proposal, ProposalNumber, Record,
-    RecoveredAcceptor,
+    Agreement, ControllerView, Effect, Message, MessageBody, Proposal, ProposalId, ProposalNumber,
+    Record, RecoveredAcceptor,
 };
 
 fn addr(n: u8) -> SocketAddr {
@@ -48,15 +48,11 @@
             Effect::Send {
                 message:
                     Message {
-                        body:
-                            MessageBody::Prepare {
-                                proposal_number: ballot,
-                                ..
-                            },
+                        body: MessageBody::Prepare { proposal },
                         ..
                     },
                 ..
-            } => Some(ballot),
+            } => Some(proposal.proposal_number),
             _ => None,
         });
     (agreement, ballot.expect("it asks for votes"))
@@ -82,21 +78,27 @@
 fn vote(kind: u8, number: u64, ballot: ProposalNumber) -> MessageBody {
     match kind {
         0 => MessageBody::Promise {
-            view_number: number,
-            proposal_number: ballot,
+            promised: ProposalId {
+                view_number: number,
+                proposal_number: ballot,
+            },
             accepted: None,
         },
         1 => MessageBody::Promise {
-            view_number: number,
-            proposal_number: ballot,
+            promised: ProposalId {
+                view_number: number,
+                proposal_number: ballot,
+            },
             accepted: Some(Proposal {
                 number: ballot,
                 value: value(6),
             }),
         },
         2 => MessageBody::Accepted {
-            view_number: number,
-            proposal_number: ballot,
+            accepted: ProposalId {
+                view_number: number,
+                proposal_number: ballot,
+            },
         },
         _ => MessageBody::QuorumCheckReply {
             view_number: number,
@@ -141,7 +143,7 @@
         let body = match kind {
             0 => MessageBody::Chosen { value: value(number) },
             1 => MessageBody::Accept { proposal: Proposal { number: ballot, value: value(number) } },
-            _ => MessageBody::Prepare { view_number: number, proposal_number: ballot },
+            _ => MessageBody::Prepare { proposal: ProposalId { view_number: number, proposal_number: ballot } },
         };
         for _ in 0..times {
             agreement.handle_message(1_010, addr(n), Message { from: u64::from(n), body: body.clone() });
