--- a/crates/batch/batch-store/tests/world/controller.rs
+++ b/crates/batch/batch-store/tests/world/controller.rs
@@ -3,15 +3,15 @@
 use super::losses::Planted;
 use batch::wire::{Heartbeat, LeaseGrant, Message, PlacementMap, StoreState};
 use bytes::Bytes;
-use controller::plan::{self, Lengths, Stores, LEASE};
+use controller::placement::{removed_tails, ChainLengths, StorePlanner, LEASE_DURATION};
 use std::net::SocketAddr;
 
 /// A tail that gets no more leases is asked about again with each plan; so long without that, it gets them again.
 const WITHHELD: u64 = 300;
 
 pub struct Controller {
-    stores: Stores,
-    lengths: Lengths,
+    stores: StorePlanner,
+    lengths: ChainLengths,
     withheld: (Vec<SocketAddr>, u64),
     released: Vec<SocketAddr>,
     planted: Option<Planted>,
@@ -21,11 +21,11 @@
 impl Controller {
     /// One for chains that bear so many losses at once.
     pub fn new(budget: usize, planted: Option<Planted>) -> Self {
-        let lengths = Lengths {
-            wanted: budget + 2,
-            least: budget + 1,
+        let lengths = ChainLengths {
+            target: budget + 2,
+            minimum: budget + 1,
         };
-        let stores = Stores::default();
+        let stores = StorePlanner::default();
         Controller {
             stores,
             lengths,
@@ -47,7 +47,7 @@
         let withheld = now < at + WITHHELD && ends.contains(&heartbeat.addr);
         let grant = LeaseGrant {
             sent_ms: heartbeat.sent_ms,
-            lease_ms: LEASE,
+            lease_ms: LEASE_DURATION,
             map: number,
         };
         let map = self
@@ -66,9 +66,10 @@
             _ => {}
         }
         let (addr, sent_ms) = (heartbeat.addr, heartbeat.sent_ms);
-        self.stores.heard(now, heartbeat);
+        self.stores.record_heartbeat(now, heartbeat);
         if !withheld {
-            self.stores.granted(now, addr, sent_ms, now + LEASE);
+            self.stores
+                .lease_granted(now, addr, sent_ms, now + LEASE_DURATION);
         }
         ((!withheld).then_some(grant), map)
     }
@@ -105,13 +106,15 @@
     }
 
     pub fn plan(&mut self, now: u64) -> Option<PlacementMap> {
-        let next = self.stores.plan(now, self.map.as_ref(), 0, self.lengths)?;
+        let next = self
+            .stores
+            .plan_placement(now, self.map.as_ref(), 0, self.lengths)?;
         let ends = self
             .map
             .as_ref()
-            .map(|map| plan::tails_lost(map, &next))
+            .map(|map| removed_tails(map, &next))
             .unwrap_or_default();
-        if self.stores.lent(now, &ends) {
+        if self.stores.has_live_lease(now, &ends) {
             self.withheld = (ends, now);
             return None;
         }
--- /dev/null
+++ b/crates/control/controller/src/core/calls/runners.rs
@@ -0,0 +1,71 @@
+//! Calls of runners.
+
+use super::{out_of_contact, under_repair, Answer, Outcome};
+use crate::call::Response;
+use crate::core::pending::Condition;
+use crate::core::ControllerCore;
+use chain_replication::Millis;
+use relay_tree::Stamp;
+use runner_registry::{entry_key, LEFT_STAMP};
+use slog::{info, warn};
+
+/// Younger than this, a controller takes heartbeats without having heard others: all of them may have
+/// just started.
+const STARTUP_GRACE: Millis = 4_000;
+
+impl ControllerCore {
+    pub(super) fn runner_heartbeat(&mut self, now: Millis, id: &str, body: &[u8]) -> Answer {
+        let accepted = match self.registry.heartbeat(now, id, body) {
+            Ok(accepted) => accepted,
+            Err(error) => {
+                if let Some(left_out) = self.rejections.log_limit.now(now, "heartbeat") {
+                    warn!(self.log, "runner heartbeat rejected"; "code" => 1320, "runner" => id,
+                        "why" => %error, "left_out" => left_out);
+                }
+                return Err(Response::error(400, 1320, &error.to_string()));
+            }
+        };
+        if let Some(entry) = accepted.publish {
+            info!(self.log, "runner state published"; "runner" => id,
+                "draining" => accepted.draining);
+            self.state_table
+                .set(now, &entry.key, entry.stamp, entry.value);
+        }
+        if !self.acknowledges_runners(now) {
+            return Err(out_of_contact());
+        }
+        if accepted.draining {
+            return self.acknowledge_end(id, accepted.stamp);
+        }
+        Ok(Outcome::Respond(Response::ok()))
+    }
+
+    pub(super) fn runner_leave(&mut self, now: Millis, id: &str) -> Answer {
+        if let Some(entry) = self.registry.leave(now, id) {
+            info!(self.log, "runner left"; "runner" => id);
+            self.state_table
+                .set(now, &entry.key, entry.stamp, entry.value);
+        }
+        if !self.acknowledges_runners(now) {
+            return Err(out_of_contact());
+        }
+        self.acknowledge_end(id, LEFT_STAMP)
+    }
+
+    /// Whether runners may rely on this controller. One without a majority publishes what they say,
+    /// for those that follow it, but acknowledges nothing: a runner that is refused goes on to a
+    /// controller in contact, where all learn of it.
+    fn acknowledges_runners(&self, now: Millis) -> bool {
+        self.quorum_contact.holds(now) || self.last_tick_at <= STARTUP_GRACE
+    }
+
+    /// Acknowledges that a runner drains or has left once enough know it. Said again, it waits again:
+    /// the first time may have found too few.
+    fn acknowledge_end(&self, id: &str, stamp: Stamp) -> Answer {
+        if !self.has_room_to_wait() {
+            return Err(under_repair());
+        }
+        let key = entry_key(id).to_string();
+        Ok(Outcome::WaitFor(Condition::EntryReplicated { key, stamp }))
+    }
+}
--- /dev/null
+++ b/crates/control/controller/src/core/pending.rs
@@ -0,0 +1,39 @@
+//! Calls that wait for something to become true.
+
+use crate::call::CallId;
+use crate::control_state::ConfigChange;
+use chain_replication::Millis;
+use relay_tree::Stamp;
+
+/// A call that waits.
+pub(super) struct PendingCall {
+    pub(super) id: CallId,
+    /// Since when it waits. 0 gives it up at the next look.
+    pub(super) since: Millis,
+    pub(super) waits_for: Condition,
+}
+
+/// What a call waits for.
+pub(super) enum Condition {
+    /// A configuration, until it applies. `number` is its entry in the chain, or a later one.
+    ConfigApplied { change: ConfigChange, number: u64 },
+    /// A reader at the tail, until a majority has said that its view is the newest (`confirmed`) and
+    /// all that it saw is committed.
+    ReadConfirmed {
+        token: u64,
+        confirmed: bool,
+        number: u64,
+    },
+    /// A change that lost: another configuration is in place. Rejected only once that one is
+    /// committed, for the change may have been sent elsewhere too, and could still be accepted there
+    /// if what it lost to were lost itself.
+    ConflictCommitted {
+        base_version: u64,
+        digest: [u8; 32],
+        number: u64,
+    },
+    /// A runner that drains or leaves, until a majority of the controllers know.
+    EntryReplicated { key: String, stamp: Stamp },
+    /// A placement map that an operator asked for, until it is committed.
+    PlacementCommitted { number: u64 },
+}
--- /dev/null
+++ b/crates/control/controller/src/core/rollout.rs
@@ -0,0 +1,119 @@
+//! What is committed is published: configurations and the placement map. A configuration is put in
+//! place in two steps: all get it first, then the word that it applies.
+
+use super::ControllerCore;
+use batch::wire::{Message as _, PlacementMap};
+use bytes::Bytes;
+use chain_replication::Millis;
+use relay_tree::Stamp;
+use slog::{info, warn};
+
+/// Those who have not confirmed a configuration by then are out of contact or slow, and are not
+/// waited for.
+const ROLLOUT_TIMEOUT: Millis = 400;
+
+/// Key of the newest configuration.
+const NEXT_CONFIG_KEY: &str = "config/next";
+/// Key of the version that applies.
+const ACTIVE_CONFIG_KEY: &str = "config/active";
+/// Key of the placement map.
+const PLACEMENT_KEY: &str = "stores";
+
+/// A configuration that is being put in place.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct Rollout {
+    version: u64,
+    since: Millis,
+}
+
+impl ControllerCore {
+    /// What is on enough disks of the chain is published, by the head. No member acts on what is not:
+    /// what is only in its own table may be lost with it.
+    pub(super) fn publish_committed(&mut self, now: Millis) {
+        if self.acknowledgeable() < self.chain.last_received() {
+            // What is proposed and not yet on enough disks is not published; the table already holds
+            // it.
+            return;
+        }
+        self.read_placement();
+        if !self.chain.is_head() {
+            return;
+        }
+        let state = self.chain.state_machine();
+        if state.placement_number > 0 {
+            let stamp = Stamp(state.placement_number, 0);
+            self.state_table
+                .set(now, PLACEMENT_KEY, stamp, Some(state.placement.clone()));
+        }
+        if let Some((change, body)) = &state.config {
+            let (stamp, body) = (Stamp(change.version, 0), body.clone());
+            if self
+                .state_table
+                .set(now, NEXT_CONFIG_KEY, stamp, Some(body))
+            {
+                info!(self.log, "configuration committed"; "gen" => change.version);
+            }
+            let active = self.state_table.get(ACTIVE_CONFIG_KEY);
+            let is_active = active.is_some_and(|entry| entry.stamp >= stamp);
+            let is_under_way = self
+                .rollout
+                .is_some_and(|rollout| rollout.version == stamp.0);
+            if !is_active && !is_under_way {
+                self.rollout = Some(Rollout {
+                    version: stamp.0,
+                    since: now,
+                });
+            }
+        }
+    }
+
+    fn read_placement(&mut self) {
+        let state = self.chain.state_machine();
+        let number = state.placement_number;
+        if number <= self.placement.as_ref().map_or(0, |map| map.number) {
+            return;
+        }
+        match PlacementMap::decode(&state.placement) {
+            Ok(map) => {
+                info!(self.log, "placement map applied"; "map" => number);
+                self.placement = Some(map);
+            }
+            Err(error) => {
+                warn!(self.log, "placement map unreadable"; "code" => 1407, "why" => %error);
+            }
+        }
+    }
+
+    /// Puts a configuration in place once all in contact have it.
+    pub(super) fn advance_rollout(&mut self, now: Millis) {
+        let Some(Rollout { version, since }) = self.rollout else {
+            return;
+        };
+        let held = self
+            .state_table
+            .acknowledged(NEXT_CONFIG_KEY, Stamp(version, 0));
+        // Where no version applies anywhere, all controllers have just started: nobody is to be kept
+        // in step with others.
+        let is_first = self.state_table.get(ACTIVE_CONFIG_KEY).is_none();
+        let all_have =
+            held.acknowledged >= held.subscribers && held.peer_subtrees_acknowledged >= held.peers;
+        if is_first || all_have || now >= since + ROLLOUT_TIMEOUT {
+            self.rollout = None;
+            self.state_table.set(
+                now,
+                ACTIVE_CONFIG_KEY,
+                Stamp(version, 0),
+                Some(Bytes::new()),
+            );
+            info!(self.log, "configuration applied"; "gen" => version, "held" => held.acknowledged,
+                "of" => held.subscribers);
+        }
+    }
+
+    /// The version of the configuration that applies; 0 if there is none.
+    pub(crate) fn active_config_version(&self) -> u64 {
+        self.state_table
+            .get(ACTIVE_CONFIG_KEY)
+            .map_or(0, |entry| entry.stamp.0)
+    }
+}
--- a/crates/control/controller/src/ctl.rs
+++ b/crates/control/controller/src/ctl.rs
@@ -1,6 +1,7 @@
-//! The calls of runners and operators: one dispatch on method and path segments.
+//! The HTTP server for the calls of runners and operators (`Bind.Ctl`): one dispatch on method and
+//! path segments. It keeps no state but the count of connections; the event loop answers.
 
-use crate::op::{Answer, Ask, Op};
+use crate::call::{Call, Input, Response as CallResponse};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
@@ -16,53 +17,63 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, oneshot};
 
-/// Longest body that is read: a configuration of the largest size that `MaxBodyBytes` usually allows, twice.
-const BODY_MOST: usize = 8 * 1024 * 1024;
+/// Longest body that is read: a configuration of the largest size that `MaxBodyBytes` usually allows,
+/// twice.
+const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
+/// Longest name of a runner or a machine in a path, in bytes.
+const MAX_NAME_BYTES: usize = 200;
 /// Connections open at once; more are closed at once, so that callers go elsewhere.
-const CONNECTIONS_MOST: usize = 1024;
-/// Callers give a call up after a second, or more for large bodies; an answer later than this finds nobody.
-const ANSWER_WITHIN: Duration = Duration::from_millis(4_000);
-/// A head must come whole within this.
-const HEAD_WITHIN: Duration = Duration::from_secs(5);
-/// What the owner has waiting at most.
-pub const OPS_MOST: usize = 4096;
+const MAX_CONNECTIONS: usize = 1024;
+/// Callers give a call up after a second, or more for large bodies; an answer later than this finds
+/// nobody.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(4_000);
+/// The head of a request must come completely within this.
+const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
+/// Longest head of a request, in bytes.
+const MAX_HEAD_BYTES: usize = 64 * 1024;
+/// How long to wait before the next connection when one can't be accepted.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Header with the version that a configuration builds on.
+const BASE_VERSION_HEADER: &str = "fordrelay-base-version";
+/// Inputs that may wait for the event loop.
+pub const INPUT_QUEUE_CAPACITY: usize = 4096;
 
 /// Serves `ctl` until the process ends.
-pub async fn serve(listener: TcpListener, ops: mpsc::Sender<Op>) {
+pub async fn serve(listener: TcpListener, inputs: mpsc::Sender<Input>) {
     let open = Rc::new(Cell::new(0_usize));
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(Duration::from_millis(50)).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        if open.get() >= CONNECTIONS_MOST {
+        if open.get() >= MAX_CONNECTIONS {
             continue;
         }
         open.set(open.get() + 1);
-        let (open, ops) = (Rc::clone(&open), ops.clone());
+        let (open, inputs) = (Rc::clone(&open), inputs.clone());
         tokio::task::spawn_local(async move {
-            connection(stream, ops).await;
+            serve_connection(stream, inputs).await;
             open.set(open.get() - 1);
         });
     }
 }
 
-async fn connection(stream: TcpStream, ops: mpsc::Sender<Op>) {
+async fn serve_connection(stream: TcpStream, inputs: mpsc::Sender<Input>) {
     let _ = stream.set_nodelay(true);
     let service = service_fn(move |request| {
-        let ops = ops.clone();
-        async move { Ok::<_, Infallible>(response(answer(request, &ops).await)) }
+        let inputs = inputs.clone();
+        async move { Ok::<_, Infallible>(http_response(respond(request, &inputs).await)) }
     });
     // A connection that breaks off is its caller's to open again.
     let _ = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(HEAD_WITHIN)
-        .max_buf_size(64 * 1024)
+        .header_read_timeout(HEAD_TIMEOUT)
+        .max_buf_size(MAX_HEAD_BYTES)
         .serve_connection(TokioIo::new(stream), service)
         .await;
 }
 
-fn response(answer: Answer) -> Response<Full<Bytes>> {
+fn http_response(answer: CallResponse) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(answer.body));
     *response.status_mut() =
         StatusCode::from_u16(answer.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
@@ -77,33 +88,36 @@
     response
 }
 
-async fn answer(request: Request<Incoming>, ops: &mpsc::Sender<Op>) -> Answer {
+async fn respond(request: Request<Incoming>, inputs: &mpsc::Sender<Input>) -> CallResponse {
     let (head, body) = request.into_parts();
     let path = head.uri.path().to_owned();
     let segments: Vec<&str> = path.split('/').skip(1).collect();
-    let base = head
-        .headers
-        .get("fordrelay-base-version")
-        .map(|v| v.to_str().unwrap_or("").trim().to_owned());
-    let body =
-        match tokio::time::timeout(ANSWER_WITHIN, Limited::new(body, BODY_MOST).collect()).await {
-            Ok(Ok(body)) => body.to_bytes(),
-            Ok(Err(_)) => {
-                return Answer::refused(413, 1301, "the body is broken off or longer than 8 MiB")
-            }
-            Err(_) => return Answer::refused(408, 1302, "the body did not come in time"),
-        };
-    let ask = match dispatch(head.method.as_str(), &segments, base.as_deref(), body) {
-        Ok(ask) => ask,
-        Err(refusal) => return refusal,
+    let base_version = head.headers.get(BASE_VERSION_HEADER);
+    let base_version = base_version.map(|value| value.to_str().unwrap_or("").trim().to_owned());
+    let body = Limited::new(body, MAX_BODY_BYTES).collect();
+    let body = match tokio::time::timeout(ANSWER_TIMEOUT, body).await {
+        Ok(Ok(body)) => body.to_bytes(),
+        Ok(Err(_)) => {
+            return CallResponse::error(413, 1301, "the body is broken off or longer than 8 MiB");
+        }
+        Err(_) => return CallResponse::error(408, 1302, "the body did not come in time"),
+    };
+    let call = match dispatch(
+        head.method.as_str(),
+        &segments,
+        base_version.as_deref(),
+        body,
+    ) {
+        Ok(call) => call,
+        Err(rejection) => return rejection,
     };
-    let (reply, answered) = oneshot::channel();
-    if ops.try_send(Op::Asked { ask, reply }).is_err() {
-        return Answer::refused(503, 1303, "too much waits here");
+    let (respond_to, answer) = oneshot::channel();
+    if inputs.try_send(Input::Call { call, respond_to }).is_err() {
+        return CallResponse::error(503, 1303, "too much waits here");
     }
-    match tokio::time::timeout(ANSWER_WITHIN, answered).await {
+    match tokio::time::timeout(ANSWER_TIMEOUT, answer).await {
         Ok(Ok(answer)) => answer,
-        _ => Answer::refused(
+        _ => CallResponse::error(
             503,
             1304,
             "no answer in time; whether it was taken is open: send it again unchanged",
@@ -112,36 +126,51 @@
 }
 
 /// The one table of calls.
-fn dispatch(method: &str, path: &[&str], base: Option<&str>, body: Bytes) -> Result<Ask, Answer> {
-    let name = |text: &str| {
-        let sound = !text.is_empty() && text.len() <= 200;
-        sound
-            .then(|| text.to_owned())
-            .ok_or_else(|| Answer::refused(400, 1305, "a name that is empty or too long"))
-    };
+fn dispatch(
+    method: &str,
+    path: &[&str],
+    base_version: Option<&str>,
+    body: Bytes,
+) -> Result<Call, CallResponse> {
     Ok(match (method, path) {
         ("POST" | "PUT", ["-", "config", "replace"]) => {
-            let base = base.unwrap_or("0").parse();
-            let base = base.map_err(|_| {
-                Answer::refused(400, 1306, "Fordrelay-Base-Version is no whole number")
+            let base_version = base_version.unwrap_or("0").parse().map_err(|_| {
+                CallResponse::error(400, 1306, "Fordrelay-Base-Version is no whole number")
             })?;
-            Ask::Put { base, body }
+            Call::ReplaceConfig { base_version, body }
         }
-        ("GET", ["-", "config", "get"]) => Ask::Get,
-        ("POST", ["-", "runners", id, "beat"]) => Ask::Heartbeat {
-            id: name(id)?,
+        ("GET", ["-", "config", "get"]) => Call::GetConfig,
+        ("POST", ["-", "runners", id, "beat"]) => Call::RunnerHeartbeat {
+            id: checked_name(id)?,
             body,
         },
-        ("POST", ["-", "runners", id, "leave"]) => Ask::Leave { id: name(id)? },
-        ("POST", ["-", "retire", node, "begin"]) => Ask::RetireBegin { node: name(node)? },
-        ("GET", ["-", "retire", node, "get"]) => Ask::RetireGet { node: name(node)? },
-        ("GET", ["-", "status"]) => Ask::Status,
+        ("POST", ["-", "runners", id, "leave"]) => Call::RunnerLeave {
+            id: checked_name(id)?,
+        },
+        ("POST", ["-", "retire", node, "begin"]) => Call::RetireStore {
+            node: checked_name(node)?,
+        },
+        ("GET", ["-", "retire", node, "get"]) => Call::GetRetirement {
+            node: checked_name(node)?,
+        },
+        ("GET", ["-", "status"]) => Call::GetStatus,
         (
             _,
             ["-", "config", "replace" | "get"]
             | ["-", "runners", _, "beat" | "leave"]
             | ["-", "retire", _, _],
-        ) => return Err(Answer::refused(405, 1307, "not with this method")),
-        _ => return Err(Answer::refused(404, 1308, "no such call")),
+        ) => return Err(CallResponse::error(405, 1307, "not with this method")),
+        _ => return Err(CallResponse::error(404, 1308, "no such call")),
     })
 }
+
+fn checked_name(name: &str) -> Result<String, CallResponse> {
+    if name.is_empty() || name.len() > MAX_NAME_BYTES {
+        return Err(CallResponse::error(
+            400,
+            1305,
+            "a name that is empty or too long",
+        ));
+    }
+    Ok(name.to_owned())
+}
--- a/crates/control/controller/src/journal.rs
+++ b/crates/control/controller/src/journal.rs
@@ -1,8 +1,12 @@
-//! A controller's disk: who founded the tier, what it promised, and its copy of the control state. A controller without
-//! a disk has a journal in name only: it is never a member of the chain nor an acceptor, so nothing that it "keeps" counts.
+//! A controller's records on disk: the initial members, what it promised, and its replica of the
+//! control state.
+//!
+//! It guarantees the order of the records, and that a write counts as synced only when it can't be
+//! lost any more. A controller without a disk has a journal in name only: it is never a member of the
+//! chain nor an acceptor, so nothing that it "writes" counts.
 
-use crate::begin::{Found, Kind};
-use crate::owner::{Owner, Told};
+use crate::core::{ControllerCore, WriteTicket};
+use crate::startup::{RecordKind, RecoveredState};
 use bytes::Bytes;
 use chain_replication::Millis;
 use replicated_state::encode_addresses;
@@ -14,7 +18,7 @@
 enum Backing {
     /// To a disk.
     Disk(WriteAheadLog),
-    /// Nowhere: each counts as kept at once. The newest ticket.
+    /// Nowhere: each counts as synced at once. The newest ticket.
     Nothing(watch::Sender<u64>),
 }
 
@@ -35,33 +39,35 @@
             Backing::Nothing(newest) => newest.subscribe(),
         }
     }
-
-    /// Bytes used, and there.
-    fn room(&self) -> (u64, u64) {
-        match self {
-            Backing::Disk(ring) => (ring.used_bytes(), ring.capacity_bytes()),
-            Backing::Nothing(_) => (0, 0),
-        }
-    }
 }
 
 /// Bytes of records that may wait beside the ring's own queue; beyond it nothing more is agreed to.
-const BACKLOG_BYTES: usize = 16 << 20;
+const MAX_BACKLOG_BYTES: usize = 16 << 20;
+
+/// How much of the disk is used. Both 0 where there is none.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+pub struct DiskUsage {
+    /// Bytes that hold records which are needed.
+    pub used_bytes: u64,
+    /// Bytes that may hold records.
+    pub capacity_bytes: u64,
+}
 
 /// A record that the ring hasn't taken yet.
-struct Queued {
+struct QueuedRecord {
     /// Rises by one a record.
     number: u64,
-    kind: Kind,
+    kind: RecordKind,
     body: Bytes,
-    told: Option<Told>,
+    ticket: Option<WriteTicket>,
     since: Millis,
 }
 
 /// A record that is on its way to the disk.
-struct Waiting {
-    ticket: u64,
-    told: Option<Told>,
+struct UnsyncedRecord {
+    /// The ring's own ticket.
+    position: u64,
+    ticket: Option<WriteTicket>,
     since: Millis,
 }
 
@@ -70,41 +76,44 @@
     /// Numbers of the first and the last of its records.
     first: u64,
     last: u64,
-    /// The ticket of the first, once the ring has taken it.
-    first_ticket: u64,
-    /// The ticket of the last, once the ring has taken it and so what stands before the first is released.
-    last_ticket: Option<u64>,
+    /// The ring's ticket of the first, once the ring has taken it.
+    first_position: u64,
+    /// The ring's ticket of the last, once the ring has taken it and so what stands before the first
+    /// is released.
+    last_position: Option<u64>,
 }
 
-/// The disk, and what waits for it, in order. A disk that refuses ends nothing: what was written waits here.
+/// The disk, and what waits for it, in order. A disk that refuses ends nothing: what was written
+/// waits here.
 pub struct Journal {
     backing: Backing,
-    queue: VecDeque<Queued>,
-    backlog: usize,
-    waiting: VecDeque<Waiting>,
+    queue: VecDeque<QueuedRecord>,
+    backlog_bytes: usize,
+    unsynced: VecDeque<UnsyncedRecord>,
     /// When something was last synced.
-    progress: Millis,
-    founders: Bytes,
+    last_progress_at: Millis,
+    /// The encoded initial members.
+    initial_members: Bytes,
     /// Records that were ever queued.
     queued: u64,
-    /// A compaction that isn't on disk in full.
+    /// A compaction that isn't on disk completely.
     compaction: Option<Compaction>,
 }
 
 impl Journal {
-    /// A journal over a disk that was opened, and what stood there.
-    pub fn new(ring: WriteAheadLog, records: Vec<(u64, Record)>) -> (Self, Found) {
-        let mut found = Found::default();
+    /// A journal over a disk that was opened, and what was on it.
+    pub fn new(ring: WriteAheadLog, records: Vec<(u64, Record)>) -> (Self, RecoveredState) {
+        let mut recovered = RecoveredState::default();
         for (_, record) in records {
-            found.take(record.kind, record.body);
+            recovered.replay(record.kind, record.body);
         }
-        let founders = encode_addresses(&found.founders);
+        let initial_members = encode_addresses(&recovered.initial_members);
         (
             Journal {
-                founders,
+                initial_members,
                 ..Journal::over(Backing::Disk(ring))
             },
-            found,
+            recovered,
         )
     }
 
@@ -117,41 +126,42 @@
         Journal {
             backing,
             queue: VecDeque::new(),
-            backlog: 0,
-            waiting: VecDeque::new(),
-            progress: 0,
-            founders: Bytes::new(),
+            backlog_bytes: 0,
+            unsynced: VecDeque::new(),
+            last_progress_at: 0,
+            initial_members: Bytes::new(),
             queued: 0,
             compaction: None,
         }
     }
 
-    /// The first act on an empty disk of a founder.
-    pub fn found(&mut self, now: Millis, founders: Bytes) {
-        self.founders = founders.clone();
-        self.put(now, Kind::Founding, founders, None);
+    /// Writes the first record of all on the empty disk of an initial member.
+    pub fn write_initial_members(&mut self, now: Millis, record: Bytes) {
+        self.initial_members = record.clone();
+        self.enqueue(now, RecordKind::InitialMembers, record, None);
         self.flush();
     }
 
-    /// Writes; [`Journal::synced`] says when it is on disk.
-    pub fn write(&mut self, now: Millis, told: Told, body: Bytes) {
-        let kind = match told {
-            Told::View(_) => Kind::View,
-            Told::Chain(_) => Kind::Chain,
-            Told::FirstView(_) => Kind::FirstView,
-        };
-        self.put(now, kind, body, Some(told));
+    /// Writes a record; [`Journal::synced`] tells when it is on disk.
+    pub fn write(&mut self, now: Millis, ticket: WriteTicket, record: Bytes) {
+        self.enqueue(now, ticket.into(), record, Some(ticket));
         self.flush();
     }
 
-    fn put(&mut self, since: Millis, kind: Kind, body: Bytes, told: Option<Told>) {
-        self.backlog += body.len();
+    fn enqueue(
+        &mut self,
+        since: Millis,
+        kind: RecordKind,
+        body: Bytes,
+        ticket: Option<WriteTicket>,
+    ) {
+        self.backlog_bytes += body.len();
         self.queued += 1;
-        self.queue.push_back(Queued {
+        self.queue.push_back(QueuedRecord {
             number: self.queued,
             kind,
             body,
-            told,
+            ticket,
             since,
         });
     }
@@ -159,85 +169,85 @@
     /// Hands over to the ring what it takes.
     fn flush(&mut self) {
         while let Some(queued) = self.queue.front() {
+            let body = queued.body.clone();
             let record = Record {
                 kind: queued.kind as u8,
                 group: 0,
                 number: 0,
-                body: queued.body.clone(),
+                body,
             };
             // Full: goes on with the next sync, or once the ring has grown.
-            let Ok(ticket) = self.backing.append(record) else {
+            let Ok(position) = self.backing.append(record) else {
+                return;
+            };
+            let Some(queued) = self.queue.pop_front() else {
                 return;
             };
-            let Some(Queued {
+            let QueuedRecord {
                 number,
                 body,
-                told,
+                ticket,
                 since,
                 ..
-            }) = self.queue.pop_front()
-            else {
-                return;
-            };
-            self.backlog = self.backlog.saturating_sub(body.len());
-            self.waiting.push_back(Waiting {
+            } = queued;
+            self.backlog_bytes = self.backlog_bytes.saturating_sub(body.len());
+            self.unsynced.push_back(UnsyncedRecord {
+                position,
                 ticket,
-                told,
                 since,
             });
-            self.note_compacted(number, ticket);
+            self.advance_compaction(number, position);
         }
     }
 
-    /// Once the ring has taken the last record of a compaction, what stands before the first is released. Not before: after
-    /// a crash nothing may be missing of what the new records replace. The ring writes in order, and syncs all before it
-    /// writes over a file that was released.
-    fn note_compacted(&mut self, number: u64, ticket: u64) {
+    /// Once the ring has taken the last record of a compaction, what stands before the first is
+    /// released. Not before: after a crash nothing may be missing of what the new records replace.
+    /// The ring writes in order, and syncs all before it overwrites a file that was released.
+    fn advance_compaction(&mut self, number: u64, position: u64) {
         let Some(compaction) = &mut self.compaction else {
             return;
         };
         if number == compaction.first {
-            compaction.first_ticket = ticket;
+            compaction.first_position = position;
         }
         if number == compaction.last {
-            compaction.last_ticket = Some(ticket);
+            compaction.last_position = Some(position);
             if let Backing::Disk(ring) = &self.backing {
-                ring.release_before(compaction.first_ticket);
+                ring.release_before(compaction.first_position);
             }
         }
     }
 
-    /// All up to this ticket is on disk: whose writes these were. While a compaction is not on disk in full, nobody hears of
-    /// a write: its snapshot voids the entries that stand before it, so one of them that is synced, and not applied, would be
-    /// gone if the power went between the snapshot and the entry's second copy.
-    pub fn synced(&mut self, now: Millis, ticket: u64) -> Vec<Told> {
-        self.progress = now;
-        let mut told = Vec::new();
-        if self
-            .compaction
-            .as_ref()
-            .is_some_and(|c| c.last_ticket.is_none_or(|last| last > ticket))
-        {
+    /// All up to this ticket of the ring is on disk: whose writes these were. While a compaction is
+    /// not on disk completely, no write counts as synced: its snapshot voids the entries that stand
+    /// before it, so one of them that is synced, and not applied, would be gone if the power went
+    /// between the snapshot and the entry's second copy.
+    pub fn synced(&mut self, now: Millis, position: u64) -> Vec<WriteTicket> {
+        self.last_progress_at = now;
+        let mut tickets = Vec::new();
+        let is_open = |c: &Compaction| c.last_position.is_none_or(|last| last > position);
+        if self.compaction.as_ref().is_some_and(is_open) {
             self.flush();
-            return told;
+            return tickets;
         }
         while self
-            .waiting
+            .unsynced
             .front()
-            .is_some_and(|waiting| waiting.ticket <= ticket)
+            .is_some_and(|record| record.position <= position)
         {
-            told.extend(self.waiting.pop_front().and_then(|waiting| waiting.told));
+            tickets.extend(self.unsynced.pop_front().and_then(|record| record.ticket));
         }
         self.flush();
-        told
+        tickets
     }
 
-    /// How the disk stands; to be asked now and then, which also hands over what the ring didn't take before.
+    /// How the disk is; to be called now and then, which also hands over what the ring didn't take
+    /// before.
     pub fn state(&mut self) -> DiskStatus {
         self.flush();
-        let oldest = self.waiting.front().map(|waiting| waiting.since);
+        let oldest = self.unsynced.front().map(|record| record.since);
         let oldest = oldest.or(self.queue.front().map(|queued| queued.since));
-        let (refuses, prepared) = match &self.backing {
+        let (failing, preallocated) = match &self.backing {
             Backing::Disk(ring) => (
                 ring.fault().is_some(),
                 ring.is_preallocated() && *ring.synced_lsn().borrow() > 0,
@@ -246,54 +256,60 @@
             Backing::Nothing(_) => (false, false),
         };
         DiskStatus {
-            pending_since: oldest.map(|since| since.max(self.progress)),
-            failing: refuses,
-            preallocated: prepared,
-            backlogged: self.backlog >= BACKLOG_BYTES,
+            pending_since: oldest.map(|since| since.max(self.last_progress_at)),
+            failing,
+            preallocated,
+            backlogged: self.backlog_bytes >= MAX_BACKLOG_BYTES,
         }
     }
 
-    /// Writes all that counts once more when half of the ring is used, and gives up what stands before. What is still on
-    /// its way to the disk stands before it in the ring, and is part of what is whole: the owner has said all that it wants
-    /// written. So this needs no pause in the writes, and no disk that takes them now.
-    pub fn compact(&mut self, now: Millis, owner: &Owner) {
+    /// Once half of the ring is used, writes all that counts once more, and gives up what stands
+    /// before. What is still on its way to the disk stands before it in the ring, and is part of what
+    /// is written: the core has emitted all that it wants written. So this needs no pause in the
+    /// writes, and no disk that takes them now.
+    pub fn compact_if_needed(&mut self, now: Millis, core: &ControllerCore) {
         let Backing::Disk(ring) = &self.backing else {
             return;
         };
         let newest = *ring.synced_lsn().borrow();
-        let is_done = |c: &mut Compaction| c.last_ticket.is_some_and(|last| last <= newest);
+        let is_done = |c: &mut Compaction| c.last_position.is_some_and(|last| last <= newest);
         self.compaction.take_if(is_done);
         if self.compaction.is_some() || ring.used_bytes() * 2 < ring.capacity_bytes() {
             return;
         }
         let first = self.queued + 1;
-        self.put(now, Kind::Founding, self.founders.clone(), None);
-        for record in owner.whole_founding() {
-            self.put(now, Kind::FirstView, record, None);
-        }
-        let (views, writes) = owner.whole();
-        for record in views {
-            self.put(now, Kind::View, record, None);
-        }
-        for record in writes {
-            self.put(now, Kind::Chain, record, None);
+        self.enqueue(
+            now,
+            RecordKind::InitialMembers,
+            self.initial_members.clone(),
+            None,
+        );
+        for (kind, record) in core.snapshot_records() {
+            self.enqueue(now, kind, record, None);
         }
+        let last = self.queued;
         self.compaction = Some(Compaction {
             first,
-            last: self.queued,
-            first_ticket: 0,
-            last_ticket: None,
+            last,
+            first_position: 0,
+            last_position: None,
         });
         self.flush();
     }
 
-    /// Tells which ticket is the newest on disk.
-    pub fn watch(&self) -> watch::Receiver<u64> {
+    /// Tells the ring's newest ticket that is on disk.
+    pub fn subscribe_synced(&self) -> watch::Receiver<u64> {
         self.backing.synced()
     }
 
-    /// Bytes used, and there.
-    pub fn room(&self) -> (u64, u64) {
-        self.backing.room()
+    /// How much of the disk is used.
+    pub fn usage(&self) -> DiskUsage {
+        match &self.backing {
+            Backing::Disk(ring) => DiskUsage {
+                used_bytes: ring.used_bytes(),
+                capacity_bytes: ring.capacity_bytes(),
+            },
+            Backing::Nothing(_) => DiskUsage::default(),
+        }
     }
 }
--- a/crates/control/controller/src/lib.rs
+++ b/crates/control/controller/src/lib.rs
@@ -1,26 +1,27 @@
-//! The control plane of the tier: keeps configuration, runners, dispatchers and the map of stores. Runners and operators
-//! call it (`ctl`); the other processes follow it down the tree of relays.
+//! The control plane of the tier: holds the configuration, the runners, the dispatchers and the
+//! placement of batch partitions on stores. Runners and operators call it (`ctl`); the other
+//! processes follow its replicated state table down a tree of relays.
 //!
-//! [`owner::Owner`] is the whole of it without sockets, disk and clock; [`run`] puts it into a process.
+//! [`core::ControllerCore`] is all of it without sockets, disk and clock; [`run`] puts it into a
+//! process.
 
-#![expect(
-    clippy::needless_pass_by_value,
-    clippy::too_many_lines,
-    reason = "not revised yet"
-)]
-
-pub mod begin;
-pub mod control;
+pub mod bootstrap;
+pub mod call;
+pub mod control_state;
+pub mod core;
 pub mod ctl;
 pub mod dispatchers;
-pub mod founding;
-pub mod heartbeats;
+mod event_loop;
+pub mod frame_kind;
+pub mod heartbeat;
 pub mod journal;
-pub mod op;
-pub mod owner;
-pub mod plan;
-mod refused;
-mod shell;
+pub mod peers;
+pub mod placement;
+mod program;
+mod rejections;
+pub mod startup;
 mod status;
+mod time;
 
-pub use shell::run;
+pub use program::run;
+pub use time::Time;
--- a/crates/control/controller/src/status.rs
+++ b/crates/control/controller/src/status.rs
@@ -1,29 +1,60 @@
-//! How the tier stands, as this controller sees it, for operators.
+//! The state of the tier as this controller sees it, for operators: the answer to `GET /-/status`.
 
-use crate::op::Answer;
-use crate::owner::Owner;
+use crate::call::Response;
+use crate::core::ControllerCore;
 use batch::wire::StoreState;
-use chain_replication::Millis;
+use chain_replication::{Member, Millis};
 use jzon::{object, JsonValue};
+use replicated_state::DISPATCHER_KEY_PREFIX;
 use runner_registry::{Runner, RunnerState};
 
-/// The answer to `GET /-/status`.
-pub fn answer(owner: &Owner, now: Millis) -> Answer {
-    let view = owner.agreement.current_view();
-    let address = |m: Option<&chain_replication::Member>| {
-        m.map_or(JsonValue::Null, |m| m.addr.to_string().into())
-    };
+/// The answer. Its keys are those of the users' page; a test holds them.
+pub fn respond(core: &ControllerCore, now: Millis) -> Response {
+    let view = core.agreement.current_view();
     let chain = view.map(|v| v.view.members.as_slice()).unwrap_or_default();
-    let names = |list: &[chain_replication::Member]| {
-        list.iter()
-            .map(|m| m.addr.to_string().into())
-            .collect::<Vec<JsonValue>>()
+    let acceptors = view.map(|v| v.acceptors.as_slice()).unwrap_or_default();
+    let body = object! {
+        "Node": core.settings.node.as_str(),
+        "View": view.map_or(0, |v| v.view.number),
+        "Chain": addresses(chain),
+        "Acceptors": addresses(acceptors),
+        "Head": address(chain.first()),
+        "Tail": address(chain.last()),
+        "Ready": core.chain.is_ready(),
+        "MajorityMsAgo": core.agreement.quorum_contact_age(now),
+        "Stale": !core.quorum_contact.holds(now),
+        "Config": object! {
+            "Gen": core.chain.state_machine().config_version(),
+            "Active": core.active_config_version(),
+        },
+        "Map": core.placement.as_ref().map_or(0, |map| map.number),
+        "Runners": runners(core),
+        "Dispatchers": dispatchers(core),
+        "Stores": stores(core, now),
+        "Lag": Vec::<JsonValue>::new(),
+        "Disk": object! {
+            "Used": core.disk_usage.used_bytes,
+            "Capacity": core.disk_usage.capacity_bytes,
+        },
+        "Refused": rejections(core),
     };
+    Response::json(body.dump())
+}
+
+fn address(member: Option<&Member>) -> JsonValue {
+    member.map_or(JsonValue::Null, |m| m.addr.to_string().into())
+}
+
+fn addresses(members: &[Member]) -> Vec<JsonValue> {
+    members.iter().map(|m| address(Some(m))).collect()
+}
+
+fn runners(core: &ControllerCore) -> JsonValue {
     let (mut up, mut draining) = (0, 0);
-    for runner in owner
+    for runner in core
         .state_table
         .with_prefix("runner/")
-        .filter_map(|f| Runner::read(f).ok())
+        .filter_map(|entry| Runner::read(entry).ok())
     {
         match runner.state {
             RunnerState::Up => up += 1,
@@ -31,63 +62,46 @@
             RunnerState::Gone => {}
         }
     }
-    let dispatchers: Vec<JsonValue> = owner
-        .state_table
-        .with_prefix(replicated_state::DISPATCHER_KEY_PREFIX)
-        .filter(|f| f.value.is_some())
-        .map(|f| {
-            f.key
-                .trim_start_matches(replicated_state::DISPATCHER_KEY_PREFIX)
-                .into()
-        })
-        .collect();
-    let mut stores = Vec::new();
-    if let Some(map) = &owner.map {
-        for (node, state, heard) in owner.stores.told(now, map) {
-            let state = match state {
-                StoreState::Up => "up",
-                StoreState::Retiring => "retiring",
-                StoreState::Retired => "retired",
-                StoreState::Gone => "gone",
-            };
-            stores.push(object! { "Node": node.as_str(), "State": state, "Heard": heard });
-        }
-    }
-    let active = owner
-        .state_table
-        .get("config/active")
-        .map_or(0, |f| f.stamp.0);
-    let (used, room) = owner.room;
-    let rejected = owner.state_table.rejected();
-    let passed_over = owner.passed_over();
-    let body = object! {
-        "Node": owner.settings.node.as_str(),
-        "View": view.map_or(0, |v| v.view.number),
-        "Chain": names(chain),
-        "Acceptors": names(view.map(|v| v.acceptors.as_slice()).unwrap_or_default()),
-        "Head": address(chain.first()),
-        "Tail": address(chain.last()),
-        "Ready": owner.node.is_ready(),
-        "MajorityMsAgo": owner.agreement.quorum_contact_age(now),
-        "Stale": !owner.contact.holds(now),
-        "Config": object! { "Gen": owner.node.state_machine().gen(), "Active": active },
-        "Map": owner.map.as_ref().map_or(0, |m| m.number),
-        "Runners": object! { "Up": up, "Draining": draining },
-        "Dispatchers": dispatchers,
-        "Stores": stores,
-        "Lag": Vec::<JsonValue>::new(),
-        "Disk": object! { "Used": used, "Capacity": room },
-        "Refused": object! {
-            "Frames": owner.refused.frames,
-            "Dropped": owner.refused.dropped.get(),
-            "Connections": owner.refused.connections,
-            "StateEntries": rejected.entries,
-            "Relay": rejected.messages,
-            "Calls": owner.refused.calls,
-            "ChainPassedOver": passed_over.chain,
-            "ViewPassedOver": passed_over.view,
-            "RelayPassedOver": passed_over.relay,
-        },
+    object! { "Up": up, "Draining": draining }
+}
+
+fn dispatchers(core: &ControllerCore) -> Vec<JsonValue> {
+    let entries = core.state_table.with_prefix(DISPATCHER_KEY_PREFIX);
+    let present = entries.filter(|entry| entry.value.is_some());
+    present
+        .map(|entry| entry.key.trim_start_matches(DISPATCHER_KEY_PREFIX).into())
+        .collect()
+}
+
+fn stores(core: &ControllerCore, now: Millis) -> Vec<JsonValue> {
+    let Some(map) = &core.placement else {
+        return Vec::new();
     };
-    Answer::body(body.dump())
+    let statuses = core.stores.statuses(now, map).into_iter();
+    let json = statuses.map(|store| {
+        let state = match store.state {
+            StoreState::Up => "up",
+            StoreState::Retiring => "retiring",
+            StoreState::Retired => "retired",
+            StoreState::Gone => "gone",
+        };
+        object! { "Node": store.node.as_str(), "State": state, "Heard": store.alive }
+    });
+    json.collect()
+}
+
+fn rejections(core: &ControllerCore) -> JsonValue {
+    let rejected = core.state_table.rejected();
+    let stale = core.stale_messages();
+    object! {
+        "Frames": core.rejections.frames,
+        "Dropped": core.rejections.dropped_frames.get(),
+        "Connections": core.rejections.connections,
+        "StateEntries": rejected.entries,
+        "Relay": rejected.messages,
+        "Calls": core.rejections.calls,
+        "ChainPassedOver": stale.chain,
+        "ViewPassedOver": stale.view,
+        "RelayPassedOver": stale.relay,
+    }
 }
--- a/crates/control/controller/tests/answers.rs
+++ b/crates/control/controller/tests/answers.rs
@@ -8,7 +8,7 @@
 
 use batch::wire::{Heartbeat, Message as _, PartitionStatus, PlacementMap, HEARTBEAT};
 use cluster::{config_body, Cluster};
-use controller::op::{Answer, Ask};
+use controller::call::{Call, Response};
 use peer_transport::Peer;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -20,7 +20,7 @@
     path
 }
 
-fn shown(answer: &Answer) -> String {
+fn shown(answer: &Response) -> String {
     let body = String::from_utf8(answer.body.to_vec()).expect("text");
     let location = answer
         .location
@@ -30,25 +30,25 @@
     format!("{} {body}{location}", answer.status)
 }
 
-fn put(base: u64, body: &str) -> Ask {
-    Ask::Put {
-        base,
+fn put(base: u64, body: &str) -> Call {
+    Call::ReplaceConfig {
+        base_version: base,
         body: body.to_owned().into(),
     }
 }
 
-fn runner(id: &str, state: &str, seqno: u64) -> Ask {
+fn runner(id: &str, state: &str, seqno: u64) -> Call {
     let body = format!(
         "{{\"Svc\":\"s\",\"Address\":\"10.9.0.1:80\",\"Slots\":1,\"State\":\"{state}\",\"Seqno\":{seqno}}}"
     );
-    Ask::Heartbeat {
+    Call::RunnerHeartbeat {
         id: id.to_owned(),
         body: body.into(),
     }
 }
 
 /// Calls, each with its answer, a line each.
-fn session(cluster: &mut Cluster, calls: Vec<(usize, Ask)>) -> String {
+fn session(cluster: &mut Cluster, calls: Vec<(usize, Call)>) -> String {
     let answers = calls
         .into_iter()
         .map(|(index, ask)| shown(&cluster.call(index, ask)));
@@ -61,14 +61,14 @@
     let mut cluster = Cluster::start(&directory, 1_000);
     let at_once = session(
         &mut cluster,
-        vec![(0, put(0, &config_body(1))), (0, Ask::Get)],
+        vec![(0, put(0, &config_body(1))), (0, Call::GetConfig)],
     );
     cluster.run(3_000);
     let unknown = config_body(1).replace("\"Svc\":\"s\"", "\"Svc\":\"nobody\"");
     let calls = vec![
         // The tail, as long as there is none.
-        (2, Ask::Get),
-        (0, Ask::Get),
+        (2, Call::GetConfig),
+        (0, Call::GetConfig),
         (1, put(0, &config_body(1))),
         (0, put(0, &config_body(1))),
         // Sent again: known.
@@ -80,7 +80,7 @@
         (0, put(1, &config_body(1).replace("Note", "Remark"))),
         (2, put(1, &config_body(2).replace(&"02 ".repeat(1_000), ""))),
         (0, put(1, &config_body(2).replace(&"02 ".repeat(1_000), ""))),
-        (2, Ask::Get),
+        (2, Call::GetConfig),
     ];
     let answers = session(&mut cluster, calls);
     insta::assert_snapshot!(at_once, @r#"
@@ -108,7 +108,7 @@
     cluster.run(3_000);
     let alone = session(
         &mut cluster,
-        vec![(0, put(2, &config_body(3))), (0, Ask::Get)],
+        vec![(0, put(2, &config_body(3))), (0, Call::GetConfig)],
     );
     insta::assert_snapshot!(alone, @r#"
     503 {"Code":1312,"Error":"out of touch with the other controllers"}
@@ -122,7 +122,7 @@
     let directory = scratch("runners");
     let mut cluster = Cluster::start(&directory, 1_000);
     cluster.run(3_000);
-    let bad = Ask::Heartbeat {
+    let bad = Call::RunnerHeartbeat {
         id: "i-1".to_owned(),
         body: "{\"Slots\":-1}".into(),
     };
@@ -135,19 +135,19 @@
         (0, runner("i-1", "draining", 2)),
         (
             2,
-            Ask::Leave {
+            Call::RunnerLeave {
                 id: "i-2".to_owned(),
             },
         ),
         (
             0,
-            Ask::Leave {
+            Call::RunnerLeave {
                 id: "i-unknown".to_owned(),
             },
         ),
         (
             0,
-            Ask::Leave {
+            Call::RunnerLeave {
                 id: "a b".to_owned(),
             },
         ),
@@ -172,7 +172,7 @@
         (0, runner("i-3", "draining", 2)),
         (
             0,
-            Ask::Leave {
+            Call::RunnerLeave {
                 id: "i-3".to_owned(),
             },
         ),
@@ -193,7 +193,13 @@
 /// Stores say to the head that they are there, for so long; in sync in all that the map gives them.
 fn stores_say(cluster: &mut Cluster, stores: &[u8], for_ms: u64) {
     for _ in 0..for_ms / 100 {
-        let map = cluster.process(0).owner.node().state_machine().map.clone();
+        let map = cluster
+            .process(0)
+            .core
+            .chain()
+            .state_machine()
+            .placement
+            .clone();
         let map = PlacementMap::decode(&map).ok();
         for n in stores {
             let statuses = map.iter().flat_map(|map| map.partitions.iter().enumerate());
@@ -247,10 +253,10 @@
     let directory = scratch("stores");
     let mut cluster = Cluster::start(&directory, 1_000);
     cluster.run(3_000);
-    let begin = |node: &str| Ask::RetireBegin {
+    let begin = |node: &str| Call::RetireStore {
         node: node.to_owned(),
     };
-    let get = |node: &str| Ask::RetireGet {
+    let get = |node: &str| Call::GetRetirement {
         node: node.to_owned(),
     };
     let before = session(
@@ -295,7 +301,7 @@
     200 {"State":"complete"}
     409 {"Code":1331,"Error":"too few store machines would remain"}
     "#);
-    let status = shown(&cluster.call(0, Ask::Status));
+    let status = shown(&cluster.call(0, Call::GetStatus));
     insta::assert_snapshot!(status, @r#"200 {"Node":"edge-1","View":1,"Chain":["10.0.0.1:7660","10.0.0.2:7660","10.0.0.3:7660"],"Acceptors":["10.0.0.1:7660","10.0.0.2:7660","10.0.0.3:7660"],"Head":"10.0.0.1:7660","Tail":"10.0.0.3:7660","Ready":true,"MajorityMsAgo":40,"Stale":false,"Config":{"Gen":0,"Active":0},"Map":4,"Runners":{"Up":0,"Draining":0},"Dispatchers":[],"Stores":[{"Node":"store-1","State":"retired","Heard":true},{"Node":"store-2","State":"up","Heard":true},{"Node":"store-3","State":"up","Heard":true}],"Lag":[],"Disk":{"Used":0,"Capacity":0},"Refused":{"Frames":0,"Dropped":0,"Connections":0,"StateEntries":0,"Relay":0,"Calls":0,"ChainPassedOver":0,"ViewPassedOver":0,"RelayPassedOver":0}}"#);
     std::fs::remove_dir_all(directory).expect("a directory");
 }
@@ -304,13 +310,13 @@
 fn a_status_before_and_after_the_first_view_has_these_keys() {
     let directory = scratch("status");
     let mut cluster = Cluster::start(&directory, 1_000);
-    let before = shown(&cluster.call(0, Ask::Status));
+    let before = shown(&cluster.call(0, Call::GetStatus));
     cluster.run(3_000);
     cluster.configure(0, 7);
     cluster.call(1, runner("i-1", "up", 1));
     cluster.call(1, runner("i-2", "draining", 1));
     cluster.run(300);
-    let after = shown(&cluster.call(2, Ask::Status));
+    let after = shown(&cluster.call(2, Call::GetStatus));
     insta::assert_snapshot!(before, @r#"200 {"Node":"edge-1","View":0,"Chain":[],"Acceptors":[],"Head":null,"Tail":null,"Ready":false,"MajorityMsAgo":null,"Stale":true,"Config":{"Gen":0,"Active":0},"Map":0,"Runners":{"Up":0,"Draining":0},"Dispatchers":[],"Stores":[],"Lag":[],"Disk":{"Used":0,"Capacity":0},"Refused":{"Frames":0,"Dropped":0,"Connections":0,"StateEntries":0,"Relay":0,"Calls":0,"ChainPassedOver":0,"ViewPassedOver":0,"RelayPassedOver":0}}"#);
     insta::assert_snapshot!(after, @r#"200 {"Node":"edge-3","View":1,"Chain":["10.0.0.1:7660","10.0.0.2:7660","10.0.0.3:7660"],"Acceptors":["10.0.0.1:7660","10.0.0.2:7660","10.0.0.3:7660"],"Head":"10.0.0.1:7660","Tail":"10.0.0.3:7660","Ready":true,"MajorityMsAgo":160,"Stale":false,"Config":{"Gen":7,"Active":7},"Map":0,"Runners":{"Up":1,"Draining":1},"Dispatchers":[],"Stores":[],"Lag":[],"Disk":{"Used":0,"Capacity":0},"Refused":{"Frames":0,"Dropped":0,"Connections":0,"StateEntries":0,"Relay":0,"Calls":0,"ChainPassedOver":0,"ViewPassedOver":0,"RelayPassedOver":0}}"#);
     std::fs::remove_dir_all(directory).expect("a directory");
--- a/crates/control/controller/tests/founding.rs
+++ b/crates/control/controller/tests/bootstrap.rs
@@ -1,9 +1,9 @@
-//! Founders that start in any order, with lost and late frames, ends with and without their disks: one founding at most,
+//! Founders that start in any order, with lost and late frames, ends with and without their disks: one bootstrap at most,
 //! soon where it is possible, and none by a disk that was lost.
 
 use bytes::Bytes;
 use chain_replication::Member;
-use controller::founding::{Founding, FoundingOut, Frame, FOUNDING_WAIT};
+use controller::bootstrap::{Bootstrap, BootstrapEffect, BootstrapMessage, ABSENT_MEMBER_TIMEOUT};
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
 }
 
 enum Payload {
-    Founding(Frame),
+    Bootstrap(BootstrapMessage),
     /// What one that has a view answers.
     Learn(ControllerView),
 }
@@ -35,7 +35,7 @@
     identity: u64,
     /// The records, each with when it is synced.
     records: Vec<(u64, u64, Bytes)>,
-    founding: Option<Founding>,
+    bootstrap: Option<Bootstrap>,
     began: u64,
     view: Option<ControllerView>,
     starts: Option<u64>,
@@ -51,7 +51,7 @@
     Ends,
     /// One loses its disk and takes itself for a founder again.
     Wiped,
-    /// One is never there, and another one loses its disk after the founding.
+    /// One is never there, and another one loses its disk after the bootstrap.
     MissingAndWiped,
 }
 
@@ -80,7 +80,7 @@
             .map(|n| Machine {
                 identity: 100 + n as u64,
                 records: Vec::new(),
-                founding: None,
+                bootstrap: None,
                 began: 0,
                 view: None,
                 starts: Some(1 + random.next_u64() % 300),
@@ -132,9 +132,9 @@
             );
         }
         if machine.view.is_none() {
-            let mut founding = Founding::new(me, founders, recovered);
-            founding.persists(true);
-            machine.founding = Some(founding);
+            let mut bootstrap = Bootstrap::new(me, founders, recovered);
+            bootstrap.set_disk_writable(true);
+            machine.bootstrap = Some(bootstrap);
         }
     }
 
@@ -149,7 +149,7 @@
         let machine = &mut self.machines[n];
         let synced = machine.records.iter().filter(|r| r.0 <= now).count();
         machine.records.truncate(synced + stays);
-        machine.founding = None;
+        machine.bootstrap = None;
         machine.starts = Some(now + back);
         if wiped {
             machine.records.clear();
@@ -163,7 +163,7 @@
         if !self.views.contains(&view) {
             self.views.push(view.clone());
         }
-        self.machines[n].founding = None;
+        self.machines[n].bootstrap = None;
         self.machines[n].view = Some(view);
     }
 
@@ -187,10 +187,10 @@
             return;
         }
         match (sent.payload, self.machines[to].view.clone()) {
-            (Payload::Founding(_), Some(view)) => self.send(to, sent.from, Payload::Learn(view)),
-            (Payload::Founding(frame), None) => {
-                if let Some(founding) = &mut self.machines[to].founding {
-                    founding.message(now, addr(sent.from), frame);
+            (Payload::Bootstrap(_), Some(view)) => self.send(to, sent.from, Payload::Learn(view)),
+            (Payload::Bootstrap(message), None) => {
+                if let Some(bootstrap) = &mut self.machines[to].bootstrap {
+                    bootstrap.handle_message(now, addr(sent.from), message);
                 }
             }
             (Payload::Learn(view), None) => self.knows(to, view),
@@ -199,19 +199,19 @@
     }
 
     fn carry_out(&mut self, n: usize) {
-        let Some(founding) = &mut self.machines[n].founding else {
+        let Some(bootstrap) = &mut self.machines[n].bootstrap else {
             return;
         };
-        for out in founding.take() {
+        for out in bootstrap.take_effects() {
             match out {
-                FoundingOut::Send { to, frame } => {
-                    let frame = Frame::decode(&frame.encode()).expect("a frame");
+                BootstrapEffect::Send { to, message } => {
+                    let message = BootstrapMessage::decode(&message.encode()).expect("a message");
                     let to = (0..self.machines.len())
                         .find(|m| addr(*m) == to)
                         .expect("a founder");
-                    self.send(n, to, Payload::Founding(frame));
+                    self.send(n, to, Payload::Bootstrap(message));
                 }
-                FoundingOut::Write { ticket, record } => {
+                BootstrapEffect::Write { ticket, record } => {
                     let after = self.machines[n]
                         .records
                         .last()
@@ -220,7 +220,7 @@
                     let synced = after + 1 + self.below(6);
                     self.machines[n].records.push((synced, ticket, record));
                 }
-                FoundingOut::Founded(view) => self.knows(n, view),
+                BootstrapEffect::Completed(view) => self.knows(n, view),
             }
         }
     }
@@ -235,7 +235,7 @@
                 }
                 let now = self.now;
                 let machine = &mut self.machines[n];
-                if let Some(founding) = &mut machine.founding {
+                if let Some(bootstrap) = &mut machine.bootstrap {
                     let synced = machine
                         .records
                         .iter()
@@ -243,10 +243,10 @@
                         .map(|r| r.1)
                         .max();
                     if let Some(ticket) = synced {
-                        founding.synced(now, ticket);
+                        bootstrap.synced(now, ticket);
                     }
                     if (now - machine.began) % 100 == 1 {
-                        founding.tick(now);
+                        bootstrap.tick(now);
                     }
                 }
                 self.carry_out(n);
@@ -286,13 +286,13 @@
         let back = 50 + world.below(1_500);
         world.end(one, back, trouble == Trouble::Wiped);
     } else if trouble == Trouble::MissingAndWiped {
-        world.play(300 + FOUNDING_WAIT + LATER);
+        world.play(300 + ABSENT_MEMBER_TIMEOUT + LATER);
         world.end(other, 50, true);
     }
     let until = match trouble {
         Trouble::Nothing => 300 + SOON,
         // The one that comes back may have been needed; the wait counts from its start.
-        _ => 300 + FOUNDING_WAIT + at + 1_500 + LATER,
+        _ => 300 + ABSENT_MEMBER_TIMEOUT + at + 1_500 + LATER,
     };
     world.play(until);
     let there = if missing { founders - 1 } else { founders };
@@ -345,37 +345,38 @@
         addr: addr(0),
         since: 0,
     };
-    let mut founding = Founding::new(me, (0..3).map(addr).collect(), RecoveredAcceptor::default());
-    founding.persists(true);
-    founding.tick(1);
-    founding.message(
+    let mut bootstrap =
+        Bootstrap::new(me, (0..3).map(addr).collect(), RecoveredAcceptor::default());
+    bootstrap.set_disk_writable(true);
+    bootstrap.tick(1);
+    bootstrap.handle_message(
         2,
         addr(1),
-        Frame::Announce {
+        BootstrapMessage::Announce {
             identity: 11,
             known: 7,
         },
     );
-    founding.message(
+    bootstrap.handle_message(
         2,
         addr(2),
-        Frame::Announce {
+        BootstrapMessage::Announce {
             identity: 12,
             known: 0,
         },
     );
     for now in (101..10_000).step_by(100) {
-        founding.tick(now);
-        let agrees = |out: &FoundingOut| {
+        bootstrap.tick(now);
+        let agrees = |out: &BootstrapEffect| {
             matches!(
                 out,
-                FoundingOut::Send {
-                    frame: Frame::Agree { .. },
+                BootstrapEffect::Send {
+                    message: BootstrapMessage::Agreement { .. },
                     ..
                 }
             )
         };
-        assert!(!founding.take().iter().any(agrees));
+        assert!(!bootstrap.take_effects().iter().any(agrees));
     }
 }
 
@@ -388,6 +389,6 @@
         b"\x02",
         b"\xff0000000000000000",
     ] {
-        assert!(Frame::decode(bytes).is_err());
+        assert!(BootstrapMessage::decode(bytes).is_err());
     }
 }
--- a/crates/control/controller/tests/calls.rs
+++ b/crates/control/controller/tests/calls.rs
@@ -1,13 +1,14 @@
 //! Calls of runners at one controller alone.
 
-use controller::begin::{Begin, Found};
-use controller::op::{Answer, Ask};
-use controller::owner::{Out, Owner, TICK};
+use controller::call::{Call, CallId, Response};
+use controller::core::{ControllerCore, Effect, TICK_INTERVAL};
+use controller::startup::{ProcessIdentity, RecoveredState, Startup};
+use controller::Time;
 use slog::Logger;
 use tier_settings::Settings;
 
 /// A controller whose peers are not there. `bootstrap`: the tier begins with it.
-fn controller(peers: &[u8], bootstrap: bool) -> Owner {
+fn controller(peers: &[u8], bootstrap: bool) -> ControllerCore {
     let peers: Vec<String> = peers
         .iter()
         .map(|n| format!("\"10.0.0.{n}:8146\""))
@@ -20,10 +21,15 @@
     ));
     let settings = settings.expect("settings");
     let addr = std::net::SocketAddr::from(([10, 0, 0, 1], 7_660));
-    let (begin, _) = Begin::new(&settings, addr, 7, (true, 9), &Found::default());
-    Owner::new(
-        begin,
-        &Found::default(),
+    let identity = ProcessIdentity {
+        incarnation: 7,
+        disk_id: 9,
+        disk_was_empty: true,
+    };
+    let startup = Startup::new(&settings, addr, identity, &RecoveredState::default());
+    ControllerCore::new(
+        startup,
+        &RecoveredState::default(),
         settings,
         Logger::root(slog::Discard, slog::o!()),
     )
@@ -31,51 +37,50 @@
 }
 
 /// Lets time pass on an instant disk; the answers that came.
-fn until(owner: &mut Owner, from: u64, to: u64) -> Vec<(u64, Answer)> {
+fn until(core: &mut ControllerCore, from: u64, to: u64) -> Vec<(u64, Response)> {
     let mut answers = Vec::new();
-    for now in (from..=to).step_by(TICK as usize) {
-        owner.persistence(
+    for now in (from..=to).step_by(TICK_INTERVAL as usize) {
+        core.update_disk_state(
             now,
             write_ahead_log::DiskStatus {
                 preallocated: true,
                 ..Default::default()
             },
         );
-        owner.tick(now, now);
+        core.tick(Time { now, unix_ms: now });
         loop {
             let mut writes = Vec::new();
-            for out in owner.take() {
+            for out in core.take_effects() {
                 match out {
-                    Out::Write { told, .. } => writes.push(told),
-                    Out::Reply { call, answer } => answers.push((call, answer)),
-                    Out::Tell { .. } => {}
+                    Effect::Write { ticket, .. } => writes.push(ticket),
+                    Effect::Respond { call, response } => answers.push((call.0, response)),
+                    Effect::Send { .. } => {}
                 }
             }
             if writes.is_empty() {
                 break;
             }
-            owner.synced(now, now, &writes);
+            core.handle_synced(Time { now, unix_ms: now }, &writes);
         }
     }
     answers
 }
 
-fn drains(owner: &mut Owner, now: u64, call: u64, seqno: u64) {
+fn drains(core: &mut ControllerCore, now: u64, call: u64, seqno: u64) {
     let body = format!(
         "{{\"Svc\":\"s\",\"Address\":\"10.9.0.1:80\",\"Slots\":1,\"State\":\"draining\",\"Seqno\":{seqno}}}"
     );
-    owner.asked(
-        now,
-        now,
-        call,
-        Ask::Heartbeat {
+    core.handle_call(
+        Time { now, unix_ms: now },
+        CallId(call),
+        Call::RunnerHeartbeat {
             id: "i-1".to_owned(),
             body: body.into(),
         },
     );
 }
 
-fn statuses(answers: &[(u64, Answer)]) -> Vec<(u64, u16)> {
+fn statuses(answers: &[(u64, Response)]) -> Vec<(u64, u16)> {
     answers
         .iter()
         .map(|(call, answer)| (*call, answer.status))
@@ -84,43 +89,42 @@
 
 #[test]
 fn draining_said_again_is_not_acknowledged_while_nobody_else_knows_of_it() {
-    let mut owner = controller(&[1, 2, 3], true);
-    assert!(until(&mut owner, 1, 1_000).is_empty());
-    drains(&mut owner, 1_001, 1, 5);
-    assert_eq!(statuses(&until(&mut owner, 1_100, 2_000)), [(1, 503)]);
-    drains(&mut owner, 2_001, 2, 5);
-    drains(&mut owner, 2_002, 3, 6);
+    let mut core = controller(&[1, 2, 3], true);
+    assert!(until(&mut core, 1, 1_000).is_empty());
+    drains(&mut core, 1_001, 1, 5);
+    assert_eq!(statuses(&until(&mut core, 1_100, 2_000)), [(1, 503)]);
+    drains(&mut core, 2_001, 2, 5);
+    drains(&mut core, 2_002, 3, 6);
     assert_eq!(
-        statuses(&until(&mut owner, 2_100, 3_000)),
+        statuses(&until(&mut core, 2_100, 3_000)),
         [(2, 503), (3, 503)]
     );
 }
 
 #[test]
 fn one_that_has_no_view_yet_does_not_acknowledge_draining_alone() {
-    let mut owner = controller(&[2, 3], false);
-    assert!(until(&mut owner, 1, 500).is_empty());
-    drains(&mut owner, 501, 1, 5);
-    assert_eq!(statuses(&until(&mut owner, 600, 1_500)), [(1, 503)]);
+    let mut core = controller(&[2, 3], false);
+    assert!(until(&mut core, 1, 500).is_empty());
+    drains(&mut core, 501, 1, 5);
+    assert_eq!(statuses(&until(&mut core, 600, 1_500)), [(1, 503)]);
 }
 
 #[test]
 fn a_single_controller_acknowledges_draining_at_once() {
-    let mut owner = controller(&[1], true);
-    assert!(until(&mut owner, 1, 1_000).is_empty());
-    drains(&mut owner, 1_001, 1, 5);
-    assert_eq!(statuses(&until(&mut owner, 1_100, 1_100)), [(1, 200)]);
+    let mut core = controller(&[1], true);
+    assert!(until(&mut core, 1, 1_000).is_empty());
+    drains(&mut core, 1_001, 1, 5);
+    assert_eq!(statuses(&until(&mut core, 1_100, 1_100)), [(1, 200)]);
 }
 
-fn heartbeat(owner: &mut Owner, now: u64, call: u64, seqno: u64) {
+fn heartbeat(core: &mut ControllerCore, now: u64, call: u64, seqno: u64) {
     let body = format!(
         "{{\"Svc\":\"s\",\"Address\":\"10.9.0.1:80\",\"Slots\":1,\"State\":\"up\",\"Seqno\":{seqno}}}"
     );
-    owner.asked(
-        now,
-        now,
-        call,
-        Ask::Heartbeat {
+    core.handle_call(
+        Time { now, unix_ms: now },
+        CallId(call),
+        Call::RunnerHeartbeat {
             id: "i-1".to_owned(),
             body: body.into(),
         },
@@ -128,10 +132,13 @@
 }
 
 /// What its status says of the runners that are up, and whether what it knows is stale.
-fn runners_up(owner: &mut Owner, now: u64) -> (u64, bool) {
-    owner.asked(now, now, 99, Ask::Status);
-    let replies = owner.take().into_iter().filter_map(|out| match out {
-        Out::Reply { call: 99, answer } => Some(answer.body),
+fn runners_up(core: &mut ControllerCore, now: u64) -> (u64, bool) {
+    core.handle_call(Time { now, unix_ms: now }, CallId(99), Call::GetStatus);
+    let replies = core.take_effects().into_iter().filter_map(|out| match out {
+        Effect::Respond {
+            call: CallId(99),
+            response,
+        } => Some(response.body),
         _ => None,
     });
     let body = replies.last().expect("status is answered at once");
@@ -146,63 +153,64 @@
 // stopped sending to them.
 #[test]
 fn without_a_majority_no_runner_is_taken_for_gone() {
-    let mut owner = controller(&[1, 2, 3], true);
-    assert!(until(&mut owner, 1, 1_000).is_empty());
-    heartbeat(&mut owner, 1_001, 1, 5);
-    assert_eq!(statuses(&until(&mut owner, 1_100, 30_000)), [(1, 200)]);
-    assert_eq!(runners_up(&mut owner, 30_001), (1, true));
+    let mut core = controller(&[1, 2, 3], true);
+    assert!(until(&mut core, 1, 1_000).is_empty());
+    heartbeat(&mut core, 1_001, 1, 5);
+    assert_eq!(statuses(&until(&mut core, 1_100, 30_000)), [(1, 200)]);
+    assert_eq!(runners_up(&mut core, 30_001), (1, true));
 }
 
 #[test]
 fn without_a_majority_a_heartbeat_is_refused_and_what_it_says_is_kept() {
-    let mut owner = controller(&[1, 2, 3], true);
-    assert!(until(&mut owner, 1, 6_000).is_empty());
-    heartbeat(&mut owner, 6_001, 1, 5);
-    assert_eq!(statuses(&until(&mut owner, 6_100, 6_200)), [(1, 503)]);
-    assert_eq!(runners_up(&mut owner, 6_201).0, 1);
+    let mut core = controller(&[1, 2, 3], true);
+    assert!(until(&mut core, 1, 6_000).is_empty());
+    heartbeat(&mut core, 6_001, 1, 5);
+    assert_eq!(statuses(&until(&mut core, 6_100, 6_200)), [(1, 503)]);
+    assert_eq!(runners_up(&mut core, 6_201).0, 1);
     // That it drains is true whoever it was said to; it is not acknowledged.
-    drains(&mut owner, 6_301, 2, 6);
-    assert_eq!(statuses(&until(&mut owner, 6_400, 8_000)), [(2, 503)]);
-    assert_eq!(runners_up(&mut owner, 8_001).0, 0);
+    drains(&mut core, 6_301, 2, 6);
+    assert_eq!(statuses(&until(&mut core, 6_400, 8_000)), [(2, 503)]);
+    assert_eq!(runners_up(&mut core, 8_001).0, 0);
 }
 
 #[test]
 fn with_a_majority_a_silent_runner_is_gone() {
-    let mut owner = controller(&[1], true);
-    assert!(until(&mut owner, 1, 1_000).is_empty());
-    heartbeat(&mut owner, 1_001, 1, 5);
-    assert_eq!(statuses(&until(&mut owner, 1_100, 4_000)), [(1, 200)]);
-    assert_eq!(runners_up(&mut owner, 4_001), (1, false));
-    until(&mut owner, 4_100, 10_000);
-    assert_eq!(runners_up(&mut owner, 10_001).0, 0);
+    let mut core = controller(&[1], true);
+    assert!(until(&mut core, 1, 1_000).is_empty());
+    heartbeat(&mut core, 1_001, 1, 5);
+    assert_eq!(statuses(&until(&mut core, 1_100, 4_000)), [(1, 200)]);
+    assert_eq!(runners_up(&mut core, 4_001), (1, false));
+    until(&mut core, 4_100, 10_000);
+    assert_eq!(runners_up(&mut core, 10_001).0, 0);
 }
 
 // A leave was acknowledged at once, and was lost with the controller that had it.
 #[test]
 fn a_leave_is_not_acknowledged_while_nobody_else_knows_of_it() {
-    let mut owner = controller(&[1, 2, 3], true);
-    assert!(until(&mut owner, 1, 1_000).is_empty());
+    let mut core = controller(&[1, 2, 3], true);
+    assert!(until(&mut core, 1, 1_000).is_empty());
     for (call, now) in [(1, 1_001), (2, 2_001)] {
-        owner.asked(
-            now,
-            now,
-            call,
-            Ask::Leave {
+        core.handle_call(
+            Time { now, unix_ms: now },
+            CallId(call),
+            Call::RunnerLeave {
                 id: "i-1".to_owned(),
             },
         );
         assert_eq!(
-            statuses(&until(&mut owner, now + 99, now + 999)),
+            statuses(&until(&mut core, now + 99, now + 999)),
             [(call, 503)]
         );
     }
     let mut alone = controller(&[1], true);
     assert!(until(&mut alone, 1, 1_000).is_empty());
-    alone.asked(
-        1_001,
-        1_001,
-        1,
-        Ask::Leave {
+    alone.handle_call(
+        Time {
+            now: 1_001,
+            unix_ms: 1_001,
+        },
+        CallId(1),
+        Call::RunnerLeave {
             id: "i-1".to_owned(),
         },
     );
--- a/crates/control/controller/tests/control.rs
+++ b/crates/control/controller/tests/control_state.rs
@@ -1,14 +1,16 @@
 //! The control state: changes follow each other, repeats are known, and a copy is the same.
 
 use chain_replication::StateMachine;
-use controller::control::{digest, Change, Command, Control, TAKEN_MOST};
+use controller::control_state::{
+    digest, Command, ConfigChange, ControlState, MAX_REMEMBERED_CHANGES,
+};
 use proptest::prelude::*;
 
 fn config(base: u64, gen: u64, body: &[u8]) -> Command {
-    Command::Config {
-        change: Change {
-            base,
-            gen,
+    Command::ReplaceConfig {
+        change: ConfigChange {
+            base_version: base,
+            version: gen,
             digest: digest(body),
         },
         body: body.to_vec(),
@@ -17,32 +19,32 @@
 
 #[test]
 fn of_two_changes_on_the_same_version_one_counts() {
-    let mut control = Control::default();
+    let mut control = ControlState::default();
     control.apply(1, &config(0, 3, b"a").encode());
     control.apply(2, &config(0, 5, b"b").encode());
-    assert_eq!(control.gen(), 3);
-    assert_eq!(control.took(0, &digest(b"a")), Some(3));
-    assert_eq!(control.took(0, &digest(b"b")), None);
+    assert_eq!(control.config_version(), 3);
+    assert_eq!(control.accepted_version(0, &digest(b"a")), Some(3));
+    assert_eq!(control.accepted_version(0, &digest(b"b")), None);
 }
 
 #[test]
 fn a_repeat_is_known_after_others_followed_but_not_on_another_base() {
-    let mut control = Control::default();
+    let mut control = ControlState::default();
     for (base, gen) in [(0, 2), (2, 7), (7, 9)] {
         control.apply(gen, &config(base, gen, &[gen as u8]).encode());
     }
-    assert_eq!(control.gen(), 9);
-    assert_eq!(control.took(2, &digest(&[7])), Some(7));
-    assert_eq!(control.took(7, &digest(&[7])), None);
+    assert_eq!(control.config_version(), 9);
+    assert_eq!(control.accepted_version(2, &digest(&[7])), Some(7));
+    assert_eq!(control.accepted_version(7, &digest(&[7])), None);
 }
 
 #[test]
 fn a_version_not_above_the_one_in_place_never_counts() {
-    let mut control = Control::default();
+    let mut control = ControlState::default();
     control.apply(1, &config(0, 4, b"a").encode());
     control.apply(2, &config(4, 4, b"b").encode());
     control.apply(3, &config(4, 3, b"c").encode());
-    assert_eq!(control.gen(), 4);
+    assert_eq!(control.config_version(), 4);
     assert_eq!(
         control.config.as_ref().map(|(_, b)| b.as_ref()),
         Some(b"a".as_ref())
@@ -52,33 +54,33 @@
 proptest! {
     #[test]
     fn any_commands_and_a_copy_agree(commands in proptest::collection::vec((0_u64..4, 0_u64..6, 0_u8..3, any::<bool>()), 0..40)) {
-        let mut control = Control::default();
+        let mut control = ControlState::default();
         for (n, (base, gen, body, map)) in commands.iter().enumerate() {
             let command = if *map {
-                Command::Map { number: *gen, body: vec![*body] }
+                Command::ReplacePlacement { number: *gen, body: vec![*body] }
             } else {
                 config(*base, *gen, &[*body])
             };
-            let before = control.gen();
+            let before = control.config_version();
             control.apply(n as u64, &command.encode());
-            prop_assert!(control.gen() >= before);
+            prop_assert!(control.config_version() >= before);
         }
-        let mut copy = Control::default();
+        let mut copy = ControlState::default();
         prop_assert!(copy.restore(&control.snapshot()).is_ok());
         prop_assert_eq!(copy, control);
     }
 
     #[test]
     fn any_bytes_do_no_harm(bytes: Vec<u8>) {
-        let mut control = Control::default();
+        let mut control = ControlState::default();
         control.apply(1, &bytes);
         let _ = control.restore(&bytes);
     }
 }
 
 /// Changes one on the other, from the first version on.
-fn changes(count: u64) -> Control {
-    let mut control = Control::default();
+fn changes(count: u64) -> ControlState {
+    let mut control = ControlState::default();
     for gen in 1..=count {
         control.apply(gen, &config(gen - 1, gen, &gen.to_le_bytes()).encode());
     }
@@ -89,32 +91,41 @@
 #[test]
 fn a_repeat_is_known_after_thousands_of_others_and_after_a_snapshot() {
     let control = changes(4_096);
-    let mut copy = Control::default();
+    let mut copy = ControlState::default();
     copy.restore(&control.snapshot()).expect("own snapshot");
     for control in [&control, &copy] {
         for gen in [1, 2, 3_000, 4_096] {
             assert_eq!(
-                control.took(gen - 1, &digest(&gen.to_le_bytes())),
+                control.accepted_version(gen - 1, &digest(&gen.to_le_bytes())),
                 Some(gen)
             );
-            assert_eq!(control.took(gen - 1, &digest(b"another")), None);
+            assert_eq!(control.accepted_version(gen - 1, &digest(b"another")), None);
         }
     }
 }
 
 #[test]
 fn an_order_older_than_all_that_is_remembered_is_neither_taken_nor_refused() {
-    let control = changes(TAKEN_MOST as u64);
-    assert!(control.remembers(0));
-    let control = changes(TAKEN_MOST as u64 + 5);
+    let control = changes(MAX_REMEMBERED_CHANGES as u64);
+    assert!(control.remembers_changes_on(0));
+    let control = changes(MAX_REMEMBERED_CHANGES as u64 + 5);
     for base in [0, 1, 4] {
-        assert!(!control.remembers(base), "{base}");
+        assert!(!control.remembers_changes_on(base), "{base}");
     }
     // The oldest that is known builds on 5.
-    for base in [5, 6, 3_000, control.gen(), control.gen() + 1] {
-        assert!(control.remembers(base), "{base}");
+    for base in [
+        5,
+        6,
+        3_000,
+        control.config_version(),
+        control.config_version() + 1,
+    ] {
+        assert!(control.remembers_changes_on(base), "{base}");
     }
-    assert_eq!(control.took(5, &digest(&6_u64.to_le_bytes())), Some(6));
+    assert_eq!(
+        control.accepted_version(5, &digest(&6_u64.to_le_bytes())),
+        Some(6)
+    );
 }
 
 proptest! {
--- a/crates/control/controller/tests/ctl.rs
+++ b/crates/control/controller/tests/ctl.rs
@@ -3,8 +3,8 @@
 #![expect(clippy::too_many_lines, reason = "not revised yet")]
 
 use bytes::Bytes;
+use controller::call::{Call, Input, Response};
 use controller::ctl::serve;
-use controller::op::{Answer, Ask, Op};
 use std::net::SocketAddr;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -29,21 +29,24 @@
 }
 
 /// What a call is taken for.
-fn taken(ask: &Ask) -> String {
+fn taken(ask: &Call) -> String {
     let text = |body: &Bytes| String::from_utf8_lossy(body).into_owned();
     match ask {
-        Ask::Put { base, body } => format!("put on {base}: {}", text(body)),
-        Ask::Get => "get".to_owned(),
-        Ask::Heartbeat { id, body } => format!("heartbeat of {id}: {}", text(body)),
-        Ask::Leave { id } => format!("leave of {id}"),
-        Ask::RetireBegin { node } => format!("retire {node}"),
-        Ask::RetireGet { node } => format!("retired {node}?"),
-        Ask::Status => "status".to_owned(),
+        Call::ReplaceConfig {
+            base_version: base,
+            body,
+        } => format!("put on {base}: {}", text(body)),
+        Call::GetConfig => "get".to_owned(),
+        Call::RunnerHeartbeat { id, body } => format!("heartbeat of {id}: {}", text(body)),
+        Call::RunnerLeave { id } => format!("leave of {id}"),
+        Call::RetireStore { node } => format!("retire {node}"),
+        Call::GetRetirement { node } => format!("retired {node}?"),
+        Call::GetStatus => "status".to_owned(),
     }
 }
 
 /// A listener whose calls are answered with what each is taken for, or not at all.
-async fn listening(capacity: usize, answers: bool) -> (SocketAddr, Option<mpsc::Receiver<Op>>) {
+async fn listening(capacity: usize, answers: bool) -> (SocketAddr, Option<mpsc::Receiver<Input>>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let addr = listener.local_addr().expect("an address");
     let (ops, mut asked) = mpsc::channel(capacity);
@@ -53,8 +56,8 @@
     }
     tokio::task::spawn_local(async move {
         while let Some(op) = asked.recv().await {
-            if let Op::Asked { ask, reply } = op {
-                let _ = reply.send(Answer::body(taken(&ask)));
+            if let Input::Call { call, respond_to } = op {
+                let _ = respond_to.send(Response::json(taken(&call)));
             }
         }
     });
@@ -189,15 +192,15 @@
 
 #[test]
 fn a_redirection_names_the_other_controller() {
-    let elsewhere = Answer::elsewhere(
+    let elsewhere = Response::redirect(
         "10.0.0.2:8146".parse().expect("an address"),
         "/-/config/get",
     );
     let response = run(async {
         let (addr, asked) = listening(1, false).await;
         tokio::task::spawn_local(async move {
-            if let Some(Op::Asked { reply, .. }) = asked.expect("the calls").recv().await {
-                let _ = reply.send(elsewhere);
+            if let Some(Input::Call { respond_to, .. }) = asked.expect("the calls").recv().await {
+                let _ = respond_to.send(elsewhere);
             }
         });
         exchange(addr, &request("GET", "/-/config/get", "", "")).await
@@ -239,7 +242,7 @@
 
 #[test]
 fn a_refusal_has_this_body_whatever_it_says() {
-    let refused = Answer::refused(400, 1234, &format!("a \"quote\"\n{}", "x".repeat(400)));
+    let refused = Response::error(400, 1234, &format!("a \"quote\"\n{}", "x".repeat(400)));
     assert_eq!((refused.status, refused.location), (400, None));
     let body = format!(
         "{{\"Code\":1234,\"Error\":\"a \\\"quote\\\"{}\"}}",
@@ -247,8 +250,8 @@
     );
     assert_eq!(refused.body, body.as_bytes());
     assert_eq!(
-        Answer::ok(),
-        Answer {
+        Response::ok(),
+        Response {
             status: 200,
             body: Bytes::from_static(b"{}"),
             location: None
--- a/crates/control/controller/tests/days/cuts.rs
+++ b/crates/control/controller/tests/days/cuts.rs
@@ -1,4 +1,4 @@
-//! Controllers that are cut off for twenty seconds and more, while orders, reads, heartbeats, drainings and an emptied
+//! PeerControllers that are cut off for twenty seconds and more, while orders, reads, heartbeats, drainings and an emptied
 //! store go on at both sides. `CUT_FROM` and `CUT_SEEDS` play other days by hand, `CUT_KIND` with one way of cutting;
 //! `SIM_LOG` tells of them.
 
--- a/crates/control/controller/tests/dispatchers.rs
+++ b/crates/control/controller/tests/dispatchers.rs
@@ -1,7 +1,7 @@
 //! Who of the dispatchers is known, and who says that one is gone.
 
-use bytes::Bytes;
-use controller::dispatchers::Dispatchers;
+use controller::dispatchers::DispatcherTracker;
+use controller::Time;
 use peer_transport::Peer;
 use relay_tree::{Follow, Role, Stamp, StateTable};
 use replicated_state::{Dispatcher, DISPATCHER_KEY_PREFIX};
@@ -34,16 +34,19 @@
 
 /// Lets time pass; when the dispatcher was said to be gone.
 fn gone_at(
-    dispatchers: &mut Dispatchers,
+    dispatchers: &mut DispatcherTracker,
     until: u64,
     alive: impl Fn(u64) -> Option<Vec<u64>>,
 ) -> Option<u64> {
     let mut state_table = state_table();
     for now in (100..until).step_by(100) {
-        let state_entries: Vec<(String, Stamp, Option<Bytes>)> =
-            dispatchers.state_entries(now, 2_000 + now, &state_table, alive(now).as_deref());
-        for (key, stamp, value) in state_entries {
-            state_table.set(now, &key, stamp, value);
+        let time = Time {
+            now,
+            unix_ms: 2_000 + now,
+        };
+        let entries = dispatchers.entries_to_publish(time, &state_table, alive(now).as_deref());
+        for entry in entries {
+            state_table.set(now, &entry.key, entry.stamp, entry.value);
         }
         if state_table
             .with_prefix(DISPATCHER_KEY_PREFIX)
@@ -59,7 +62,7 @@
 // One that ended together with the controller that told of it stayed known for good.
 #[test]
 fn one_whose_controller_is_lost_and_that_nobody_hears_is_gone() {
-    let mut dispatchers = Dispatchers::new(OWN);
+    let mut dispatchers = DispatcherTracker::new(OWN);
     let alive = |now| Some(if now < 10_000 { vec![OTHER] } else { vec![] });
     let at = gone_at(&mut dispatchers, 60_000, alive).expect("it is said to be gone");
     // It has two silences to come over to another controller.
@@ -68,7 +71,7 @@
 
 #[test]
 fn one_whose_controller_is_there_stays() {
-    let mut dispatchers = Dispatchers::new(OWN);
+    let mut dispatchers = DispatcherTracker::new(OWN);
     assert_eq!(
         gone_at(&mut dispatchers, 60_000, |_| Some(vec![OTHER])),
         None
@@ -77,17 +80,18 @@
 
 #[test]
 fn out_of_contact_nobody_is_said_to_be_gone() {
-    let mut dispatchers = Dispatchers::new(OWN);
+    let mut dispatchers = DispatcherTracker::new(OWN);
     assert_eq!(gone_at(&mut dispatchers, 60_000, |_| None), None);
     // When contact is back, it has a whole span again.
     let alive = |now| Some(vec![]).filter(|_| now > 20_000);
-    let at = gone_at(&mut Dispatchers::new(OWN), 60_000, alive).expect("it is said to be gone");
+    let at =
+        gone_at(&mut DispatcherTracker::new(OWN), 60_000, alive).expect("it is said to be gone");
     assert!(at > 27_000, "{at}");
 }
 
 #[test]
 fn one_that_is_heard_here_stays() {
-    let mut dispatchers = Dispatchers::new(OWN);
+    let mut dispatchers = DispatcherTracker::new(OWN);
     let peer = Peer {
         addr: addr(9),
         id: 3,
@@ -95,11 +99,15 @@
         zone: "z".into(),
     };
     for now in (100..30_000).step_by(1_000) {
-        dispatchers.heard(now, &peer);
+        dispatchers.record_hello(now, &peer);
         let state_table = state_table();
-        let state_entries = dispatchers.state_entries(now, 2_000 + now, &state_table, Some(&[]));
+        let time = Time {
+            now,
+            unix_ms: 2_000 + now,
+        };
+        let entries = dispatchers.entries_to_publish(time, &state_table, Some(&[]));
         assert!(
-            state_entries.iter().all(|(_, _, value)| value.is_some()),
+            entries.iter().all(|entry| entry.value.is_some()),
             "at {now}"
         );
     }
--- a/crates/control/controller/tests/journal.rs
+++ b/crates/control/controller/tests/journal.rs
@@ -5,9 +5,10 @@
 #![expect(clippy::needless_pass_by_value, reason = "not revised yet")]
 
 use bytes::Bytes;
-use controller::begin::{Begin, Found};
-use controller::journal::Journal;
-use controller::owner::{Owner, Told};
+use controller::core::{ControllerCore, WriteTicket};
+use controller::journal::{DiskUsage, Journal};
+use controller::startup::{ProcessIdentity, RecoveredState, Startup};
+use controller::Time;
 use replicated_state::encode_addresses;
 use slog::Logger;
 use std::collections::BTreeMap;
@@ -128,12 +129,17 @@
     Settings::parse(text).expect("settings")
 }
 
-fn owner(found: Found) -> Owner {
+fn core(recovered: RecoveredState) -> ControllerCore {
     let addr = std::net::SocketAddr::from(([10, 0, 0, 1], 7_660));
-    let (begin, _) = Begin::new(&settings(), addr, 7, (false, 9), &found);
-    Owner::new(
-        begin,
-        &found,
+    let identity = ProcessIdentity {
+        incarnation: 7,
+        disk_id: 9,
+        disk_was_empty: false,
+    };
+    let startup = Startup::new(&settings(), addr, identity, &recovered);
+    ControllerCore::new(
+        startup,
+        &recovered,
         settings(),
         Logger::root(slog::Discard, slog::o!()),
     )
@@ -145,7 +151,7 @@
     disk: Memory,
     writer: Writer<Memory, StdMonitor<SharedState>>,
     journal: Journal,
-    owner: Owner,
+    core: ControllerCore,
     now: u64,
     written: u64,
 }
@@ -155,16 +161,18 @@
         let disk = Memory::default();
         let prepared: PreparedLog<Memory, StdMonitor<SharedState>> =
             prepare(disk.clone(), OPTIONS, 9).expect("an empty disk");
-        let (journal, found) = Journal::new(prepared.log, prepared.records);
+        let (journal, recovered) = Journal::new(prepared.log, prepared.records);
         let mut machine = Machine {
             disk,
             writer: prepared.writer,
             journal,
-            owner: owner(found),
+            core: core(recovered),
             now: 1,
             written: 0,
         };
-        machine.journal.found(1, Bytes::from_static(&[0]));
+        machine
+            .journal
+            .write_initial_members(1, Bytes::from_static(&[0]));
         machine.work();
         machine
     }
@@ -184,17 +192,17 @@
         self.written += 1;
         self.journal.write(
             self.now,
-            Told::Chain(self.written),
+            WriteTicket::Chain(self.written),
             Bytes::from(vec![1; RECORD_BYTES]),
         );
     }
 
-    /// What the process does when the disk has synced something: the owner writes at once again.
+    /// What the process does when the disk has synced something: the core writes at once again.
     fn synced(&mut self) -> usize {
-        let newest = *self.journal.watch().borrow();
+        let newest = *self.journal.subscribe_synced().borrow();
         let told = self.journal.synced(self.now, newest);
         self.write();
-        self.journal.compact(self.now, &self.owner);
+        self.journal.compact_if_needed(self.now, &self.core);
         told.len()
     }
 }
@@ -208,7 +216,10 @@
         machine.write();
         machine.work();
         told += machine.synced();
-        let (used, there) = machine.journal.room();
+        let DiskUsage {
+            used_bytes: used,
+            capacity_bytes: there,
+        } = machine.journal.usage();
         most = most.max(used * 100 / there);
         assert!(
             machine
@@ -232,18 +243,23 @@
 #[test]
 fn a_write_before_a_compaction_counts_as_synced_only_with_all_of_it() {
     let mut machine = Machine::new();
-    let half = |machine: &Machine| machine.journal.room().0 * 2 >= machine.journal.room().1;
+    let half = |machine: &Machine| {
+        let usage = machine.journal.usage();
+        usage.used_bytes * 2 >= usage.capacity_bytes
+    };
     while !half(&machine) {
         machine.write();
         machine.work();
-        let newest = *machine.journal.watch().borrow();
+        let newest = *machine.journal.subscribe_synced().borrow();
         machine.journal.synced(machine.now, newest);
     }
-    let before = *machine.journal.watch().borrow();
+    let before = *machine.journal.subscribe_synced().borrow();
     machine.disk.refuse(true);
     machine.write();
-    let write = Told::Chain(machine.written);
-    machine.journal.compact(machine.now, &machine.owner);
+    let write = WriteTicket::Chain(machine.written);
+    machine
+        .journal
+        .compact_if_needed(machine.now, &machine.core);
     assert_eq!(
         machine.journal.synced(machine.now, before + 1),
         vec![],
@@ -251,7 +267,7 @@
     );
     machine.disk.refuse(false);
     machine.work();
-    let newest = *machine.journal.watch().borrow();
+    let newest = *machine.journal.subscribe_synced().borrow();
     assert!(newest > before + 1);
     assert_eq!(machine.journal.synced(machine.now, newest), vec![write]);
 }
@@ -271,21 +287,21 @@
             writer.step();
         }
     };
-    let (mut journal, found) = Journal::new(opened.log, opened.records);
-    let mut owner = owner(found);
-    journal.found(1, encode_addresses(&[([10, 0, 0, 1], 7_660).into()]));
+    let (mut journal, recovered) = Journal::new(opened.log, opened.records);
+    let mut core = core(recovered);
+    journal.write_initial_members(1, encode_addresses(&[([10, 0, 0, 1], 7_660).into()]));
     for number in 1..=2_000 {
         journal.write(
             number,
-            Told::Chain(number),
+            WriteTicket::Chain(number),
             Bytes::from(vec![1; RECORD_BYTES]),
         );
         if number % 3 == 0 {
             work();
-            let newest = *journal.watch().borrow();
+            let newest = *journal.subscribe_synced().borrow();
             journal.synced(number, newest);
         }
-        journal.compact(number, &owner);
+        journal.compact_if_needed(number, &core);
     }
     work();
     drop(journal);
@@ -297,10 +313,13 @@
         .iter()
         .map(|(_, record)| record.kind)
         .collect();
-    let (journal, found) = Journal::new(opened.log, opened.records);
-    assert!(!found.founders.is_empty(), "{kinds:?}");
+    let (journal, recovered) = Journal::new(opened.log, opened.records);
+    assert!(!recovered.initial_members.is_empty(), "{kinds:?}");
     drop(journal);
-    owner.tick(2_001, 2_001);
+    core.tick(Time {
+        now: 2_001,
+        unix_ms: 2_001,
+    });
     std::fs::remove_dir_all(path).expect("a folder");
 }
 
@@ -314,7 +333,9 @@
         // Less than half of the ring: a controller whose disk refuses soon takes no more that would be written.
         for _ in 0..80 {
             machine.write();
-            machine.journal.compact(machine.now, &machine.owner);
+            machine
+                .journal
+                .compact_if_needed(machine.now, &machine.core);
         }
         // The first try of the disk fails.
         if machine.writer.has_work() {
@@ -325,7 +346,10 @@
             machine.work();
             told += machine.synced();
         }
-        let (used, there) = machine.journal.room();
+        let DiskUsage {
+            used_bytes: used,
+            capacity_bytes: there,
+        } = machine.journal.usage();
         let written = machine.written as usize;
         assert!(
             told + 5 > written,
--- a/crates/control/controller/tests/largest.rs
+++ b/crates/control/controller/tests/largest_config.rs
@@ -1,16 +1,16 @@
 //! The largest configuration goes through all that it has to go through.
 
-use controller::control::{Change, Command};
+use controller::control_state::{Command, ConfigChange};
 
 #[test]
 fn the_largest_configuration_fits_a_command_of_the_chain_and_a_frame() {
     let body = vec![b' '; route_config::MAX_BODY];
-    let change = Change {
-        base: 1,
-        gen: 2,
+    let change = ConfigChange {
+        base_version: 1,
+        version: 2,
         digest: [0; 32],
     };
-    let command = Command::Config { change, body }.encode();
+    let command = Command::ReplaceConfig { change, body }.encode();
     assert!(
         command.len() <= chain_replication::MAX_COMMAND_BYTES,
         "{} bytes",
--- a/crates/control/controller/tests/heartbeats.rs
+++ b/crates/control/controller/tests/peers.rs
@@ -1,9 +1,10 @@
 //! Who of the controllers counts as alive.
 
 use chain_replication::{Member, Observation, ReplicaStatus};
-use controller::heartbeats::{
-    zone_number, ControllerHeartbeat, Controllers, StatusFrame, NO_DISK, SILENT, UNABLE_TO_PERSIST,
+use controller::heartbeat::{
+    zone_hash, ControllerHeartbeat, EncodedStatus, NO_DISK, UNABLE_TO_PERSIST,
 };
+use controller::peers::{PeerControllers, FAILURE_TIMEOUT};
 use std::net::SocketAddr;
 
 fn addr(n: u8) -> SocketAddr {
@@ -25,10 +26,10 @@
     ControllerHeartbeat {
         id,
         incarnation: id,
-        zone: zone_number("a"),
-        status: StatusFrame::new(&status(id)),
+        zone: zone_hash("a"),
+        status: EncodedStatus::from(&status(id)),
         flags: 0,
-        hears,
+        receives_from: hears,
     }
 }
 
@@ -48,9 +49,9 @@
     }
 }
 
-fn alive(controllers: &Controllers, now: u64, me: u8, order: &[u8]) -> Vec<u8> {
+fn alive(controllers: &PeerControllers, now: u64, me: u8, order: &[u8]) -> Vec<u8> {
     let order: Vec<SocketAddr> = order.iter().map(|n| addr(*n)).collect();
-    let seen = controllers.seen(now, addr(me), own(me), &order);
+    let seen = controllers.observations(now, addr(me), own(me), &order);
     let last = |a: SocketAddr| match a.ip() {
         std::net::IpAddr::V4(ip) => ip.octets()[3],
         std::net::IpAddr::V6(_) => 0,
@@ -62,66 +63,69 @@
 }
 
 /// Heartbeats of others that have said the same for some time.
-fn hear(controllers: &mut Controllers, now: u64, others: &[(u8, &[u8])]) {
+fn hear(controllers: &mut PeerControllers, now: u64, others: &[(u8, &[u8])]) {
     for at in [now - 600, now - 300, now] {
         for (n, hears) in others {
-            controllers.heard(at, addr(*n), heartbeat(u64::from(*n), hears));
+            controllers.record_heartbeat(at, addr(*n), heartbeat(u64::from(*n), hears));
         }
     }
 }
 
 #[test]
 fn all_that_hear_each_other_are_alive_until_they_are_silent() {
-    let mut controllers = Controllers::default();
+    let mut controllers = PeerControllers::default();
     hear(&mut controllers, 1_000, &[(2, &[1, 3]), (3, &[1, 2])]);
-    controllers.heard(1_300, addr(3), heartbeat(3, &[1, 2]));
+    controllers.record_heartbeat(1_300, addr(3), heartbeat(3, &[1, 2]));
     assert_eq!(alive(&controllers, 1_400, 1, &[1, 2, 3]), [1, 2, 3]);
-    assert_eq!(alive(&controllers, 1_000 + SILENT, 1, &[1, 2, 3]), [1, 3]);
+    assert_eq!(
+        alive(&controllers, 1_000 + FAILURE_TIMEOUT, 1, &[1, 2, 3]),
+        [1, 3]
+    );
 }
 
 #[test]
 fn one_that_hears_but_is_not_heard_is_out_and_so_is_the_reverse() {
-    let mut controllers = Controllers::default();
+    let mut controllers = PeerControllers::default();
     hear(&mut controllers, 1_000, &[(2, &[3]), (3, &[1, 2])]);
     assert_eq!(alive(&controllers, 1_100, 1, &[1, 2, 3]), [1, 3]);
 }
 
 #[test]
 fn of_two_that_do_not_hear_each_other_the_later_of_the_chain_is_out() {
-    let mut controllers = Controllers::default();
+    let mut controllers = PeerControllers::default();
     hear(&mut controllers, 1_000, &[(1, &[3]), (2, &[3])]);
     assert_eq!(alive(&controllers, 1_100, 3, &[1, 2, 3]), [1, 3]);
 }
 
 #[test]
 fn while_one_comes_back_nobody_is_out_for_not_hearing_it_yet() {
-    let mut controllers = Controllers::default();
+    let mut controllers = PeerControllers::default();
     hear(&mut controllers, 1_000, &[(2, &[1, 3]), (3, &[1, 2])]);
     // The second was away: the third does not say yet that it hears it.
     hear(&mut controllers, 3_000, &[(3, &[1])]);
-    controllers.heard(3_050, addr(2), heartbeat(2, &[1, 3]));
+    controllers.record_heartbeat(3_050, addr(2), heartbeat(2, &[1, 3]));
     assert_eq!(alive(&controllers, 3_060, 1, &[1, 2, 3]), [1, 2, 3]);
     // It comes to no more than that.
-    controllers.heard(3_350, addr(2), heartbeat(2, &[1, 3]));
-    controllers.heard(3_650, addr(2), heartbeat(2, &[1, 3]));
-    controllers.heard(3_600, addr(3), heartbeat(3, &[1]));
+    controllers.record_heartbeat(3_350, addr(2), heartbeat(2, &[1, 3]));
+    controllers.record_heartbeat(3_650, addr(2), heartbeat(2, &[1, 3]));
+    controllers.record_heartbeat(3_600, addr(3), heartbeat(3, &[1]));
     assert_eq!(alive(&controllers, 3_660, 1, &[1, 2, 3]), [1, 2]);
 }
 
 #[test]
 fn one_that_starts_anew_is_there_before_it_says_that_it_hears_us_but_not_for_long() {
-    let mut controllers = Controllers::default();
-    controllers.heard(1_000, addr(2), heartbeat(2, &[]));
+    let mut controllers = PeerControllers::default();
+    controllers.record_heartbeat(1_000, addr(2), heartbeat(2, &[]));
     assert_eq!(alive(&controllers, 1_100, 1, &[1, 2]), [1, 2]);
-    controllers.heard(1_600, addr(2), heartbeat(2, &[]));
+    controllers.record_heartbeat(1_600, addr(2), heartbeat(2, &[]));
     assert_eq!(alive(&controllers, 1_601, 1, &[1, 2]), [1]);
 }
 
 #[test]
 fn a_standstill_of_its_own_condemns_nobody() {
-    let mut controllers = Controllers::default();
-    controllers.heard(1_000, addr(2), heartbeat(2, &[1]));
-    controllers.woke(9_000);
+    let mut controllers = PeerControllers::default();
+    controllers.record_heartbeat(1_000, addr(2), heartbeat(2, &[1]));
+    controllers.reset_after_stall(9_000);
     assert_eq!(alive(&controllers, 9_100, 1, &[1, 2]), [1, 2]);
 }
 
@@ -130,17 +134,17 @@
     let sent = heartbeat(7, &[1, 2, 3]);
     assert_eq!(
         ControllerHeartbeat::decode(&sent.encode()),
-        Some(sent.clone())
+        Ok(sent.clone())
     );
     let whole = sent.encode();
     for cut in 0..whole.len() {
-        assert_eq!(ControllerHeartbeat::decode(&whole[..cut]), None);
+        assert!(ControllerHeartbeat::decode(&whole[..cut]).is_err());
     }
 }
 
 #[test]
 fn one_without_a_disk_is_neither_member_nor_acceptor_and_condemns_nobody() {
-    let mut controllers = Controllers::default();
+    let mut controllers = PeerControllers::default();
     let hearing: [(u8, &[u8]); 3] = [(2, &[1, 4]), (3, &[1]), (4, &[1, 2])];
     for at in [1_000, 1_300, 1_600] {
         for (n, hears) in hearing {
@@ -149,7 +153,7 @@
             } else {
                 0
             };
-            controllers.heard(
+            controllers.record_heartbeat(
                 at,
                 addr(n),
                 ControllerHeartbeat {
@@ -159,7 +163,7 @@
             );
         }
     }
-    let seen = controllers.seen(1_600, addr(1), own(1), &[addr(1)]);
+    let seen = controllers.observations(1_600, addr(1), own(1), &[addr(1)]);
     let of = |n: u8| {
         seen.iter()
             .find(|s| s.member.addr == addr(n))
@@ -195,18 +199,20 @@
 // What hung on a controller was taken for gone by another one that only the link between the two had been cut from.
 #[test]
 fn one_that_another_hears_is_there_and_one_that_nobody_hears_is_not() {
-    let mut controllers = Controllers::default();
+    let mut controllers = PeerControllers::default();
     hear(&mut controllers, 1_000, &[(2, &[1, 3]), (3, &[1, 2])]);
-    controllers.heard(1_800, addr(3), heartbeat(3, &[1, 2]));
+    controllers.record_heartbeat(1_800, addr(3), heartbeat(3, &[1, 2]));
     assert_eq!(
-        controllers.incarnations(1_000 + SILENT),
+        controllers.live_incarnations(1_000 + FAILURE_TIMEOUT),
         [2, 3],
         "2 is silent here, and 3 hears it"
     );
-    controllers.heard(2_000, addr(3), heartbeat(3, &[1]));
-    assert_eq!(controllers.incarnations(2_000), [3]);
+    controllers.record_heartbeat(2_000, addr(3), heartbeat(3, &[1]));
+    assert_eq!(controllers.live_incarnations(2_000), [3]);
     assert!(
-        controllers.incarnations(2_000 + SILENT).is_empty(),
+        controllers
+            .live_incarnations(2_000 + FAILURE_TIMEOUT)
+            .is_empty(),
         "what is heard of by nobody"
     );
 }
--- a/crates/control/controller/tests/plan.rs
+++ b/crates/control/controller/tests/placement.rs
@@ -2,16 +2,17 @@
 
 use batch::wire::{Heartbeat, PartitionStatus, PlacementMap, StoreState};
 use chain_replication::ReplicaStatus;
-use controller::plan::{
-    partitions_for, tails_lost, Lengths, NotRetired, Stores, DEAF, SETTLE, SILENT,
+use controller::placement::{
+    partitions_for, removed_tails, ChainLengths, RetireError, StorePlanner, FAILURE_TIMEOUT,
+    ONE_WAY_TIMEOUT, TAKEOVER_GRACE,
 };
 use std::net::SocketAddr;
 
 /// Of so few stores as here.
 const PARTITIONS: usize = 16;
-const LENGTHS: Lengths = Lengths {
-    wanted: 3,
-    least: 2,
+const LENGTHS: ChainLengths = ChainLengths {
+    target: 3,
+    minimum: 2,
 };
 
 fn addr(n: u64) -> SocketAddr {
@@ -58,12 +59,17 @@
 }
 
 /// Plans until nothing changes, all of these stores in sync all the time.
-fn settle(stores: &mut Stores, mut map: PlacementMap, up: &[(u64, u64)], now: u64) -> PlacementMap {
+fn settle(
+    stores: &mut StorePlanner,
+    mut map: PlacementMap,
+    up: &[(u64, u64)],
+    now: u64,
+) -> PlacementMap {
     for _ in 0..40 {
         for (n, id) in up {
-            stores.heard(now, heartbeat(*n, *id, Some(&map)));
+            stores.record_heartbeat(now, heartbeat(*n, *id, Some(&map)));
         }
-        match stores.plan(now, Some(&map), 0, LENGTHS) {
+        match stores.plan_placement(now, Some(&map), 0, LENGTHS) {
             Some(next) => map = next,
             None => return map,
         }
@@ -71,19 +77,21 @@
     panic!("no end of changes: {map:?}");
 }
 
-fn begun(up: &[(u64, u64)]) -> (Stores, PlacementMap) {
-    let mut stores = Stores::default();
+fn begun(up: &[(u64, u64)]) -> (StorePlanner, PlacementMap) {
+    let mut stores = StorePlanner::default();
     for (n, id) in up {
-        stores.heard(100, heartbeat(*n, *id, None));
+        stores.record_heartbeat(100, heartbeat(*n, *id, None));
     }
     assert!(
-        stores.plan(200, None, 0, LENGTHS).is_none(),
+        stores.plan_placement(200, None, 0, LENGTHS).is_none(),
         "before all can have been heard"
     );
     for (n, id) in up {
-        stores.heard(900, heartbeat(*n, *id, None));
+        stores.record_heartbeat(900, heartbeat(*n, *id, None));
     }
-    let map = stores.plan(1_100, None, 0, LENGTHS).expect("a first map");
+    let map = stores
+        .plan_placement(1_100, None, 0, LENGTHS)
+        .expect("a first map");
     (stores, map)
 }
 
@@ -106,7 +114,7 @@
 fn a_silent_store_is_left_out_and_taken_back_at_the_end() {
     let (mut stores, map) = begun(&[(1, 11), (2, 12), (3, 13)]);
     let now = 10_000;
-    stores.heard(now - SILENT, heartbeat(1, 11, Some(&map)));
+    stores.record_heartbeat(now - FAILURE_TIMEOUT, heartbeat(1, 11, Some(&map)));
     let without = settle(&mut stores, map, &[(2, 12), (3, 13)], now);
     assert!(without
         .partitions
@@ -127,17 +135,20 @@
 #[test]
 fn a_new_head_declares_nobody_dead_before_leases_ran_out() {
     let (mut stores, map) = begun(&[(1, 11), (2, 12), (3, 13)]);
-    stores.begin();
+    stores.reset();
     let since = 20_000;
     for (n, id) in [(1, 11), (2, 12)] {
-        stores.heard(since + 100, heartbeat(n, id, Some(&map)));
+        stores.record_heartbeat(since + 100, heartbeat(n, id, Some(&map)));
     }
-    assert_eq!(stores.plan(since + 200, Some(&map), since, LENGTHS), None);
+    assert_eq!(
+        stores.plan_placement(since + 200, Some(&map), since, LENGTHS),
+        None
+    );
     for (n, id) in [(1, 11), (2, 12)] {
-        stores.heard(since + SETTLE, heartbeat(n, id, Some(&map)));
+        stores.record_heartbeat(since + TAKEOVER_GRACE, heartbeat(n, id, Some(&map)));
     }
     let next = stores
-        .plan(since + SETTLE, Some(&map), since, LENGTHS)
+        .plan_placement(since + TAKEOVER_GRACE, Some(&map), since, LENGTHS)
         .expect("the silent one is left out now");
     assert!(next
         .partitions
@@ -174,7 +185,7 @@
     assert_eq!(state(&retiring), Some(StoreState::Retiring));
     // Nobody has copied anything yet.
     let next = stores
-        .plan(now, Some(&retiring), 0, LENGTHS)
+        .plan_placement(now, Some(&retiring), 0, LENGTHS)
         .expect("joiners");
     assert_eq!(state(&next), Some(StoreState::Retiring));
     assert!(
@@ -199,11 +210,11 @@
     let (stores, map) = begun(&up);
     assert_eq!(
         stores.retire(1_100, &map, "store-1", LENGTHS),
-        Err(NotRetired::TooFew)
+        Err(RetireError::TooFewRemaining)
     );
     assert_eq!(
         stores.retire(1_100, &map, "store-9", LENGTHS),
-        Err(NotRetired::Unknown)
+        Err(RetireError::UnknownStore)
     );
 }
 
@@ -230,7 +241,7 @@
 
 /// What these stores say: each partition that they hold has so many bytes.
 fn say(
-    stores: &mut Stores,
+    stores: &mut StorePlanner,
     map: &PlacementMap,
     up: &[(u64, u64)],
     now: u64,
@@ -239,7 +250,7 @@
     for (n, id) in up {
         let mut heartbeat = heartbeat(*n, *id, Some(map));
         change(&mut heartbeat);
-        stores.heard(now, heartbeat);
+        stores.record_heartbeat(now, heartbeat);
     }
 }
 
@@ -268,7 +279,7 @@
     };
     say(&mut stores, &map, &left, now, large);
     let next = stores
-        .plan(now, Some(&map), 0, LENGTHS)
+        .plan_placement(now, Some(&map), 0, LENGTHS)
         .expect("copies begin");
     for partition in 0..PARTITIONS {
         assert_eq!(
@@ -297,7 +308,7 @@
     };
     say(&mut stores, &map, &left, now, large);
     let next = stores
-        .plan(now, Some(&map), 0, LENGTHS)
+        .plan_placement(now, Some(&map), 0, LENGTHS)
         .expect("copies begin");
     let count = |id: u64| {
         (0..PARTITIONS)
@@ -316,7 +327,7 @@
         heartbeat.stalled = heartbeat.id == 12
     });
     let next = stores
-        .plan(now, Some(&map), 0, LENGTHS)
+        .plan_placement(now, Some(&map), 0, LENGTHS)
         .expect("one is left out");
     for partition in 0..PARTITIONS {
         assert_eq!(holders(&next, partition), [11, 13], "partition {partition}");
@@ -333,9 +344,9 @@
 /// disk stood still, since fewer than enough would have remained. It committed nothing, so that the joiner never got its copy.
 #[test]
 fn a_stalled_disk_is_not_waited_for_where_another_store_can_take_its_place() {
-    let lengths = Lengths {
-        wanted: 4,
-        least: 3,
+    let lengths = ChainLengths {
+        target: 4,
+        minimum: 3,
     };
     let (mut stores, map) = begun(&[(1, 11), (2, 12), (3, 13)]);
     let now = 10_000;
@@ -348,7 +359,7 @@
         stalled,
     );
     let next = stores
-        .plan(now, Some(&map), 0, lengths)
+        .plan_placement(now, Some(&map), 0, lengths)
         .expect("one is left out");
     for view in &next.partitions {
         assert!(
@@ -366,7 +377,7 @@
         now,
         stalled,
     );
-    assert_eq!(stores.plan(now, Some(&map), 0, lengths), None);
+    assert_eq!(stores.plan_placement(now, Some(&map), 0, lengths), None);
 }
 
 #[test]
@@ -377,7 +388,7 @@
     say(&mut stores, &map, &up, now, |heartbeat| {
         heartbeat.stalled = true
     });
-    assert_eq!(stores.plan(now, Some(&map), 0, LENGTHS), None);
+    assert_eq!(stores.plan_placement(now, Some(&map), 0, LENGTHS), None);
 }
 
 #[test]
@@ -397,14 +408,14 @@
     };
     for _ in 0..40 {
         say(&mut stores, &map, &up, now, full);
-        match stores.plan(now, Some(&map), 0, LENGTHS) {
+        match stores.plan_placement(now, Some(&map), 0, LENGTHS) {
             Some(next) => map = next,
             None => break,
         }
     }
     for (partition, view) in map.partitions.iter().enumerate() {
         assert!(
-            view.members.len() >= LENGTHS.least,
+            view.members.len() >= LENGTHS.minimum,
             "partition {partition}: {view:?}"
         );
         assert!(
@@ -431,11 +442,11 @@
             heartbeat.sent_ms = now;
             // The answers to the second one are lost on their way.
             heartbeat.answered_ms = if id == 12 { 9_000 } else { now - 300 };
-            stores.heard(now, heartbeat);
-            stores.granted(now, addr(n), now, now + 700);
+            stores.record_heartbeat(now, heartbeat);
+            stores.lease_granted(now, addr(n), now, now + 700);
         }
-        next = stores.plan(now, Some(&map), 0, LENGTHS);
-        assert_eq!(next.is_some(), now >= 10_000 + DEAF, "at {now}");
+        next = stores.plan_placement(now, Some(&map), 0, LENGTHS);
+        assert_eq!(next.is_some(), now >= 10_000 + ONE_WAY_TIMEOUT, "at {now}");
         if next.is_some() {
             break;
         }
@@ -445,7 +456,7 @@
     // A process that was started anew counts its own time anew.
     let mut heartbeat = heartbeat(2, 12, Some(&map));
     heartbeat.sent_ms = 5;
-    stores.heard(12_600, heartbeat);
+    stores.record_heartbeat(12_600, heartbeat);
     let back = settle(&mut stores, next, &up, 12_700);
     assert!(back.partitions.iter().all(|v| v.members.len() == 3));
 }
@@ -461,14 +472,14 @@
         .expect("two remain")
         .expect("a change");
     let map = stores
-        .plan(now, Some(&map), 0, LENGTHS)
+        .plan_placement(now, Some(&map), 0, LENGTHS)
         .expect("it goes out of the chains");
     assert!((0..PARTITIONS).all(|p| holders(&map, p) == [11, 12]));
     // Another is lost before the two are whole: a single disk would be left.
-    let later = now + SILENT;
+    let later = now + FAILURE_TIMEOUT;
     say(&mut stores, &map, &[(2, 12), (3, 13)], later, |_| {});
     let map = stores
-        .plan(later, Some(&map), 0, LENGTHS)
+        .plan_placement(later, Some(&map), 0, LENGTHS)
         .expect("one is lost");
     assert!(
         (0..PARTITIONS).all(|p| holders(&map, p) == [12, 13]),
@@ -500,16 +511,16 @@
 
 /// Two stores as they were and the third with an empty disk, as a head hears them that has just begun; the third has the
 /// head's grant, or hasn't.
-fn begins_with_a_wiped_store(has_grant: bool) -> (Stores, PlacementMap, u64) {
+fn begins_with_a_wiped_store(has_grant: bool) -> (StorePlanner, PlacementMap, u64) {
     let (mut stores, map) = begun(&[(1, 11), (2, 12), (3, 13)]);
-    stores.begin();
+    stores.reset();
     let since = 20_000;
     for sent in [100, 300] {
         let now = since + sent;
         for (n, id) in [(1, 11), (2, 12), (3, 99)] {
             let answered = if sent == 300 && has_grant { 100 } else { 0 };
-            stores.heard(now, confirmed(heartbeat(n, id, Some(&map)), sent, answered));
-            stores.granted(now, addr(n), sent, now + 700);
+            stores.record_heartbeat(now, confirmed(heartbeat(n, id, Some(&map)), sent, answered));
+            stores.lease_granted(now, addr(n), sent, now + 700);
         }
     }
     (stores, map, since)
@@ -521,11 +532,14 @@
 fn a_new_head_drops_at_once_a_store_whose_disk_is_gone() {
     let (mut stores, map, since) = begins_with_a_wiped_store(true);
     let next = stores
-        .plan(since + 301, Some(&map), since, LENGTHS)
+        .plan_placement(since + 301, Some(&map), since, LENGTHS)
         .expect("dropped before the head is settled");
     // Nobody waits for a lease of the process that has ended; the one that runs at its address has one.
-    assert!(stores.lent(since + 301, &[addr(3)]) && tails_lost(&map, &next) == vec![addr(3)]);
-    assert_eq!(stores.tails_to_outlast(&map, &next), vec![]);
+    assert!(
+        stores.has_live_lease(since + 301, &[addr(3)])
+            && removed_tails(&map, &next) == vec![addr(3)]
+    );
+    assert_eq!(stores.removed_tails_with_lease(&map, &next), vec![]);
     let ids =
         |view: &chain_replication::View| view.members.iter().map(|m| m.id).collect::<Vec<_>>();
     assert!(next
@@ -548,33 +562,42 @@
 fn a_new_head_drops_nobody_early_on_a_doubtful_word() {
     // The store with the other disk has not answered to this head: its word may have been long on its way.
     let (stores, map, since) = begins_with_a_wiped_store(false);
-    assert_eq!(stores.plan(since + 301, Some(&map), since, LENGTHS), None);
+    assert_eq!(
+        stores.plan_placement(since + 301, Some(&map), since, LENGTHS),
+        None
+    );
     // Nor after this process stood still itself.
     let (mut stores, map, since) = begins_with_a_wiped_store(true);
-    stores.woke(since + 301);
-    assert_eq!(stores.plan(since + 301, Some(&map), since, LENGTHS), None);
+    stores.reset_after_stall(since + 301);
+    assert_eq!(
+        stores.plan_placement(since + 301, Some(&map), since, LENGTHS),
+        None
+    );
     // One of the others has not been heard yet: it may hold a lease, and may only not have found this head.
     let (mut stores, map) = begun(&[(1, 11), (2, 12), (3, 13)]);
-    stores.begin();
+    stores.reset();
     for sent in [100, 300] {
         for (n, id) in [(1, 11), (3, 99)] {
             let answered = if sent == 300 { 100 } else { 0 };
-            stores.heard(
+            stores.record_heartbeat(
                 since + sent,
                 confirmed(heartbeat(n, id, Some(&map)), sent, answered),
             );
-            stores.granted(since + sent, addr(n), sent, since + sent + 700);
+            stores.lease_granted(since + sent, addr(n), sent, since + sent + 700);
         }
     }
-    assert_eq!(stores.plan(since + 301, Some(&map), since, LENGTHS), None);
+    assert_eq!(
+        stores.plan_placement(since + 301, Some(&map), since, LENGTHS),
+        None
+    );
     // One of the others is there, and its disk stands still: it is no reason to drop it early.
     let (mut stores, map, since) = begins_with_a_wiped_store(true);
     let stalled = Heartbeat {
         stalled: true,
         ..confirmed(heartbeat(2, 12, Some(&map)), 300, 100)
     };
-    stores.heard(since + 301, stalled);
-    let next = stores.plan(since + 302, Some(&map), since, LENGTHS);
+    stores.record_heartbeat(since + 301, stalled);
+    let next = stores.plan_placement(since + 302, Some(&map), since, LENGTHS);
     let kept = |map: PlacementMap| {
         map.partitions
             .iter()
--- a/crates/control/controller/tests/refused.rs
+++ b/crates/control/controller/tests/rejections.rs
@@ -6,10 +6,12 @@
 use batch::wire::HEARTBEAT;
 use bytes::Bytes;
 use chain_replication::ReplicaStatus;
-use controller::begin::{Begin, Found};
-use controller::heartbeats::{zone_number, ControllerHeartbeat, StatusFrame};
-use controller::op::{Answer, Ask};
-use controller::owner::{Out, Owner, CHAIN, CONTROLLER_HEARTBEAT, FOUNDING, TICK, VIEW};
+use controller::call::{Call, CallId, Response};
+use controller::core::{ControllerCore, Effect, TICK_INTERVAL};
+use controller::frame_kind::{BOOTSTRAP, CHAIN_REPLICATION, CONTROLLER_HEARTBEAT, VIEW_AGREEMENT};
+use controller::heartbeat::{zone_hash, ControllerHeartbeat, EncodedStatus};
+use controller::startup::{ProcessIdentity, RecordKind, RecoveredState, Startup};
+use controller::Time;
 use peer_transport::Peer;
 use proptest::prelude::*;
 use replicated_state::{HELLO, RELAY};
@@ -39,7 +41,7 @@
 }
 
 struct One {
-    owner: Owner,
+    core: ControllerCore,
     now: u64,
     warnings: Arc<AtomicUsize>,
 }
@@ -49,12 +51,17 @@
     fn new() -> One {
         let settings = Settings::parse(SETTINGS).unwrap();
         let addr = SocketAddr::from(([10, 0, 0, 1], 7_660));
-        let (begin, _) = Begin::new(&settings, addr, 7, (true, 9), &Found::default());
+        let identity = ProcessIdentity {
+            incarnation: 7,
+            disk_id: 9,
+            disk_was_empty: true,
+        };
+        let startup = Startup::new(&settings, addr, identity, &RecoveredState::default());
         let warnings = Arc::new(AtomicUsize::new(0));
         let log = Logger::root(Lines(warnings.clone()), slog::o!());
-        let owner = Owner::new(begin, &Found::default(), settings, log).unwrap();
+        let core = ControllerCore::new(startup, &RecoveredState::default(), settings, log).unwrap();
         let mut one = One {
-            owner,
+            core,
             now: 1,
             warnings,
         };
@@ -66,35 +73,44 @@
     }
 
     fn tick(&mut self) {
-        self.now += TICK;
-        self.owner.persistence(
+        self.now += TICK_INTERVAL;
+        self.core.update_disk_state(
             self.now,
             write_ahead_log::DiskStatus {
                 preallocated: true,
                 ..Default::default()
             },
         );
-        self.owner.tick(self.now, self.now);
+        self.core.tick(Time {
+            now: self.now,
+            unix_ms: self.now,
+        });
         self.drain();
     }
 
     /// What it wants done, on an instant disk: its answers, and how many records it wrote.
-    fn drain(&mut self) -> (Vec<Answer>, usize) {
+    fn drain(&mut self) -> (Vec<Response>, usize) {
         let (mut answers, mut written) = (Vec::new(), 0);
         loop {
             let mut writes = Vec::new();
-            for out in self.owner.take() {
+            for out in self.core.take_effects() {
                 match out {
-                    Out::Write { told, .. } => writes.push(told),
-                    Out::Reply { answer, .. } => answers.push(answer),
-                    Out::Tell { .. } => {}
+                    Effect::Write { ticket, .. } => writes.push(ticket),
+                    Effect::Respond { response, .. } => answers.push(response),
+                    Effect::Send { .. } => {}
                 }
             }
             if writes.is_empty() {
                 return (answers, written);
             }
             written += writes.len();
-            self.owner.synced(self.now, self.now, &writes);
+            self.core.handle_synced(
+                Time {
+                    now: self.now,
+                    unix_ms: self.now,
+                },
+                &writes,
+            );
         }
     }
 
@@ -106,9 +122,11 @@
             node: "edge-7".into(),
             zone: "z".into(),
         };
-        self.owner.told(
-            self.now,
-            self.now,
+        self.core.handle_frame(
+            Time {
+                now: self.now,
+                unix_ms: self.now,
+            },
             &from,
             kind,
             &Bytes::copy_from_slice(body),
@@ -116,13 +134,20 @@
         self.drain().1
     }
 
-    fn asked(&mut self, ask: Ask) -> Vec<Answer> {
-        self.owner.asked(self.now, self.now, 1, ask);
+    fn asked(&mut self, ask: Call) -> Vec<Response> {
+        self.core.handle_call(
+            Time {
+                now: self.now,
+                unix_ms: self.now,
+            },
+            CallId(1),
+            ask,
+        );
         self.drain().0
     }
 
     fn status(&mut self) -> jzon::JsonValue {
-        let answers = self.asked(Ask::Status);
+        let answers = self.asked(Call::GetStatus);
         jzon::parse(std::str::from_utf8(&answers[0].body).unwrap()).unwrap()
     }
 
@@ -131,19 +156,18 @@
     }
 
     /// All that is kept, and what operators see, apart from the counters.
-    fn stands(&mut self) -> (Vec<Bytes>, Vec<Bytes>, String) {
+    fn stands(&mut self) -> (Vec<(RecordKind, Bytes)>, String) {
         let mut status = self.status();
         status.remove("Refused");
-        let (views, writes) = self.owner.whole();
-        (views, writes, status.dump())
+        (self.core.snapshot_records(), status.dump())
     }
 }
 
 const KINDS: [u16; 6] = [
-    VIEW,
-    CHAIN,
+    VIEW_AGREEMENT,
+    CHAIN_REPLICATION,
     CONTROLLER_HEARTBEAT,
-    FOUNDING,
+    BOOTSTRAP,
     HEARTBEAT,
     RELAY,
 ];
@@ -160,10 +184,10 @@
     ControllerHeartbeat {
         id: 5,
         incarnation: 5,
-        zone: zone_number("z"),
-        status: StatusFrame::new(&status),
+        zone: zone_hash("z"),
+        status: EncodedStatus::from(&status),
         flags: 0,
-        hears,
+        receives_from: hears,
     }
 }
 
@@ -185,7 +209,7 @@
     assert_eq!(one.stands(), before);
     // The next one says how many were left out.
     one.now += 10_000;
-    one.told(VIEW, b"");
+    one.told(VIEW_AGREEMENT, b"");
     assert_eq!(
         (one.warnings.load(Ordering::Relaxed), one.refused("Frames")),
         (2, 1_002)
@@ -195,16 +219,16 @@
 #[test]
 fn a_heartbeat_is_read_whole_or_not_at_all() {
     let whole = heartbeat().encode();
-    assert!(ControllerHeartbeat::decode(&whole).is_some());
+    assert!(ControllerHeartbeat::decode(&whole).is_ok());
     for cut in 0..whole.len() {
         assert!(
-            ControllerHeartbeat::decode(&whole[..cut]).is_none(),
+            ControllerHeartbeat::decode(&whole[..cut]).is_err(),
             "cut at {cut}"
         );
     }
     let doubled = [&whole[..], &whole[..]].concat();
     assert!(
-        ControllerHeartbeat::decode(&doubled).is_none(),
+        ControllerHeartbeat::decode(&doubled).is_err(),
         "two in one frame"
     );
     let mut one = One::new();
@@ -217,13 +241,13 @@
     let mut one = One::new();
     let before = one.stands();
     for _ in 0..50 {
-        let heartbeat = Ask::Heartbeat {
+        let heartbeat = Call::RunnerHeartbeat {
             id: "i-1".to_owned(),
             body: Bytes::from_static(b"{\"Slots\":-1}"),
         };
         assert_eq!(one.asked(heartbeat)[0].status, 400);
-        let put = Ask::Put {
-            base: 0,
+        let put = Call::ReplaceConfig {
+            base_version: 0,
             body: Bytes::from_static(b"{\"Gen\":1,\"Routes\":["),
         };
         assert_eq!(one.asked(put)[0].status, 400);
@@ -240,19 +264,23 @@
 #[test]
 fn settings_that_are_read_again_are_checked_whole() {
     let mut one = One::new();
-    let before = one.owner.settings().clone();
+    let before = one.core.settings().clone();
     let changed = |from: &str, to: &str| Settings::parse(&SETTINGS.replace(from, to));
-    one.owner.reload(changed("GraceS = 8", "GraceS = -8"));
-    one.owner.reload(changed("edge-1", "edge-2"));
-    one.owner.reload(changed("[\"10.0.0.1:8146\"]", "[]"));
-    one.owner.reload(changed("[Bounds]\nGraceS = 8\n", ""));
-    assert_eq!(*one.owner.settings(), before);
+    one.core
+        .reload_settings(changed("GraceS = 8", "GraceS = -8"));
+    one.core.reload_settings(changed("edge-1", "edge-2"));
+    one.core
+        .reload_settings(changed("[\"10.0.0.1:8146\"]", "[]"));
+    one.core
+        .reload_settings(changed("[Bounds]\nGraceS = 8\n", ""));
+    assert_eq!(*one.core.settings(), before);
     assert_eq!(one.warnings.load(Ordering::Relaxed), 4);
-    one.owner.reload(changed("GraceS = 8", "GraceS = 9"));
-    assert_eq!(one.owner.grace_ms(), 9_000);
+    one.core
+        .reload_settings(changed("GraceS = 8", "GraceS = 9"));
+    assert_eq!(one.core.termination_grace_ms(), 9_000);
     // The losses that its place in the chain was reckoned by stay until the next start.
-    one.owner.reload(changed("Nodes = 1", "Nodes = 2"));
-    assert_eq!(one.owner.settings().budget, before.budget);
+    one.core.reload_settings(changed("Nodes = 1", "Nodes = 2"));
+    assert_eq!(one.core.settings().budget, before.budget);
 }
 
 proptest! {
@@ -265,9 +293,9 @@
         body in prop::collection::vec(any::<u8>(), 0..200),
     ) {
         let mut one = One::new();
-        let before = one.owner.whole();
+        let before = one.core.snapshot_records();
         prop_assert_eq!(one.told(kind, &body), 0);
-        prop_assert_eq!(one.owner.whole(), before);
+        prop_assert_eq!(one.core.snapshot_records(), before);
     }
 
     /// A heartbeat with a changed byte, cut or doubled: of another controller it says what it will, it changes nothing kept.
@@ -284,8 +312,8 @@
         }
         bytes.truncate(cut.index(bytes.len() + 1));
         let mut one = One::new();
-        let before = one.owner.whole();
+        let before = one.core.snapshot_records();
         prop_assert_eq!(one.told(CONTROLLER_HEARTBEAT, &bytes), 0);
-        prop_assert_eq!(one.owner.whole(), before);
+        prop_assert_eq!(one.core.snapshot_records(), before);
     }
 }
--- a/crates/control/controller/tests/stored_data.rs
+++ b/crates/control/controller/tests/stored_data.rs
@@ -12,7 +12,7 @@
 mod cluster;
 
 use cluster::{addr, config_body, new_identity, records, Cluster, CONTROLLERS};
-use controller::op::Ask;
+use controller::call::Call;
 use flate2::{read::GzDecoder, write::GzEncoder, Compression};
 use std::io::{Read, Write};
 use std::path::{Path, PathBuf};
@@ -161,30 +161,30 @@
 /// What a controller knows from its disk alone, at its start.
 fn recovered(cluster: &Cluster, index: usize) -> String {
     let process = cluster.process(index);
-    let view = process.owner.view().expect("a view");
+    let view = process.core.view().expect("a view");
     let members = |list: &[chain_replication::Member]| {
         list.iter()
             .map(|m| format!("{:x}@{} since {}", m.id, m.addr, m.since))
             .collect::<Vec<_>>()
             .join(", ")
     };
-    let node = process.owner.node();
+    let node = process.core.chain();
     let status = node.status();
     let control = node.state_machine();
     let (change, body) = control.config.as_ref().expect("a configuration");
     let taken: Vec<(u64, u64)> = control
-        .taken
+        .accepted_changes
         .iter()
-        .map(|change| (change.base, change.gen))
+        .map(|change| (change.base_version, change.version))
         .collect();
     assert_eq!(
         taken,
         (1..=CHANGES).map(|gen| (gen - 1, gen)).collect::<Vec<_>>()
     );
     assert!(control
-        .taken
+        .accepted_changes
         .iter()
-        .all(|c| c.digest == *blake3::hash(config_body(c.gen).as_bytes()).as_bytes()));
+        .all(|c| c.digest == *blake3::hash(config_body(c.version).as_bytes()).as_bytes()));
     assert_eq!(body, config_body(CHANGES).as_bytes());
     format!(
         "identity {:x}\nview {}: {}; acceptors {}; joining {}\nin sync in {}, entered {}, received {}, applied {}\n\
@@ -198,10 +198,10 @@
         status.view,
         status.last_received,
         node.applied(),
-        change.gen,
-        change.base,
+        change.version,
+        change.base_version,
         body.len(),
-        control.map_number,
+        control.placement_number,
     )
 }
 
@@ -361,7 +361,7 @@
 fn controllers_start_on_stored_disks_and_go_on_writing() {
     let directory = stored(CHANGED, "goes-on");
     let mut cluster = Cluster::start(&directory, 1_000_000);
-    let view = cluster.process(0).owner.view().expect("a view").view.number;
+    let view = cluster.process(0).core.view().expect("a view").view.number;
     cluster.run(3_000);
     assert_eq!(
         cluster.configuration().body,
@@ -378,7 +378,7 @@
     cluster.configure(2 * CHANGES, 2 * CHANGES + 1);
     assert!(cluster
         .process(1)
-        .owner
+        .core
         .view()
         .is_some_and(|now| now.view.number > view));
     cluster.start_one(0);
@@ -388,12 +388,15 @@
     for index in 0..CONTROLLERS {
         let process = again.process(index);
         assert_eq!(process.identity, new_identity(index));
-        assert_eq!(process.owner.node().state_machine().gen(), 2 * CHANGES + 1);
         assert_eq!(
-            process.owner.node().state_machine().taken.len() as u64,
+            process.core.chain().state_machine().config_version(),
             2 * CHANGES + 1
         );
-        assert!(process.owner.view().is_some_and(|v| v
+        assert_eq!(
+            process.core.chain().state_machine().accepted_changes.len() as u64,
+            2 * CHANGES + 1
+        );
+        assert!(process.core.view().is_some_and(|v| v
             .view
             .members
             .iter()
@@ -404,7 +407,7 @@
         again.configuration().body,
         config_body(2 * CHANGES + 1).as_bytes()
     );
-    let status = again.call(0, Ask::Status);
+    let status = again.call(0, Call::GetStatus);
     assert_eq!(status.status, 200);
     drop(again);
     std::fs::remove_dir_all(directory).expect("a directory");
@@ -477,7 +480,7 @@
         let process = cluster.process(index);
         assert_eq!(process.identity, new_identity(index));
         assert!(process
-            .owner
+            .core
             .view()
             .is_some_and(|view| view.view.number == 1 && view.acceptors.len() == 3));
     }
--- a/crates/control/controller/tests/support/cluster.rs
+++ b/crates/control/controller/tests/support/cluster.rs
@@ -1,10 +1,11 @@
 //! Three controllers in one thread, each with its journal on files in a directory: messages arrive at the next step, time is
 //! counted by hand.
 
-use controller::begin::Begin;
+use controller::call::{Call, CallId, Response};
+use controller::core::{ControllerCore, Effect, TICK_INTERVAL};
 use controller::journal::Journal;
-use controller::op::{Answer, Ask};
-use controller::owner::{Out, Owner, TICK};
+use controller::startup::{ProcessIdentity, Startup};
+use controller::Time;
 use peer_transport::Peer;
 use slog::Logger;
 use std::collections::VecDeque;
@@ -12,8 +13,8 @@
 use std::path::{Path, PathBuf};
 use tier_settings::Settings;
 use write_ahead_log::{
-    owner_id, prepare_for, LogDirectory, Options, PreparedLog, Record, SharedState, StdMonitor,
-    Writer,
+    owner_id, prepare_for, LogDirectory, OpenAs, Options, PreparedLog, Record, SharedState,
+    StdMonitor, Writer,
 };
 
 pub const CONTROLLERS: usize = 3;
@@ -64,14 +65,14 @@
 
 /// Opens a controller's ring as its process does.
 pub fn open_ring(path: &Path, index: usize, identity: u64) -> Ring {
-    let holder = owner_id(&node_name(index), "controller");
+    let open_as = OpenAs {
+        new_identity: identity,
+        owner: owner_id(&node_name(index), "controller"),
+    };
     prepare_for(
         LogDirectory::new(path).expect("a directory"),
         OPTIONS,
-        write_ahead_log::OpenAs {
-            new_identity: identity,
-            owner: holder,
-        },
+        open_as,
     )
     .expect("a ring")
 }
@@ -86,7 +87,7 @@
 }
 
 pub struct Process {
-    pub owner: Owner,
+    pub core: ControllerCore,
     pub identity: u64,
     journal: Journal,
     writer: Writer<LogDirectory, StdMonitor<SharedState>>,
@@ -97,22 +98,22 @@
     fn start(path: &Path, index: usize, incarnation: u64, now: u64) -> Process {
         let ring = open_ring(path, index, new_identity(index));
         let (fresh, identity) = (ring.is_new, ring.identity);
-        let (mut journal, found) = Journal::new(ring.log, ring.records);
+        let (mut journal, recovered) = Journal::new(ring.log, ring.records);
         let settings = settings(index);
-        let (begin, record) = Begin::new(
-            &settings,
-            addr(index),
+        let process = ProcessIdentity {
             incarnation,
-            (fresh, identity),
-            &found,
-        );
-        if let Some(record) = record {
-            journal.found(now, record);
+            disk_id: identity,
+            disk_was_empty: fresh,
+        };
+        let startup = Startup::new(&settings, addr(index), process, &recovered);
+        if let Some(record) = startup.first_record.clone() {
+            journal.write_initial_members(now, record);
         }
         let log = Logger::root(slog::Discard, slog::o!());
-        let owner = Owner::new(begin, &found, settings, log).expect("records that were written");
+        let core = ControllerCore::new(startup, &recovered, settings, log)
+            .expect("records that were written");
         Process {
-            owner,
+            core,
             identity,
             journal,
             writer: ring.writer,
@@ -132,7 +133,7 @@
     directory: PathBuf,
     processes: Vec<Option<Process>>,
     frames: VecDeque<(usize, SocketAddr, u16, bytes::Bytes)>,
-    answers: Vec<(u64, Answer)>,
+    answers: Vec<(u64, Response)>,
     calls: u64,
     incarnations: u64,
 }
@@ -193,7 +194,15 @@
                     zone: "z".into(),
                 };
                 if let Some(process) = &mut self.processes[to] {
-                    process.owner.told(self.now, self.now, &peer, kind, &body);
+                    process.core.handle_frame(
+                        Time {
+                            now: self.now,
+                            unix_ms: self.now,
+                        },
+                        &peer,
+                        kind,
+                        &body,
+                    );
                     self.carry_out(to);
                 }
             }
@@ -201,9 +210,14 @@
                 let Some(process) = &mut self.processes[index] else {
                     continue;
                 };
-                if self.now.is_multiple_of(TICK) {
-                    process.owner.persistence(self.now, process.journal.state());
-                    process.owner.tick(self.now, self.now);
+                if self.now.is_multiple_of(TICK_INTERVAL) {
+                    process
+                        .core
+                        .update_disk_state(self.now, process.journal.state());
+                    process.core.tick(Time {
+                        now: self.now,
+                        unix_ms: self.now,
+                    });
                 }
                 self.carry_out(index);
             }
@@ -216,8 +230,8 @@
         self.processes[to]
             .as_mut()
             .expect("a controller that runs")
-            .owner
-            .told(now, now, from, kind, body);
+            .core
+            .handle_frame(Time { now, unix_ms: now }, from, kind, body);
         self.carry_out(to);
     }
 
@@ -226,39 +240,47 @@
             return;
         };
         loop {
-            let outs = process.owner.take();
+            let outs = process.core.take_effects();
             if outs.is_empty() {
                 break;
             }
             for out in outs {
                 match out {
-                    Out::Tell { to, kind, body } => {
+                    Effect::Send { to, kind, body } => {
                         let to = (0..CONTROLLERS).find(|index| addr(*index) == to);
                         self.frames
                             .extend(to.map(|to| (to, addr(index), kind, body)));
                     }
-                    Out::Write { told, record } => process.journal.write(self.now, told, record),
-                    Out::Reply { call, answer } => self.answers.push((call, answer)),
+                    Effect::Write { ticket, record } => {
+                        process.journal.write(self.now, ticket, record)
+                    }
+                    Effect::Respond { call, response } => self.answers.push((call.0, response)),
                 }
             }
             process.write_to_disk();
-            let newest = *process.journal.watch().borrow();
+            let newest = *process.journal.subscribe_synced().borrow();
             let writes = process.journal.synced(self.now, newest);
-            process.owner.synced(self.now, self.now, &writes);
+            process.core.handle_synced(
+                Time {
+                    now: self.now,
+                    unix_ms: self.now,
+                },
+                &writes,
+            );
         }
-        process.journal.compact(self.now, &process.owner);
+        process.journal.compact_if_needed(self.now, &process.core);
         process.write_to_disk();
     }
 
     /// Calls a controller, and waits for its answer.
-    pub fn call(&mut self, index: usize, ask: Ask) -> Answer {
+    pub fn call(&mut self, index: usize, ask: Call) -> Response {
         self.calls += 1;
         let (now, call) = (self.now, self.calls);
         self.processes[index]
             .as_mut()
             .expect("a controller that runs")
-            .owner
-            .asked(now, now, call, ask);
+            .core
+            .handle_call(Time { now, unix_ms: now }, CallId(call), ask);
         self.carry_out(index);
         for _ in 0..500 {
             if let Some(at) = self.answers.iter().position(|(of, _)| *of == call) {
@@ -276,8 +298,8 @@
                 if self.processes[index].is_none() {
                     continue;
                 }
-                let ask = Ask::Put {
-                    base,
+                let ask = Call::ReplaceConfig {
+                    base_version: base,
                     body: config_body(gen).into(),
                 };
                 if self.call(index, ask).status == 200 {
@@ -290,11 +312,11 @@
     }
 
     /// What a reader gets, from whichever controller answers.
-    pub fn configuration(&mut self) -> Answer {
+    pub fn configuration(&mut self) -> Response {
         for _ in 0..50 {
             for index in 0..CONTROLLERS {
                 if self.processes[index].is_some() {
-                    let answer = self.call(index, Ask::Get);
+                    let answer = self.call(index, Call::GetConfig);
                     if answer.status == 200 {
                         return answer;
                     }
--- a/crates/control/controller/tests/wire.rs
+++ b/crates/control/controller/tests/wire.rs
@@ -3,13 +3,15 @@
 #![expect(clippy::unwrap_used, reason = "a test ends at the first surprise")]
 
 use chain_replication::{Member, ReplicaStatus, StateMachine, View};
-use controller::begin::Kind;
-use controller::control::{digest, Change, Command, Control, TAKEN_MOST};
-use controller::founding::Frame;
-use controller::heartbeats::{
-    zone_number, ControllerHeartbeat, StatusFrame, LEAVING, NO_DISK, UNABLE_TO_PERSIST,
+use controller::bootstrap::BootstrapMessage;
+use controller::control_state::{
+    digest, Command, ConfigChange, ControlState, MAX_REMEMBERED_CHANGES,
 };
-use controller::owner::{CHAIN, CONTROLLER_HEARTBEAT, FOUNDING, VIEW};
+use controller::frame_kind::{BOOTSTRAP, CHAIN_REPLICATION, CONTROLLER_HEARTBEAT, VIEW_AGREEMENT};
+use controller::heartbeat::{
+    zone_hash, ControllerHeartbeat, EncodedStatus, LEAVING, NO_DISK, UNABLE_TO_PERSIST,
+};
+use controller::startup::RecordKind;
 use std::net::SocketAddr;
 use view_agreement::{ControllerView, Message, MessageBody};
 
@@ -31,19 +33,29 @@
 #[test]
 fn kinds_of_frames_and_records_stay() {
     assert_eq!(
-        (VIEW, CHAIN, CONTROLLER_HEARTBEAT, FOUNDING),
+        (
+            VIEW_AGREEMENT,
+            CHAIN_REPLICATION,
+            CONTROLLER_HEARTBEAT,
+            BOOTSTRAP
+        ),
         (0x0101, 0x0102, 0x0103, 0x0104)
     );
-    let kinds = [Kind::View, Kind::Chain, Kind::Founding, Kind::FirstView];
+    let kinds = [
+        RecordKind::ViewAgreement,
+        RecordKind::Chain,
+        RecordKind::InitialMembers,
+        RecordKind::Bootstrap,
+    ];
     assert_eq!(kinds.map(|kind| kind as u8), [1, 2, 3, 4]);
     assert_eq!((LEAVING, UNABLE_TO_PERSIST, NO_DISK), (1, 2, 4));
-    assert_eq!(TAKEN_MOST, 4_096);
+    assert_eq!(MAX_REMEMBERED_CHANGES, 4_096);
 }
 
 #[test]
 fn the_number_of_a_zone_stays() {
-    assert_eq!(zone_number(""), 0xcbf2_9ce4_8422_2325);
-    insta::assert_snapshot!(format!("{:x} {:x}", zone_number("zone-a"), zone_number("eu-north/2")), @"314eacb3f9ab9b6d 58da777228f2c5f8");
+    assert_eq!(zone_hash(""), 0xcbf2_9ce4_8422_2325);
+    insta::assert_snapshot!(format!("{:x} {:x}", zone_hash("zone-a"), zone_hash("eu-north/2")), @"314eacb3f9ab9b6d 58da777228f2c5f8");
 }
 
 #[test]
@@ -59,9 +71,9 @@
         id: 5,
         incarnation: 0x0102_0304_0506_0708,
         zone: 0x1112_1314_1516_1718,
-        status: StatusFrame::new(&status),
+        status: EncodedStatus::from(&status),
         flags: LEAVING | NO_DISK,
-        hears: vec![
+        receives_from: vec![
             addr(1).into(),
             SocketAddr::from(([0xfd00, 0, 0, 0, 0, 0, 0, 9], 80)).into(),
         ],
@@ -70,21 +82,18 @@
         "05000000000000000807060504030201181716151413121103000000000000000200000000000000290000000000000001\
         05020000000000000000000000ffff0a000001ec1dfd0000000000000000000000000000095000";
     assert_eq!(hex(&heartbeat.encode()), encoded);
-    assert_eq!(
-        ControllerHeartbeat::decode(&bytes(encoded)),
-        Some(heartbeat)
-    );
+    assert_eq!(ControllerHeartbeat::decode(&bytes(encoded)), Ok(heartbeat));
 }
 
 #[test]
 fn a_founder_announces_itself_with_these_bytes() {
-    let frame = Frame::Announce {
+    let frame = BootstrapMessage::Announce {
         identity: 0x0102_0304_0506_0708,
         known: 9,
     };
     let encoded = "0101020304050607080000000000000009";
     assert_eq!(hex(&frame.encode()), encoded);
-    assert_eq!(Frame::decode(&bytes(encoded)), Ok(frame));
+    assert_eq!(BootstrapMessage::decode(&bytes(encoded)), Ok(frame));
 }
 
 #[test]
@@ -103,8 +112,8 @@
         view,
         acceptors: vec![member],
     };
-    let frame = Frame::Agree {
-        msg: Message {
+    let frame = BootstrapMessage::Agreement {
+        message: Message {
             from: 7,
             body: MessageBody::Chosen { value },
         },
@@ -112,13 +121,13 @@
     let encoded = "02000000000000000706000000000000000100000001\
         0102030405060708040a0000011dec000000000000000100000000000000010102030405060708040a0000011dec0000000000000001";
     assert_eq!(hex(&frame.encode()), encoded);
-    assert_eq!(Frame::decode(&bytes(encoded)), Ok(frame));
+    assert_eq!(BootstrapMessage::decode(&bytes(encoded)), Ok(frame));
 }
 
-fn change(base: u64, gen: u64, body: &[u8]) -> Change {
-    Change {
-        base,
-        gen,
+fn change(base: u64, gen: u64, body: &[u8]) -> ConfigChange {
+    ConfigChange {
+        base_version: base,
+        version: gen,
         digest: digest(body),
     }
 }
@@ -130,7 +139,7 @@
 fn a_change_of_the_configuration_has_these_bytes() {
     let body = b"{\"Gen\":7}";
     assert_eq!(hex(&digest(body)), DIGEST);
-    let command = Command::Config {
+    let command = Command::ReplaceConfig {
         change: change(5, 7, body),
         body: body.to_vec(),
     };
@@ -141,7 +150,7 @@
 
 #[test]
 fn a_change_of_the_map_has_these_bytes() {
-    let command = Command::Map {
+    let command = Command::ReplacePlacement {
         number: 3,
         body: b"map".to_vec(),
     };
@@ -153,14 +162,14 @@
 #[test]
 fn the_state_of_a_snapshot_has_these_bytes() {
     let body = b"{\"Gen\":7}";
-    let mut control = Control::default();
+    let mut control = ControlState::default();
     assert_eq!(
         hex(&control.snapshot()),
         "000000000000000000000000000000000000000000"
     );
     control.apply(
         1,
-        &Command::Config {
+        &Command::ReplaceConfig {
             change: change(0, 7, body),
             body: body.to_vec(),
         }
@@ -168,7 +177,7 @@
     );
     control.apply(
         2,
-        &Command::Map {
+        &Command::ReplacePlacement {
             number: 3,
             body: b"map".to_vec(),
         }
@@ -178,11 +187,15 @@
         "0100000000000000000000000700000000000000{DIGEST}01090000007b2247656e223a377d0300000000000000030000006d6170"
     );
     assert_eq!(hex(&control.snapshot()), encoded);
-    let mut restored = Control::default();
+    let mut restored = ControlState::default();
     restored.restore(&bytes(&encoded)).expect("a snapshot");
     assert_eq!(restored, control);
     assert_eq!(
-        (restored.gen(), restored.map_number, &restored.map[..]),
+        (
+            restored.config_version(),
+            restored.placement_number,
+            &restored.placement[..]
+        ),
         (7, 3, &b"map"[..])
     );
     assert_eq!(restored.config.expect("a configuration").1, &body[..]);
--- a/crates/control/controller/tests/world/budget.rs
+++ b/crates/control/controller/tests/world/budget.rs
@@ -204,8 +204,8 @@
             machine.filter(|k| !k.standing.is_lost(self.now))
         };
         let holds = |k: &Machine| {
-            k.owner()
-                .is_some_and(|owner| owner.node().status().in_sync_view >= view.view.number)
+            k.core()
+                .is_some_and(|core| core.chain().status().in_sync_view >= view.view.number)
         };
         let members: Vec<&Machine> = view.view.members.iter().filter_map(|m| there(&m)).collect();
         let least = self.plan.budget.nodes.max(self.plan.budget.zones) + 1;
--- a/crates/control/controller/tests/world/checker.rs
+++ b/crates/control/controller/tests/world/checker.rs
@@ -17,7 +17,7 @@
     pub broken: Option<String>,
     /// Every body that was sent: its number, whether it is valid, what became of it.
     sent: HashMap<Bytes, (u64, bool, Fate)>,
-    /// Seen in force, or read.
+    /// Observation in force, or read.
     seen: HashMap<Bytes, u64>,
     /// Acknowledged: when, and the number.
     acks: Vec<(u64, u64)>,
--- a/crates/control/controller/tests/world/clients.rs
+++ b/crates/control/controller/tests/world/clients.rs
@@ -2,7 +2,7 @@
 
 use super::{dispatchers::place_of, Client, Event, World, HEARTBEAT};
 use bytes::Bytes;
-use controller::op::{Answer, Ask};
+use controller::call::{Call, Response};
 use std::collections::BTreeMap;
 
 /// A caller waits so long.
@@ -136,7 +136,7 @@
         listed[(drawn + usize::from(again)) % listed.len()]
     }
 
-    pub fn send_call(&mut self, client: Client, turn: u64, controller: usize, ask: Ask) {
+    pub fn send_call(&mut self, client: Client, turn: u64, controller: usize, ask: Call) {
         self.calls.number += 1;
         let call = self.calls.number;
         self.calls.open.insert(call, (client, turn));
@@ -152,7 +152,7 @@
         self.after(PATIENCE, Event::Answer { call, answer: None });
     }
 
-    pub fn controller_answers(&mut self, n: usize, call: u64, answer: Answer) {
+    pub fn controller_answers(&mut self, n: usize, call: u64, answer: Response) {
         let put = match self.calls.open.get(&call) {
             Some((Client::Operator(k), _)) => self.operators[*k].put.clone(),
             Some((Client::Race(k), _)) => Some(self.senders[*k].put.clone()),
@@ -173,7 +173,7 @@
         );
     }
 
-    pub fn answered(&mut self, call: u64, answer: Option<Answer>) {
+    pub fn answered(&mut self, call: u64, answer: Option<Response>) {
         let Some((client, turn)) = self.calls.open.remove(&call) else {
             return;
         };
@@ -253,8 +253,8 @@
             Client::Operator(n),
             turn,
             controller,
-            Ask::Put {
-                base: put.base,
+            Call::ReplaceConfig {
+                base_version: put.base,
                 body: put.body,
             },
         );
@@ -301,7 +301,7 @@
         }
     }
 
-    fn operator_hears(&mut self, n: usize, answer: Option<Answer>) {
+    fn operator_hears(&mut self, n: usize, answer: Option<Response>) {
         let target = self.operators[n].target;
         self.operators[n].unanswered = answer.is_none();
         let Some(put) = self.operators[n].put.clone() else {
@@ -392,10 +392,10 @@
     fn read_at(&mut self, controller: usize) {
         self.reader.turn += 1;
         let turn = self.reader.turn;
-        self.send_call(Client::Reader, turn, controller, Ask::Get);
+        self.send_call(Client::Reader, turn, controller, Call::GetConfig);
     }
 
-    fn reader_hears(&mut self, answer: Option<Answer>) {
+    fn reader_hears(&mut self, answer: Option<Response>) {
         self.reader.unanswered = answer.is_none();
         let status = answer.as_ref().map_or(0, |a| a.status);
         if status == 307 && self.reader.hops < 2 {
@@ -464,8 +464,8 @@
         runner.seqno += 1;
         let (turn, target, id) = (runner.turn, runner.target, runner.id());
         let ask = match runner.phase {
-            Phase::Leaving => Ask::Leave { id },
-            Phase::Up | Phase::Draining => Ask::Heartbeat {
+            Phase::Leaving => Call::RunnerLeave { id },
+            Phase::Up | Phase::Draining => Call::RunnerHeartbeat {
                 id,
                 body: runner.body(),
             },
@@ -491,7 +491,7 @@
         );
     }
 
-    fn runner_hears(&mut self, n: usize, answer: Option<Answer>) {
+    fn runner_hears(&mut self, n: usize, answer: Option<Response>) {
         let now = self.now;
         let heard = answer.is_some_and(|a| a.status == 200);
         let next = self.any_controller();
--- a/crates/control/controller/tests/world/controllers.rs
+++ b/crates/control/controller/tests/world/controllers.rs
@@ -3,9 +3,10 @@
 use super::budget::{Budget, Standing};
 use super::{Actor, Dice, Event, Plan, World, CTL, HEARTBEAT, PEER, STEPS_OUT, SYNC};
 use bytes::Bytes;
-use controller::begin::{Begin, Found, Kind};
-use controller::op::Ask;
-use controller::owner::{Out, Owner, Told, TICK};
+use controller::call::{Call, CallId};
+use controller::core::{ControllerCore, Effect, WriteTicket, TICK_INTERVAL};
+use controller::startup::{ProcessIdentity, RecordKind, RecoveredState, Startup};
+use controller::Time;
 use peer_transport::Peer;
 use slog::{Drain, Logger, OwnedKVList, Record, KV};
 use std::net::SocketAddr;
@@ -27,11 +28,11 @@
 #[derive(Default)]
 struct Disk {
     identity: Option<u64>,
-    records: Vec<(Kind, Bytes)>,
+    records: Vec<(RecordKind, Bytes)>,
     /// So many are safe from a loss of power.
     safe: usize,
     /// Whose writes the records are that are not, and when they were written.
-    waiting: Vec<(usize, Told, u64)>,
+    waiting: Vec<(usize, WriteTicket, u64)>,
     busy: bool,
     /// When something was last synced.
     progress: u64,
@@ -61,7 +62,7 @@
 }
 
 struct Process {
-    owner: Owner,
+    core: ControllerCore,
     id: u64,
     incarnation: u64,
     began: u64,
@@ -136,8 +137,8 @@
         }
     }
 
-    pub fn owner(&self) -> Option<&Owner> {
-        self.process.as_ref().map(|p| &p.owner)
+    pub fn core(&self) -> Option<&ControllerCore> {
+        self.process.as_ref().map(|p| &p.core)
     }
 
     /// Until when it stands still.
@@ -277,29 +278,32 @@
         }
         machine.disk.waiting.clear();
         machine.disk.busy = false;
-        let mut found = Found::default();
+        let mut recovered = RecoveredState::default();
         for (kind, body) in &machine.disk.records {
-            found.take(*kind as u8, body.clone());
+            recovered.replay(*kind as u8, body.clone());
         }
         let settings = machine.settings();
-        let (begin, record) = Begin::new(
-            &settings,
-            machine.addr,
+        let process = ProcessIdentity {
             incarnation,
-            (fresh, identity),
-            &found,
-        );
-        if let Some(record) = record {
-            machine.disk.records.push((Kind::Founding, record));
+            disk_id: identity,
+            disk_was_empty: fresh,
+        };
+        let startup = Startup::new(&settings, machine.addr, process, &recovered);
+        if let Some(record) = startup.first_record.clone() {
+            machine
+                .disk
+                .records
+                .push((RecordKind::InitialMembers, record));
             if machine.disk.settled {
                 machine.disk.safe = machine.disk.records.len();
             }
         }
         machine.bootstrap = false;
-        let id = begin.me.id;
-        let owner = Owner::new(begin, &found, settings, log).expect("records that were written");
+        let id = startup.me.id;
+        let core = ControllerCore::new(startup, &recovered, settings, log)
+            .expect("records that were written");
         machine.process = Some(Process {
-            owner,
+            core,
             id,
             incarnation,
             began: now,
@@ -331,29 +335,27 @@
         if !machine.disk.waiting.is_empty() || machine.disk.faulty_until() > self.now {
             return;
         }
-        let (views, writes) = process.owner.whole();
-        machine
-            .disk
-            .records
-            .retain(|(kind, _)| matches!(kind, Kind::Founding | Kind::FirstView));
-        machine
-            .disk
-            .records
-            .extend(views.into_iter().map(|body| (Kind::View, body)));
-        machine
-            .disk
-            .records
-            .extend(writes.into_iter().map(|body| (Kind::Chain, body)));
+        let records = process.core.snapshot_records();
+        let of_bootstrap =
+            |kind: RecordKind| matches!(kind, RecordKind::InitialMembers | RecordKind::Bootstrap);
+        // What the bootstrap wrote stays as it is; the core's own copy of it isn't needed.
+        machine.disk.records.retain(|(kind, _)| of_bootstrap(*kind));
+        let records = records.into_iter().filter(|(kind, _)| !of_bootstrap(*kind));
+        machine.disk.records.extend(records);
         machine.disk.safe = machine.disk.records.len();
     }
 
     /// Does something with a controller that runs, at its own time.
-    fn with_owner(&mut self, n: usize, what: impl FnOnce(&mut Owner, u64, u64)) {
+    fn with_core(&mut self, n: usize, what: impl FnOnce(&mut ControllerCore, Time)) {
         let unix = 1_700_000_000_000 + self.now + self.controllers[n].skew;
         NOW.store(self.now, Ordering::Relaxed);
         let now = self.now;
         if let Some(process) = self.controllers[n].process.as_mut() {
-            what(&mut process.owner, now - process.began + 1, unix);
+            let time = Time {
+                now: now - process.began + 1,
+                unix_ms: unix,
+            };
+            what(&mut process.core, time);
             self.carry_out(n);
         }
     }
@@ -362,22 +364,17 @@
         let Some(process) = self.controllers[n].process.as_mut() else {
             return;
         };
-        let (outs, addr) = (process.owner.take(), self.controllers[n].addr);
+        let (outs, addr) = (process.core.take_effects(), self.controllers[n].addr);
         for out in outs {
             match out {
-                Out::Tell { kind, body, .. } if self.withholds(n, kind, &body) => {}
-                Out::Tell { to, kind, body } => self.tell(addr, to, kind, body),
-                Out::Write { told, record } => {
+                Effect::Send { kind, body, .. } if self.withholds(n, kind, &body) => {}
+                Effect::Send { to, kind, body } => self.tell(addr, to, kind, body),
+                Effect::Write { ticket, record } => {
                     let disk = &mut self.controllers[n].disk;
-                    let kind = match told {
-                        Told::View(_) => Kind::View,
-                        Told::Chain(_) => Kind::Chain,
-                        Told::FirstView(_) => Kind::FirstView,
-                    };
-                    disk.records.push((kind, record));
-                    disk.waiting.push((disk.records.len(), told, self.now));
+                    disk.records.push((RecordKind::from(ticket), record));
+                    disk.waiting.push((disk.records.len(), ticket, self.now));
                 }
-                Out::Reply { call, answer } => self.controller_answers(n, call, answer),
+                Effect::Respond { call, response } => self.controller_answers(n, call.0, response),
             }
         }
         self.sync(n);
@@ -456,12 +453,12 @@
             .iter()
             .take_while(|w| w.0 <= upto)
             .map(|w| w.1);
-        let told: Vec<Told> = told.collect();
+        let told: Vec<WriteTicket> = told.collect();
         machine.disk.waiting.drain(..told.len());
         let state = self.disk_state(n);
-        self.with_owner(n, |owner, now, unix| {
-            owner.synced(now, unix, &told);
-            owner.persistence(now, state);
+        self.with_core(n, |core, time| {
+            core.handle_synced(time, &told);
+            core.update_disk_state(time.now, state);
         });
         if self.dice.permille(5) {
             self.compact(n);
@@ -488,7 +485,7 @@
                 },
             );
         }
-        if process.ends && process.owner.may_end() {
+        if process.ends && process.core.may_exit() {
             return self.ended(n, incarnation);
         }
         let disk = &mut self.controllers[n].disk;
@@ -497,9 +494,9 @@
             disk.settled = true;
         }
         let state = self.disk_state(n);
-        self.with_owner(n, |owner, now, unix| {
-            owner.persistence(now, state);
-            owner.tick(now, unix);
+        self.with_core(n, |core, time| {
+            core.update_disk_state(time.now, state);
+            core.tick(time);
         });
         let late = if self.dice.permille(50) {
             self.dice.below(40)
@@ -507,7 +504,7 @@
             1
         };
         self.after(
-            TICK + late,
+            TICK_INTERVAL + late,
             Event::Tick {
                 who: Actor::Controller(n),
                 incarnation,
@@ -567,7 +564,7 @@
     /// How old what this one tells may be, by its own word; none while it doesn't vouch for it.
     pub fn vouched_age(&self, n: usize) -> Option<u64> {
         let process = self.controllers[n].process.as_ref()?;
-        process.owner.vouched_age(self.now - process.began + 1)
+        process.core.vouched_age(self.now - process.began + 1)
     }
 
     /// Since when this one runs.
@@ -582,9 +579,7 @@
 
     pub fn controller_told(&mut self, n: usize, from: SocketAddr, kind: u16, body: &Bytes) {
         let Some(peer) = self.peer(from) else { return };
-        self.with_owner(n, |owner, now, unix| {
-            owner.told(now, unix, &peer, kind, body)
-        });
+        self.with_core(n, |core, time| core.handle_frame(time, &peer, kind, body));
     }
 
     /// As a process names itself in its hello.
@@ -615,7 +610,7 @@
         })
     }
 
-    pub fn call_arrived(&mut self, n: usize, call: u64, ask: Ask) {
+    pub fn call_arrived(&mut self, n: usize, call: u64, ask: Call) {
         let machine = &self.controllers[n];
         if machine.still_until() > self.now {
             return self.after(
@@ -634,7 +629,7 @@
             return;
         }
         let planted = ask.clone();
-        self.with_owner(n, |owner, now, unix| owner.asked(now, unix, call, ask));
+        self.with_core(n, |core, time| core.handle_call(time, CallId(call), ask));
         if let Some(answer) = self.planted_answer(n, &planted) {
             self.controller_answers(n, call, answer);
         }
@@ -755,7 +750,7 @@
         self.controllers[n].troubled_at = u64::MAX;
         self.loses_process(n);
         self.note(|| format!("controller {n} has SIGTERM"));
-        self.with_owner(n, |owner, now, unix| owner.stop(now, unix));
+        self.with_core(n, |core, time| core.begin_shutdown(time));
         self.after(
             1_200,
             Event::End {
@@ -782,7 +777,7 @@
         self.controllers[n].troubled_at = u64::MAX;
         self.disturbed(n, self.now);
         self.note(|| format!("controller {n} has SIGTERM, and a successor"));
-        self.with_owner(n, |owner, now, unix| owner.stop(now, unix));
+        self.with_core(n, |core, time| core.begin_shutdown(time));
         self.after(
             LEAVING,
             Event::End {
--- a/crates/control/controller/tests/world/day.rs
+++ b/crates/control/controller/tests/world/day.rs
@@ -453,7 +453,7 @@
 
     /// Nobody who was well is left out of the chain.
     pub fn look_at_view(&mut self, n: usize) {
-        let Some(view) = self.controllers[n].owner().and_then(|o| o.view()) else {
+        let Some(view) = self.controllers[n].core().and_then(|o| o.view()) else {
             return;
         };
         if self
--- a/crates/control/controller/tests/world/dispatchers.rs
+++ b/crates/control/controller/tests/world/dispatchers.rs
@@ -10,7 +10,7 @@
 use runner_registry::{Runner, RunnerState};
 use std::net::SocketAddr;
 
-const TICK: u64 = 100;
+const TICK_INTERVAL: u64 = 100;
 /// How old what a parent says may be for the first configuration of an incarnation to come into force.
 const FRESH: u64 = 1_500;
 
@@ -232,7 +232,7 @@
         }
         self.settle_dispatcher(n);
         self.after(
-            TICK,
+            TICK_INTERVAL,
             Event::Tick {
                 who: Actor::Dispatcher(n),
                 incarnation,
--- a/crates/control/controller/tests/world/mod.rs
+++ b/crates/control/controller/tests/world/mod.rs
@@ -22,7 +22,7 @@
 use budget::Excess;
 use bytes::Bytes;
 use clients::{Calls, Operator, RunnerStandIn};
-use controller::op::{Answer, Ask};
+use controller::call::{Call, Response};
 pub use controllers::Machine;
 use dispatchers::Dispatcher;
 use network::Network;
@@ -116,11 +116,11 @@
     Call {
         controller: usize,
         call: u64,
-        ask: Ask,
+        ask: Call,
     },
     Answer {
         call: u64,
-        answer: Option<Answer>,
+        answer: Option<Response>,
     },
     Wake {
         client: Client,
--- a/crates/control/controller/tests/world/planted.rs
+++ b/crates/control/controller/tests/world/planted.rs
@@ -1,11 +1,11 @@
-//! Faults of the program that a day can be given, to see that the checks find them. They are planted around the owner: in
+//! Faults of the program that a day can be given, to see that the checks find them. They are planted around the core: in
 //! what it is asked, what it answers, and which of its frames go out.
 
 use super::World;
 use bytes::Bytes;
-use controller::control::digest;
-use controller::op::{Answer, Ask};
-use controller::owner::{CHAIN, VIEW};
+use controller::call::{Call, Response};
+use controller::control_state::digest;
+use controller::frame_kind::{CHAIN_REPLICATION, VIEW_AGREEMENT};
 
 /// A fault of the program that the checks must find.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -49,7 +49,7 @@
 
     /// Whether a frame of this kind of this controller never goes out.
     pub fn withholds(&self, n: usize, kind: u16, body: &Bytes) -> bool {
-        if kind == VIEW && self.has(Planted::NoViewChange) {
+        if kind == VIEW_AGREEMENT && self.has(Planted::NoViewChange) {
             let msg = view_agreement::Message::decode(body).map(|msg| msg.body);
             let decides = |body| {
                 matches!(
@@ -63,25 +63,30 @@
         let was_cut = self.controllers[n]
             .cut
             .is_some_and(|(_, until)| until <= self.now);
-        kind == CHAIN && was_cut && self.has(Planted::MuteAfterCut)
+        kind == CHAIN_REPLICATION && was_cut && self.has(Planted::MuteAfterCut)
     }
 
-    /// The answer that a planted fault gives in the owner's place.
-    pub fn planted_answer(&self, n: usize, ask: &Ask) -> Option<Answer> {
-        let control = self.controllers[n].owner()?.node().state_machine();
-        let head = self.controllers[n].owner()?.node().is_head();
+    /// The answer that a planted fault gives in the core's place.
+    pub fn planted_answer(&self, n: usize, ask: &Call) -> Option<Response> {
+        let control = self.controllers[n].core()?.chain().state_machine();
+        let head = self.controllers[n].core()?.chain().is_head();
         match ask {
-            Ask::Get if self.has(Planted::ReadsAnywhere) => {
+            Call::GetConfig if self.has(Planted::ReadsAnywhere) => {
                 let (_, body) = control.config.as_ref()?;
-                Some(Answer::body(body.clone()))
+                Some(Response::json(body.clone()))
             }
-            Ask::Put { base, body } if head => {
-                let taken = control.took(*base, &digest(body));
+            Call::ReplaceConfig {
+                base_version: base,
+                body,
+            } if head => {
+                let taken = control.accepted_version(*base, &digest(body));
                 let newest = control.config.as_ref().map(|(change, _)| change.digest);
-                let refused = || Answer::refused(412, 1312, "planted");
+                let refused = || Response::error(412, 1312, "planted");
                 match taken {
-                    Some(_) if self.has(Planted::AcknowledgedUnkept) => Some(Answer::ok()),
-                    None if self.has(Planted::RefusedUnkept) && control.gen() != *base => {
+                    Some(_) if self.has(Planted::AcknowledgedUnkept) => Some(Response::ok()),
+                    None if self.has(Planted::RefusedUnkept)
+                        && control.config_version() != *base =>
+                    {
                         Some(refused())
                     }
                     Some(_)
@@ -96,10 +101,10 @@
         }
     }
 
-    /// What becomes of the owner's answer to a runner.
-    pub fn planted_reply(&self, is_runner: bool, answer: Answer) -> Answer {
+    /// What becomes of the core's answer to a runner.
+    pub fn planted_reply(&self, is_runner: bool, answer: Response) -> Response {
         if is_runner && answer.status == 503 && self.has(Planted::AcknowledgesAllHeartbeats) {
-            return Answer::ok();
+            return Response::ok();
         }
         answer
     }
--- a/crates/control/controller/tests/world/races.rs
+++ b/crates/control/controller/tests/world/races.rs
@@ -1,7 +1,7 @@
 //! Orders on one version that race, each sent again and again: answers are lost, or nobody listens for them.
 
 use super::{clients::Put, Client, Event, World};
-use controller::op::{Answer, Ask};
+use controller::call::{Call, Response};
 
 /// Times that an order is sent again, at most.
 const AGAIN: u64 = 20;
@@ -89,14 +89,14 @@
             Client::Race(n),
             hops,
             controller,
-            Ask::Put {
-                base: put.base,
+            Call::ReplaceConfig {
+                base_version: put.base,
                 body: put.body,
             },
         );
     }
 
-    pub fn racer_hears(&mut self, n: usize, hops: u64, answer: Option<Answer>) {
+    pub fn racer_hears(&mut self, n: usize, hops: u64, answer: Option<Response>) {
         let status = answer.as_ref().map_or(0, |a| a.status);
         if status == 307 && hops < 2 {
             if let Some(to) = answer
@@ -152,15 +152,15 @@
         if !matches!(status, 200 | 412) || self.controllers.iter().any(|k| !k.is_up()) {
             return;
         }
-        let digest = controller::control::digest(&put.body);
+        let digest = controller::control_state::digest(&put.body);
         let kept = self.controllers.iter().enumerate().any(|(m, k)| {
             let control = k
-                .owner()
+                .core()
                 .filter(|_| m != n)
-                .map(|o| o.node().state_machine());
+                .map(|o| o.chain().state_machine());
             control.is_some_and(|c| match status {
-                200 => c.took(put.base, &digest).is_some(),
-                _ => c.gen() != put.base,
+                200 => c.accepted_version(put.base, &digest).is_some(),
+                _ => c.config_version() != put.base,
             })
         });
         if !kept {
--- a/crates/control/controller/tests/world/retire.rs
+++ b/crates/control/controller/tests/world/retire.rs
@@ -1,7 +1,7 @@
 //! An operator that has a store machine emptied, and asks how far that is.
 
 use super::{Client, Event, World};
-use controller::op::{Answer, Ask};
+use controller::call::{Call, Response};
 
 /// Between questions, in ms.
 const EVERY: u64 = 400;
@@ -30,14 +30,14 @@
     fn retirer_asks(&mut self, controller: usize, hops: u64) {
         let node = self.retirement.node.clone();
         let ask = if self.retirement.begun {
-            Ask::RetireGet { node }
+            Call::GetRetirement { node }
         } else {
-            Ask::RetireBegin { node }
+            Call::RetireStore { node }
         };
         self.send_call(Client::Retirer, hops, controller, ask);
     }
 
-    pub fn retirer_hears(&mut self, hops: u64, answer: Option<Answer>) {
+    pub fn retirer_hears(&mut self, hops: u64, answer: Option<Response>) {
         let status = answer.as_ref().map_or(0, |a| a.status);
         let location = answer.as_ref().and_then(|a| a.location.as_deref());
         if let Some(to) = location
--- a/crates/control/controller/tests/world/stores.rs
+++ b/crates/control/controller/tests/world/stores.rs
@@ -12,7 +12,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-const TICK: u64 = 100;
+const TICK_INTERVAL: u64 = 100;
 /// Without a grant for so long it says that it is there to all controllers.
 const GRANT_LATE: u64 = 900;
 
@@ -194,7 +194,7 @@
             self.heartbeat_store(n);
         }
         self.after(
-            TICK,
+            TICK_INTERVAL,
             Event::Tick {
                 who: Actor::Store(n),
                 incarnation,
