--- a/crates/control/controller/tests/bootstrap.rs
+++ b/crates/control/controller/tests/bootstrap.rs
@@ -320,7 +320,7 @@
 ];
 
 #[test]
-fn there_is_one_founding_whatever_happens() {
+fn there_is_one_bootstrap_under_any_faults() {
     for trouble in TROUBLES {
         for seed in 0..150 {
             assert_eq!(broken(seed, trouble, Planted::Nothing), None);
@@ -330,7 +330,7 @@
 
 /// What came before is found.
 #[test]
-fn a_founder_that_asks_nobody_is_found() {
+fn a_member_that_bootstraps_alone_is_detected() {
     let found = (0..20)
         .filter(|seed| broken(*seed, Trouble::Wiped, Planted::FoundsAtOnce).is_some())
         .count();
@@ -339,7 +339,7 @@
 
 /// One that another founder knows by another identity takes no part, though all others announce themselves as empty.
 #[test]
-fn a_disk_that_was_lost_during_the_founding_does_not_found() {
+fn a_member_that_lost_its_disk_during_bootstrap_takes_no_part() {
     let me = Member {
         id: 9,
         addr: addr(0),
@@ -381,7 +381,7 @@
 }
 
 #[test]
-fn any_bytes_are_no_frame() {
+fn arbitrary_bytes_are_no_bootstrap_message() {
     for bytes in [
         &b""[..],
         b"\x00",
--- a/crates/control/controller/tests/calls.rs
+++ b/crates/control/controller/tests/calls.rs
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn draining_said_again_is_not_acknowledged_while_nobody_else_knows_of_it() {
+fn repeated_draining_is_not_acknowledged_before_a_majority_knows() {
     let mut core = controller(&[1, 2, 3], true);
     assert!(until(&mut core, 1, 1_000).is_empty());
     drains(&mut core, 1_001, 1, 5);
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn one_that_has_no_view_yet_does_not_acknowledge_draining_alone() {
+fn a_controller_without_a_view_does_not_acknowledge_draining() {
     let mut core = controller(&[2, 3], false);
     assert!(until(&mut core, 1, 500).is_empty());
     drains(&mut core, 501, 1, 5);
@@ -152,7 +152,7 @@
 // A controller that had lost its majority counted the runners as gone after their silence, and those that followed it
 // stopped sending to them.
 #[test]
-fn without_a_majority_no_runner_is_taken_for_gone() {
+fn without_quorum_contact_no_runner_times_out() {
     let mut core = controller(&[1, 2, 3], true);
     assert!(until(&mut core, 1, 1_000).is_empty());
     heartbeat(&mut core, 1_001, 1, 5);
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn without_a_majority_a_heartbeat_is_refused_and_what_it_says_is_kept() {
+fn without_quorum_contact_a_heartbeat_is_refused_and_published() {
     let mut core = controller(&[1, 2, 3], true);
     assert!(until(&mut core, 1, 6_000).is_empty());
     heartbeat(&mut core, 6_001, 1, 5);
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn with_a_majority_a_silent_runner_is_gone() {
+fn with_quorum_contact_a_silent_runner_times_out() {
     let mut core = controller(&[1], true);
     assert!(until(&mut core, 1, 1_000).is_empty());
     heartbeat(&mut core, 1_001, 1, 5);
@@ -186,7 +186,7 @@
 
 // A leave was acknowledged at once, and was lost with the controller that had it.
 #[test]
-fn a_leave_is_not_acknowledged_while_nobody_else_knows_of_it() {
+fn a_leave_is_not_acknowledged_before_a_majority_knows() {
     let mut core = controller(&[1, 2, 3], true);
     assert!(until(&mut core, 1, 1_000).is_empty());
     for (call, now) in [(1, 1_001), (2, 2_001)] {
--- a/crates/control/controller/tests/control_state.rs
+++ b/crates/control/controller/tests/control_state.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn of_two_changes_on_the_same_version_one_counts() {
+fn of_two_changes_on_one_base_version_one_is_accepted() {
     let mut control = ControlState::default();
     control.apply(1, &config(0, 3, b"a").encode());
     control.apply(2, &config(0, 5, b"b").encode());
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_repeat_is_known_after_others_followed_but_not_on_another_base() {
+fn a_repeated_change_is_recognized_on_its_own_base_version_only() {
     let mut control = ControlState::default();
     for (base, gen) in [(0, 2), (2, 7), (7, 9)] {
         control.apply(gen, &config(base, gen, &[gen as u8]).encode());
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_version_not_above_the_one_in_place_never_counts() {
+fn a_version_not_above_the_current_one_is_ignored() {
     let mut control = ControlState::default();
     control.apply(1, &config(0, 4, b"a").encode());
     control.apply(2, &config(4, 4, b"b").encode());
@@ -53,7 +53,7 @@
 
 proptest! {
     #[test]
-    fn any_commands_and_a_copy_agree(commands in proptest::collection::vec((0_u64..4, 0_u64..6, 0_u8..3, any::<bool>()), 0..40)) {
+    fn a_restored_snapshot_equals_the_state(commands in proptest::collection::vec((0_u64..4, 0_u64..6, 0_u8..3, any::<bool>()), 0..40)) {
         let mut control = ControlState::default();
         for (n, (base, gen, body, map)) in commands.iter().enumerate() {
             let command = if *map {
@@ -71,7 +71,7 @@
     }
 
     #[test]
-    fn any_bytes_do_no_harm(bytes: Vec<u8>) {
+    fn arbitrary_commands_and_snapshots_do_not_panic(bytes: Vec<u8>) {
         let mut control = ControlState::default();
         control.apply(1, &bytes);
         let _ = control.restore(&bytes);
@@ -89,7 +89,7 @@
 
 // An order that was sent again after 256 others was refused.
 #[test]
-fn a_repeat_is_known_after_thousands_of_others_and_after_a_snapshot() {
+fn a_repeated_change_is_recognized_after_thousands_and_after_a_snapshot() {
     let control = changes(4_096);
     let mut copy = ControlState::default();
     copy.restore(&control.snapshot()).expect("own snapshot");
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn an_order_older_than_all_that_is_remembered_is_neither_taken_nor_refused() {
+fn a_change_older_than_all_remembered_is_neither_accepted_nor_rejected() {
     let control = changes(MAX_REMEMBERED_CHANGES as u64);
     assert!(control.remembers_changes_on(0));
     let control = changes(MAX_REMEMBERED_CHANGES as u64 + 5);
@@ -132,7 +132,7 @@
     /// A copy of the state that was cut, changed or announces more than it has: refused with the state as it was, or taken as
     /// a whole; nothing is set aside for what has not come.
     #[test]
-    fn a_spoilt_copy_is_taken_whole_or_not_at_all(
+    fn a_corrupted_snapshot_is_restored_completely_or_not_at_all(
         at in any::<prop::sample::Index>(), length in any::<u32>(), how in 0u8..3, cut in any::<prop::sample::Index>(),
     ) {
         let before = changes(5);
--- a/crates/control/controller/tests/ctl.rs
+++ b/crates/control/controller/tests/ctl.rs
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn each_method_and_path_is_the_call_that_it_was() {
+fn each_method_and_path_dispatches_to_the_same_call() {
     let long = format!("/-/runners/{}/beat", "i".repeat(201));
     let longest = format!("/-/runners/{}/leave", "i".repeat(200));
     let base = "Fordrelay-Base-Version:  41 \r\n";
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn a_redirection_names_the_other_controller() {
+fn a_redirect_names_the_other_controller() {
     let elsewhere = Response::redirect(
         "10.0.0.2:8146".parse().expect("an address"),
         "/-/config/get",
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn bodies_too_large_or_late_and_missing_answers_are_refused() {
+fn oversized_and_late_bodies_and_missing_answers_are_rejected() {
     let responses = run(async {
         let (addr, _) = listening(8, true).await;
         let large = " ".repeat(8 * 1024 * 1024 + 1);
@@ -241,7 +241,7 @@
 }
 
 #[test]
-fn a_refusal_has_this_body_whatever_it_says() {
+fn an_error_response_has_this_body() {
     let refused = Response::error(400, 1234, &format!("a \"quote\"\n{}", "x".repeat(400)));
     assert_eq!((refused.status, refused.location), (400, None));
     let body = format!(
--- a/crates/control/controller/tests/days/cuts.rs
+++ b/crates/control/controller/tests/days/cuts.rs
@@ -22,7 +22,7 @@
 };
 
 #[test]
-fn nothing_old_is_given_out_and_nothing_confirmed_is_lost_over_long_cuts() {
+fn no_stale_read_and_no_lost_acknowledgement_over_long_partitions() {
     let (from, seeds) = (
         number("CUT_FROM").unwrap_or(0),
         number("CUT_SEEDS").unwrap_or(8),
@@ -56,7 +56,7 @@
 
 // Those that were left without a majority counted the runners as gone, and dispatchers that followed them stopped sending.
 #[test]
-fn while_no_side_has_a_majority_the_runners_stay_known() {
+fn without_a_majority_on_any_side_runners_stay_published() {
     for seed in 0..3 {
         let plan = Plan {
             controllers: Some(3),
@@ -108,7 +108,7 @@
 
 // Each of the two proposed views without the other, in turn, and nothing was acknowledged while the cut lasted.
 #[test]
-fn while_only_the_link_between_two_is_cut_orders_are_acknowledged() {
+fn while_one_link_is_cut_changes_are_acknowledged() {
     for seed in 0..number("LINK_SEEDS").unwrap_or(6) {
         let (broken, acks, views) = link_is_cut(seed);
         assert_eq!((broken, acks), (None, 4), "seed {seed}, {views} views");
--- a/crates/control/controller/tests/days/losses.rs
+++ b/crates/control/controller/tests/days/losses.rs
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn losses_in_a_row_break_nothing_and_service_goes_on() {
+fn consecutive_losses_break_no_invariant_and_service_continues() {
     play(
         number("LOSS_FROM").unwrap_or(0),
         number("LOSS_SEEDS").unwrap_or(3),
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn long_cuts_and_faulty_disks_among_many_controllers_break_nothing() {
+fn long_partitions_and_disk_faults_among_many_controllers_break_no_invariant() {
     play(
         number("LARGE_CUT_FROM").unwrap_or(0),
         number("LARGE_CUT_SEEDS").unwrap_or(3),
--- a/crates/control/controller/tests/days/planted.rs
+++ b/crates/control/controller/tests/days/planted.rs
@@ -38,23 +38,23 @@
 }
 
 #[test]
-fn a_view_change_that_never_happens_is_found() {
+fn a_missing_view_change_is_detected() {
     found(Planted::NoViewChange, 0..2, |_| CUTS);
 }
 
 #[test]
-fn a_controller_that_never_answers_the_chain_again_after_a_cut_is_found() {
+fn a_controller_mute_in_the_chain_after_a_partition_is_detected() {
     found(Planted::MuteAfterCut, 0..2, |_| CUTS);
 }
 
 #[test]
-fn reads_that_are_answered_without_a_majority_are_found() {
+fn reads_without_a_quorum_are_detected() {
     let what = found(Planted::ReadsAnywhere, 0..4, |_| CUTS);
     assert!(what.contains("was read, and"), "{what}");
 }
 
 #[test]
-fn heartbeats_that_are_acknowledged_out_of_contact_are_found() {
+fn heartbeats_acknowledged_without_quorum_contact_are_detected() {
     found(Planted::AcknowledgesAllHeartbeats, 0..8, |_| CUTS);
 }
 
@@ -68,13 +68,13 @@
 };
 
 #[test]
-fn an_order_that_is_acknowledged_before_it_is_kept_is_found() {
+fn an_acknowledgement_before_commit_is_detected() {
     let what = found(Planted::AcknowledgedUnkept, 0..8, |_| CALM);
     assert!(what.contains("which nobody else has"), "{what}");
 }
 
 #[test]
-fn an_order_that_is_refused_before_the_one_that_won_is_kept_is_found() {
+fn a_rejection_before_the_winner_commits_is_detected() {
     let what = found(Planted::RefusedUnkept, 0..8, |_| CALM);
     assert!(what.contains("which nobody else has"), "{what}");
 }
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn orders_that_are_forgotten_are_found() {
+fn forgotten_changes_are_detected() {
     for seed in 0..2 {
         let what = races(seed, Some(Planted::RemembersOneOrder)).expect("found on each seed");
         assert!(
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn zones_that_the_settings_do_not_name_are_found() {
+fn zones_missing_in_the_settings_are_detected() {
     // Six controllers, two in each of three zones, founded by two of one zone and one of another.
     found(Planted::ZonesNotNamed, 0..6, |seed| {
         losses::losses(1 + 9 * seed)
--- a/crates/control/controller/tests/days/races.rs
+++ b/crates/control/controller/tests/days/races.rs
@@ -72,17 +72,17 @@
 }
 
 #[test]
-fn one_order_a_version_wins_whatever_is_repeated() {
+fn one_change_per_version_wins_however_often_it_is_repeated() {
     play(0..3, 20, 8, |_, _| {});
 }
 
 #[test]
-fn a_repeat_has_its_answer_after_hundreds_of_changes() {
+fn a_repeated_change_gets_its_answer_after_hundreds_of_changes() {
     play(100..101, 270, 3, |_, _| {});
 }
 
 #[test]
-fn one_order_a_version_wins_over_changes_of_head() {
+fn one_change_per_version_wins_across_changes_of_head() {
     play(200..204, 10, 8, |world, round| {
         let head = world.head();
         match round % 5 {
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn one_order_a_version_wins_over_a_stop_of_all() {
+fn one_change_per_version_wins_across_a_restart_of_all() {
     play(300..304, 6, 8, |world, round| {
         if round % 2 == 1 {
             for n in 0..3 {
--- a/crates/control/controller/tests/days/recovery.rs
+++ b/crates/control/controller/tests/days/recovery.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn after_all_lost_power_controllers_vouch_soon_after_a_majority_runs() {
+fn after_a_full_power_loss_controllers_vouch_soon_after_a_majority_runs() {
     let mut worst = (0, 0);
     for seed in 0..SEEDS {
         let mut world = World::new(seed, day());
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn after_all_lost_power_dispatchers_have_a_configuration_soon_after_a_majority_runs() {
+fn after_a_full_power_loss_dispatchers_get_a_configuration_soon_after_a_majority_runs() {
     let mut worst = (0, 0);
     for seed in 0..SEEDS {
         let mut world = World::new(seed, day());
--- a/crates/control/controller/tests/dispatchers.rs
+++ b/crates/control/controller/tests/dispatchers.rs
@@ -61,7 +61,7 @@
 
 // One that ended together with the controller that told of it stayed known for good.
 #[test]
-fn one_whose_controller_is_lost_and_that_nobody_hears_is_gone() {
+fn an_orphaned_dispatcher_is_removed() {
     let mut dispatchers = DispatcherTracker::new(OWN);
     let alive = |now| Some(if now < 10_000 { vec![OTHER] } else { vec![] });
     let at = gone_at(&mut dispatchers, 60_000, alive).expect("it is said to be gone");
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn one_whose_controller_is_there_stays() {
+fn a_dispatcher_of_a_live_controller_stays() {
     let mut dispatchers = DispatcherTracker::new(OWN);
     assert_eq!(
         gone_at(&mut dispatchers, 60_000, |_| Some(vec![OTHER])),
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn out_of_contact_nobody_is_said_to_be_gone() {
+fn without_quorum_contact_no_dispatcher_is_removed() {
     let mut dispatchers = DispatcherTracker::new(OWN);
     assert_eq!(gone_at(&mut dispatchers, 60_000, |_| None), None);
     // When contact is back, it has a whole span again.
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn one_that_is_heard_here_stays() {
+fn a_dispatcher_whose_heartbeats_come_stays() {
     let mut dispatchers = DispatcherTracker::new(OWN);
     let peer = Peer {
         addr: addr(9),
--- a/crates/control/controller/tests/journal.rs
+++ b/crates/control/controller/tests/journal.rs
@@ -209,7 +209,7 @@
 
 // The ring was begun anew only while nothing was on its way to the disk, so never.
 #[test]
-fn under_writes_that_never_pause_the_ring_is_begun_anew_before_it_is_full() {
+fn under_continuous_writes_the_log_is_compacted_before_it_is_full() {
     let mut machine = Machine::new();
     let (mut most, mut told) = (0, 0);
     for _ in 0..1_000 {
@@ -241,7 +241,7 @@
 // Entry 10, snapshot 9, entry 10 again: if the first entry 10 counted as synced alone, power that goes after the snapshot would
 // take an entry that was acknowledged.
 #[test]
-fn a_write_before_a_compaction_counts_as_synced_only_with_all_of_it() {
+fn a_write_before_a_compaction_is_synced_only_with_all_of_the_compaction() {
     let mut machine = Machine::new();
     let half = |machine: &Machine| {
         let usage = machine.journal.usage();
@@ -274,7 +274,7 @@
 
 /// What a process that starts again reads after compactions amid writes, on files as the system has them.
 #[test]
-fn a_ring_that_was_begun_anew_again_and_again_is_read_back() {
+fn a_log_compacted_repeatedly_is_recovered() {
     let path = std::env::temp_dir().join(format!("controller-journal-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&path);
     let begin = || -> PreparedLog<LogDirectory, StdMonitor<SharedState>> {
@@ -325,7 +325,7 @@
 
 // While the disk refused, nothing was synced, so the ring was never begun anew; when it was full it took nothing more for good.
 #[test]
-fn a_ring_that_fills_while_the_disk_refuses_takes_writes_again_afterwards() {
+fn a_log_filled_while_the_disk_fails_accepts_writes_afterwards() {
     let mut machine = Machine::new();
     let mut told = 0;
     for round in 0..5 {
--- a/crates/control/controller/tests/peers.rs
+++ b/crates/control/controller/tests/peers.rs
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn all_that_hear_each_other_are_alive_until_they_are_silent() {
+fn controllers_in_mutual_contact_are_alive_until_the_failure_timeout() {
     let mut controllers = PeerControllers::default();
     hear(&mut controllers, 1_000, &[(2, &[1, 3]), (3, &[1, 2])]);
     controllers.record_heartbeat(1_300, addr(3), heartbeat(3, &[1, 2]));
@@ -84,21 +84,21 @@
 }
 
 #[test]
-fn one_that_hears_but_is_not_heard_is_out_and_so_is_the_reverse() {
+fn a_controller_cut_off_in_one_direction_is_not_alive() {
     let mut controllers = PeerControllers::default();
     hear(&mut controllers, 1_000, &[(2, &[3]), (3, &[1, 2])]);
     assert_eq!(alive(&controllers, 1_100, 1, &[1, 2, 3]), [1, 3]);
 }
 
 #[test]
-fn of_two_that_do_not_hear_each_other_the_later_of_the_chain_is_out() {
+fn of_two_controllers_out_of_contact_the_later_in_the_chain_is_dropped() {
     let mut controllers = PeerControllers::default();
     hear(&mut controllers, 1_000, &[(1, &[3]), (2, &[3])]);
     assert_eq!(alive(&controllers, 1_100, 3, &[1, 2, 3]), [1, 3]);
 }
 
 #[test]
-fn while_one_comes_back_nobody_is_out_for_not_hearing_it_yet() {
+fn while_a_controller_returns_no_peer_is_dropped_for_not_receiving_it_yet() {
     let mut controllers = PeerControllers::default();
     hear(&mut controllers, 1_000, &[(2, &[1, 3]), (3, &[1, 2])]);
     // The second was away: the third does not say yet that it hears it.
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn one_that_starts_anew_is_there_before_it_says_that_it_hears_us_but_not_for_long() {
+fn a_restarted_controller_is_alive_for_a_grace_period_before_it_receives_us() {
     let mut controllers = PeerControllers::default();
     controllers.record_heartbeat(1_000, addr(2), heartbeat(2, &[]));
     assert_eq!(alive(&controllers, 1_100, 1, &[1, 2]), [1, 2]);
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn a_standstill_of_its_own_condemns_nobody() {
+fn an_own_stall_times_out_no_peer() {
     let mut controllers = PeerControllers::default();
     controllers.record_heartbeat(1_000, addr(2), heartbeat(2, &[1]));
     controllers.reset_after_stall(9_000);
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn any_bytes_are_no_heartbeat_and_a_heartbeat_comes_back() {
+fn a_heartbeat_round_trips_and_a_truncated_one_is_rejected() {
     let sent = heartbeat(7, &[1, 2, 3]);
     assert_eq!(
         ControllerHeartbeat::decode(&sent.encode()),
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn one_without_a_disk_is_neither_member_nor_acceptor_and_condemns_nobody() {
+fn a_controller_without_a_disk_is_neither_member_nor_acceptor_and_drops_nobody() {
     let mut controllers = PeerControllers::default();
     let hearing: [(u8, &[u8]); 3] = [(2, &[1, 4]), (3, &[1]), (4, &[1, 2])];
     for at in [1_000, 1_300, 1_600] {
@@ -198,7 +198,7 @@
 
 // What hung on a controller was taken for gone by another one that only the link between the two had been cut from.
 #[test]
-fn one_that_another_hears_is_there_and_one_that_nobody_hears_is_not() {
+fn a_controller_is_live_while_any_peer_receives_it() {
     let mut controllers = PeerControllers::default();
     hear(&mut controllers, 1_000, &[(2, &[1, 3]), (3, &[1, 2])]);
     controllers.record_heartbeat(1_800, addr(3), heartbeat(3, &[1, 2]));
--- a/crates/control/controller/tests/placement.rs
+++ b/crates/control/controller/tests/placement.rs
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn the_first_map_gives_each_partition_a_chain_over_zones() {
+fn the_first_map_spreads_each_chain_over_zones() {
     let (_, map) = begun(&[(1, 11), (2, 12), (3, 13), (4, 14)]);
     assert_eq!(map.partitions.len(), PARTITIONS);
     for view in &map.partitions {
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_silent_store_is_left_out_and_taken_back_at_the_end() {
+fn a_silent_store_is_dropped_and_rejoins_as_the_last_member() {
     let (mut stores, map) = begun(&[(1, 11), (2, 12), (3, 13)]);
     let now = 10_000;
     stores.record_heartbeat(now - FAILURE_TIMEOUT, heartbeat(1, 11, Some(&map)));
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn a_new_head_declares_nobody_dead_before_leases_ran_out() {
+fn a_new_head_drops_no_store_before_leases_expired() {
     let (mut stores, map) = begun(&[(1, 11), (2, 12), (3, 13)]);
     stores.reset();
     let since = 20_000;
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn a_wiped_store_comes_back_as_a_newcomer() {
+fn a_store_with_a_new_disk_joins_as_a_new_member() {
     let (mut stores, map) = begun(&[(1, 11), (2, 12), (3, 13)]);
     let next = settle(&mut stores, map, &[(1, 99), (2, 12), (3, 13)], 10_000);
     for view in &next.partitions {
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn retired_is_complete_only_when_all_is_whole_elsewhere() {
+fn a_retirement_completes_only_when_all_chains_are_complete_elsewhere() {
     let up = [(1, 11), (2, 12), (3, 13), (4, 14)];
     let (mut stores, map) = begun(&up);
     let now = 10_000;
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn too_few_would_remain_or_nobody_has_that_name() {
+fn a_retirement_of_an_unknown_store_or_with_too_few_remaining_is_rejected() {
     let up = [(1, 11), (2, 12)];
     let (stores, map) = begun(&up);
     assert_eq!(
@@ -219,7 +219,7 @@
 }
 
 #[test]
-fn of_three_one_may_go_and_two_hold_all() {
+fn of_three_stores_one_can_be_retired() {
     let up = [(1, 11), (2, 12), (3, 13)];
     let (mut stores, map) = begun(&up);
     let now = 10_000;
@@ -267,7 +267,7 @@
 }
 
 #[test]
-fn a_copy_goes_only_where_there_is_room_for_it() {
+fn a_replica_is_placed_only_where_capacity_suffices() {
     let up = [(1, 11), (2, 12), (3, 13)];
     let (mut stores, map) = begun(&up);
     // The third is gone; two newcomers are there, and only the second of them has room.
@@ -291,7 +291,7 @@
 }
 
 #[test]
-fn copies_that_begin_at_once_do_not_go_over_the_room_of_one_store() {
+fn concurrent_replicas_do_not_exceed_the_capacity_of_a_store() {
     let up = [(1, 11), (2, 12), (3, 13)];
     let (mut stores, map) = begun(&up);
     let now = 10_000;
@@ -319,7 +319,7 @@
 }
 
 #[test]
-fn a_chain_goes_on_without_a_store_whose_disk_stands_still() {
+fn a_chain_continues_without_a_store_whose_disk_stalls() {
     let up = [(1, 11), (2, 12), (3, 13)];
     let (mut stores, map) = begun(&up);
     let now = 10_000;
@@ -343,7 +343,7 @@
 /// Found by the plays of losses in a row (nine stores, seed 540002): a chain that had already lost one member kept another whose
 /// disk stood still, since fewer than enough would have remained. It committed nothing, so that the joiner never got its copy.
 #[test]
-fn a_stalled_disk_is_not_waited_for_where_another_store_can_take_its_place() {
+fn a_stalled_store_is_dropped_where_another_can_replace_it() {
     let lengths = ChainLengths {
         target: 4,
         minimum: 3,
@@ -381,7 +381,7 @@
 }
 
 #[test]
-fn where_all_disks_stand_still_nobody_is_left_out() {
+fn where_all_disks_stall_no_store_is_dropped() {
     let up = [(1, 11), (2, 12), (3, 13)];
     let (mut stores, map) = begun(&up);
     let now = 10_000;
@@ -392,7 +392,7 @@
 }
 
 #[test]
-fn retired_does_not_wait_for_copies_that_have_no_room() {
+fn a_retirement_does_not_wait_for_replicas_without_capacity() {
     let up = [(1, 11), (2, 12), (3, 13), (4, 14)];
     let (mut stores, map) = begun(&up);
     let now = 10_000;
@@ -432,7 +432,7 @@
 }
 
 #[test]
-fn a_store_that_is_heard_and_hears_nothing_is_left_out() {
+fn a_store_cut_off_one_way_is_dropped() {
     let up = [(1, 11), (2, 12), (3, 13)];
     let (mut stores, map) = begun(&up);
     let mut next = None;
@@ -462,7 +462,7 @@
 }
 
 #[test]
-fn one_that_is_being_emptied_takes_copies_again_where_too_few_others_are_left() {
+fn a_retiring_store_takes_replicas_where_too_few_others_remain() {
     let up = [(1, 11), (2, 12), (3, 13)];
     let (mut stores, map) = begun(&up);
     let now = 10_000;
@@ -529,7 +529,7 @@
 // After a whole stop a partition that had lost a store with its disk was without a tail for 1.6 s, though all others of its
 // chain were there and the store itself said that it was empty.
 #[test]
-fn a_new_head_drops_at_once_a_store_whose_disk_is_gone() {
+fn a_new_head_drops_a_store_with_a_replaced_disk_at_once() {
     let (mut stores, map, since) = begins_with_a_wiped_store(true);
     let next = stores
         .plan_placement(since + 301, Some(&map), since, LENGTHS)
@@ -559,7 +559,7 @@
 }
 
 #[test]
-fn a_new_head_drops_nobody_early_on_a_doubtful_word() {
+fn a_new_head_drops_no_store_early_on_a_stale_heartbeat() {
     // The store with the other disk has not answered to this head: its word may have been long on its way.
     let (stores, map, since) = begins_with_a_wiped_store(false);
     assert_eq!(
@@ -607,7 +607,7 @@
 }
 
 #[test]
-fn the_first_map_gives_each_store_its_share_of_heads_tails_and_copies() {
+fn the_first_map_balances_heads_tails_and_replicas() {
     let up: Vec<(u64, u64)> = (1..=13).map(|n| (n, n + 10)).collect();
     let (_, map) = begun(&up);
     assert_eq!(map.partitions.len(), partitions_for(13));
--- a/crates/control/controller/tests/rejections.rs
+++ b/crates/control/controller/tests/rejections.rs
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn frames_that_cannot_be_read_are_counted_and_said_at_a_limited_rate() {
+fn malformed_frames_are_counted_and_logged_at_a_limited_rate() {
     let mut one = One::new();
     let before = one.stands();
     for n in 0..1_000u16 {
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn a_heartbeat_is_read_whole_or_not_at_all() {
+fn a_heartbeat_is_decoded_completely_or_rejected() {
     let whole = heartbeat().encode();
     assert!(ControllerHeartbeat::decode(&whole).is_ok());
     for cut in 0..whole.len() {
@@ -262,7 +262,7 @@
 }
 
 #[test]
-fn settings_that_are_read_again_are_checked_whole() {
+fn reloaded_settings_are_validated_completely() {
     let mut one = One::new();
     let before = one.core.settings().clone();
     let changed = |from: &str, to: &str| Settings::parse(&SETTINGS.replace(from, to));
@@ -288,7 +288,7 @@
 
     /// Any bytes, of any kind of frame: nothing is written, nothing kept is another than before.
     #[test]
-    fn any_frame_of_a_stranger_changes_nothing_that_is_kept(
+    fn arbitrary_frames_of_strangers_change_no_stored_state(
         kind in prop_oneof![prop::sample::select(KINDS.to_vec()), Just(HELLO), any::<u16>()],
         body in prop::collection::vec(any::<u8>(), 0..200),
     ) {
@@ -300,7 +300,7 @@
 
     /// A heartbeat with a changed byte, cut or doubled: of another controller it says what it will, it changes nothing kept.
     #[test]
-    fn a_spoilt_heartbeat_changes_nothing_that_is_kept(
+    fn a_corrupted_heartbeat_changes_no_stored_state(
         at in any::<prop::sample::Index>(), byte in any::<u8>(), cut in any::<prop::sample::Index>(), doubled in any::<bool>(),
     ) {
         let mut bytes = heartbeat().encode().to_vec();
--- a/crates/control/controller/tests/sim.rs
+++ b/crates/control/controller/tests/sim.rs
@@ -79,12 +79,12 @@
 }
 
 #[test]
-fn all_rules_hold_on_the_first_days() {
+fn all_invariants_hold_on_the_first_days() {
     by_hand(0, 25);
 }
 
 #[test]
-fn all_rules_hold_on_further_days() {
+fn all_invariants_hold_on_further_days() {
     play(25, 25, Plan::default());
 }
 
@@ -111,7 +111,7 @@
 // A head that had been cut off learned that a number was in force, which another head had given to another change, and
 // acknowledged its own under that number.
 #[test]
-fn a_head_that_was_left_behind_acknowledges_nothing_by_anothers_word() {
+fn a_deposed_head_acknowledges_nothing_by_another_heads_commit() {
     let (mut acks, mut away) = (0, 0);
     for seed in 0..60 {
         let plan = Plan {
@@ -144,13 +144,13 @@
 
 // One that comes back proposed a view without those that it had not heard yet.
 #[test]
-fn one_that_comes_back_leaves_nobody_out() {
+fn a_returning_controller_drops_no_member() {
     play(0, 12, CUTS);
 }
 
 // One that is no longer heard by some of the others, and not yet unheard by the rest, had a well one left out.
 #[test]
-fn while_one_falls_silent_nobody_else_is_left_out() {
+fn while_one_controller_fails_no_other_is_dropped() {
     play(
         0,
         12,
@@ -163,7 +163,7 @@
 
 // The head had missed all the others for a while and left one of them out, for the word that came last.
 #[test]
-fn a_head_that_missed_all_leaves_out_none_of_them() {
+fn a_head_that_missed_all_heartbeats_drops_no_member() {
     for seed in [24, 111] {
         found(seed, Plan::default());
     }
@@ -171,7 +171,7 @@
 
 // A controller that came back without a change of the view was not told to those who follow controllers.
 #[test]
-fn all_controllers_that_are_there_are_told() {
+fn all_live_controllers_are_published() {
     for seed in [17, 30] {
         found(seed, Plan::default());
     }
@@ -179,7 +179,7 @@
 
 // A store that was about to stop was left out of a map while it held a lease for reads.
 #[test]
-fn no_map_leaves_out_a_store_that_may_serve_reads() {
+fn no_map_drops_a_store_with_a_live_lease() {
     for seed in [49, 97, 122] {
         found(seed, Plan::default());
     }
@@ -187,13 +187,13 @@
 
 // A dispatcher that went over to another controller was said to be gone by the one before, and nobody told of it again.
 #[test]
-fn a_dispatcher_that_goes_over_to_another_controller_stays_known() {
+fn a_dispatcher_that_switches_controllers_stays_published() {
     found(167, Plan::default());
 }
 
 // A new head told nothing of what was committed before it, since nothing new was.
 #[test]
-fn a_new_head_puts_in_force_what_the_one_before_left_half_done() {
+fn a_new_head_completes_the_rollout_of_the_previous_head() {
     let plan = Plan {
         kind: Some(0),
         faults: 12,
@@ -212,7 +212,7 @@
 };
 
 #[test]
-fn full_and_stalling_disks_end_nothing() {
+fn full_and_stalled_disks_stop_no_service() {
     for kind in [28, 30] {
         play(
             0,
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn full_and_stalling_disks_among_all_other_faults() {
+fn full_and_stalled_disks_among_all_other_faults() {
     play(
         500,
         5,
@@ -264,7 +264,7 @@
 /// One whose disk takes nothing is out of the chain soon, orders are acknowledged meanwhile, and it is back soon after
 /// there is room.
 #[test]
-fn one_with_a_full_or_stalling_disk_steps_out_and_comes_back() {
+fn a_controller_with_a_disk_fault_leaves_the_chain_and_rejoins() {
     for seed in 0..9 {
         let (mut world, n) = disk_takes_nothing(seed, None);
         assert_eq!(
@@ -287,7 +287,7 @@
 
 /// The checks find a member that doesn't step out.
 #[test]
-fn a_member_that_stays_in_without_its_disk_is_found() {
+fn a_member_that_ignores_its_disk_fault_is_detected() {
     for seed in 0..3 {
         let (world, n) = disk_takes_nothing(seed, Some(Planted::StaysIn));
         assert!(
--- a/crates/control/controller/tests/wire.rs
+++ b/crates/control/controller/tests/wire.rs
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn the_number_of_a_zone_stays() {
+fn the_hash_of_a_zone_stays() {
     assert_eq!(zone_hash(""), 0xcbf2_9ce4_8422_2325);
     insta::assert_snapshot!(format!("{:x} {:x}", zone_hash("zone-a"), zone_hash("eu-north/2")), @"314eacb3f9ab9b6d 58da777228f2c5f8");
 }
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_founder_announces_itself_with_these_bytes() {
+fn an_announcement_of_the_bootstrap_has_these_bytes() {
     let frame = BootstrapMessage::Announce {
         identity: 0x0102_0304_0506_0708,
         known: 9,
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn founders_agree_with_these_bytes() {
+fn an_agreement_message_of_the_bootstrap_has_these_bytes() {
     let member = Member {
         id: 0x0102_0304_0506_0708,
         addr: addr(1),
