--- a/crates/control/controller/src/core/disk.rs
+++ b/crates/control/controller/src/core/disk.rs
@@ -75,8 +75,8 @@
 
     /// What the event loop measured, for those who ask for the status: the use of the disk, and
     /// connections that were refused.
-    pub fn record_usage(&mut self, disk: DiskUsage, refused_connections: u64) {
+    pub fn record_usage(&mut self, disk: DiskUsage, rejected_connections: u64) {
         self.disk_usage = disk;
-        self.rejections.connections = refused_connections;
+        self.rejections.connections = rejected_connections;
     }
 }
--- a/crates/control/controller/src/event_loop.rs
+++ b/crates/control/controller/src/event_loop.rs
@@ -6,7 +6,7 @@
 use crate::journal::Journal;
 use crate::program::StartError;
 use crate::time::Time;
-use peer_transport::Links;
+use peer_transport::Transport;
 use slog::{info, Logger};
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -21,11 +21,11 @@
 /// before it is killed.
 const SHUTDOWN_SHARE: f64 = 0.75;
 
-/// The core with its disk, its links and its callers.
+/// The core with its disk, its transport and its callers.
 pub struct EventLoop {
     core: ControllerCore,
     journal: Journal,
-    links: Rc<Links>,
+    transport: Rc<Transport>,
     /// Time 1 of the core.
     started_at: Instant,
     /// Who waits for the answer to which call. Bounded by the connections of `ctl`.
@@ -39,14 +39,14 @@
     pub fn new(
         core: ControllerCore,
         journal: Journal,
-        links: Rc<Links>,
+        transport: Rc<Transport>,
         started_at: Instant,
         log: Logger,
     ) -> Self {
         EventLoop {
             core,
             journal,
-            links,
+            transport,
             started_at,
             waiting: HashMap::new(),
             last_call: 0,
@@ -114,7 +114,7 @@
         match input {
             Input::Call { call, respond_to } => {
                 if call == Call::GetStatus {
-                    let refused = self.links.counters().connections_refused;
+                    let refused = self.transport.counters().connections_rejected;
                     self.core.record_usage(self.journal.usage(), refused);
                 }
                 self.last_call += 1;
@@ -137,7 +137,7 @@
         let now = self.time().now;
         for effect in self.core.take_effects() {
             match effect {
-                Effect::Send { to, kind, body } => self.links.tell(to, kind, body),
+                Effect::Send { to, kind, body } => self.transport.send(to, kind, body),
                 Effect::Write { ticket, record } => self.journal.write(now, ticket, record),
                 Effect::Respond { call, response } => {
                     // Who has gone away needs no answer.
--- a/crates/control/controller/src/program.rs
+++ b/crates/control/controller/src/program.rs
@@ -7,7 +7,7 @@
 use crate::journal::Journal;
 use crate::startup::{ProcessIdentity, RecoveredState, RecoveryError, Startup};
 use bytes::Bytes;
-use peer_transport::{Event, Handler, Links, Me, Peer};
+use peer_transport::{ConnectionEvent, Handler, Peer, Transport};
 use slog::{crit, info, warn, Logger};
 use std::cell::Cell;
 use std::error::Error;
@@ -90,7 +90,7 @@
 }
 
 impl Handler for FrameReceiver {
-    fn told(&self, from: &Rc<Peer>, kind: u16, body: Bytes) {
+    fn handle_message(&self, from: &Rc<Peer>, kind: u16, body: Bytes) {
         if self
             .inputs
             .try_send(Input::Frame {
@@ -108,7 +108,7 @@
         }
     }
 
-    fn called(&self, _: &Rc<Peer>, _: u16, _: Bytes, _: peer_transport::Reply) {
+    fn handle_call(&self, _: &Rc<Peer>, _: u16, _: Bytes, _: peer_transport::Reply) {
         // No frame asks controllers for an answer; the caller learns at once that there is none.
     }
 }
@@ -238,13 +238,13 @@
         journal.write_initial_members(1, record);
         wait_for_first_record(synced.clone()).await;
     }
-    let me = Me {
+    let me = Peer {
         addr,
         id: incarnation,
         node: settings.node.clone(),
         zone: settings.zone.clone(),
     };
-    let links = Links::with_events(me, log_refused_connections(log.clone()));
+    let transport = Transport::with_events(me, log_rejected_connections(log.clone()));
     let core = ControllerCore::new(startup, &recovered, settings, log.clone())?;
     // The records are of no more use, and may be as large as the disk.
     drop(recovered);
@@ -255,9 +255,9 @@
         log_limit: Seldom::default(),
         log: log.clone(),
     });
-    tokio::task::spawn_local(Rc::clone(&links).serve(peers, receiver));
+    tokio::task::spawn_local(Rc::clone(&transport).serve(peers, receiver));
     tokio::task::spawn_local(ctl::serve(calls, inputs));
-    EventLoop::new(core, journal, links, started_at, log)
+    EventLoop::new(core, journal, transport, started_at, log)
         .run(queue, synced)
         .await
 }
@@ -269,11 +269,11 @@
     let _ = tokio::time::timeout(FIRST_RECORD_TIMEOUT, on_disk).await;
 }
 
-/// Logs which connections of other processes were refused.
-fn log_refused_connections(log: Logger) -> impl Fn(Event) + 'static {
+/// Logs which connections of other processes were rejected.
+fn log_rejected_connections(log: Logger) -> impl Fn(ConnectionEvent) + 'static {
     let log_limit = Seldom::default();
     move |event| {
-        if event.is_refusal() {
+        if event.is_rejection() {
             log_limit.line("connection", |left_out| {
                 warn!(log, "connection rejected"; "code" => 1408, "why" => %event,
                     "left_out" => left_out);
