--- a/crates/common/peer-transport/tests/support/mod.rs
+++ b/crates/common/peer-transport/tests/support/mod.rs
@@ -1,5 +1,5 @@
 //! Processes that listen on the loopback, and a handler that records what it receives.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test uses a part of it")]
 
 use bytes::Bytes;
 use peer_transport::frame::{Decoder, Frame, Hello, Item};
--- a/crates/common/write-ahead-log/tests/support/mod.rs
+++ b/crates/common/write-ahead-log/tests/support/mod.rs
@@ -1,5 +1,5 @@
 //! A disk in memory that loses and tears what wasn't synced.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test uses a part of it")]
 
 use bytes::Bytes;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
--- a/crates/control/failure-detector/src/lib.rs
+++ b/crates/control/failure-detector/src/lib.rs
@@ -1,22 +1,18 @@
-//! Heartbeats of dispatchers to the watchers that a ring names; no I/O.
+//! Detects failed dispatchers by heartbeats to watchers on a hash ring.
 //!
-//! Every dispatcher sends a small heartbeat to three others, its watchers. A watcher that hears nothing asks, then says
-//! its suspicion to the other watchers; when most of them say the same for a while, the verdict goes to a controller. A
-//! heartbeat that comes after all takes it back. Nobody is condemned by one watcher alone, nor by one that stood still.
+//! Each dispatcher sends heartbeats to three others, its watchers. A watcher that receives none
+//! probes, then sends its suspicion to the other watchers; once most of them suspect the same for a
+//! while, the verdict goes to a controller. A later heartbeat revokes it. No verdict comes from one
+//! watcher alone, nor from one that stalled. No I/O, no clock: the caller passes the time and
+//! carries the messages.
 
-#![expect(
-    clippy::missing_errors_doc,
-    clippy::too_many_lines,
-    reason = "not revised yet"
-)]
+mod detector;
+mod hash_ring;
+mod message;
 
-mod order;
-mod ring;
-mod wire;
-
-pub use order::watchers;
-pub use ring::{Out, Ring, Verdict};
-pub use wire::{BadMessage, Msg};
+pub use detector::{Effect, FailureDetector, Verdict};
+pub use hash_ring::watchers;
+pub use message::{DecodeError, Message};
 
 use std::net::SocketAddr;
 
@@ -25,29 +21,31 @@
 /// Milliseconds on a steady clock.
 pub type Ms = u64;
 
-/// How often a dispatcher tells its watchers that it lives.
+/// Interval of the heartbeats to each watcher.
 pub const HEARTBEAT_MS: Ms = 500;
-/// A watcher that hears nothing for this long asks.
-pub const ASK_MS: Ms = 800;
-/// A watcher that hears nothing for this long suspects.
-pub const SILENT_MS: Ms = 1_600;
-/// A suspicion must stand this long before it counts in a watcher's own verdict.
-pub const STAND_MS: Ms = 500;
-/// Another watcher's suspicion counts this long; it is said again every [`HEARTBEAT_MS`].
-pub const VOTE_MS: Ms = 1_200;
-/// Where another watcher still hears the dispatcher, one that doesn't keeps quiet for so much longer.
-pub const DOUBT_MS: Ms = 1_000;
-/// Ticks further apart than this mean that the watcher stood still.
-pub const PAUSE_MS: Ms = 400;
+/// A watcher that receives nothing for this long probes; must exceed [`HEARTBEAT_MS`].
+pub const PROBE_AFTER_MS: Ms = 800;
+/// A watcher that receives nothing for this long suspects; must leave time for the reply to a
+/// probe.
+pub const SUSPECT_AFTER_MS: Ms = 1_600;
+/// A suspicion must last this long before it counts in a watcher's own verdict.
+pub const CONFIRM_AFTER_MS: Ms = 500;
+/// Another watcher's suspicion counts this long; it is sent again every [`HEARTBEAT_MS`].
+pub const VOTE_TIMEOUT_MS: Ms = 1_200;
+/// Where another watcher still receives heartbeats, one that doesn't defers its suspicion by this
+/// time.
+pub const DEFER_MS: Ms = 1_000;
+/// Ticks further apart than this mean that the watcher stalled.
+pub const STALL_MS: Ms = 400;
 /// How many watch one dispatcher.
 pub const WATCHERS: usize = 3;
-/// Most dispatchers; a longer list is cut.
+/// Most dispatchers; a longer list is truncated.
 pub const MAX_DISPATCHERS: usize = 16_384;
 
-/// One of those that watch each other.
+/// A dispatcher that watches others and is watched.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Dispatcher {
-    /// Its number, another one at every start.
+    /// Its identity, another one at every start.
     pub id: u64,
     /// Where it listens for peers.
     pub addr: SocketAddr,
--- a/crates/control/failure-detector/tests/bytes.rs
+++ b/crates/control/failure-detector/tests/bytes.rs
@@ -2,7 +2,7 @@
 
 #![expect(clippy::unwrap_used, reason = "a test ends at the first surprise")]
 
-use failure_detector::Msg;
+use failure_detector::Message;
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
@@ -23,20 +23,23 @@
     );
     let cases = [
         (
-            Msg::Heartbeat { id: of, heartbeat },
+            Message::Heartbeat { id: of, heartbeat },
             "0128272625242322213837363534333231",
         ),
-        (Msg::Ask { by, of }, "0218171615141312112827262524232221"),
         (
-            Msg::Suspect { by, of, heartbeat },
+            Message::Probe { by, of },
+            "0218171615141312112827262524232221",
+        ),
+        (
+            Message::Suspect { by, of, heartbeat },
             "03181716151413121128272625242322213837363534333231",
         ),
         (
-            Msg::Heard {
+            Message::Alive {
                 by,
                 of,
                 heartbeat,
-                ago: 0x4142_4344,
+                age_ms: 0x4142_4344,
             },
             "0418171615141312112827262524232221383736353433323144434241",
         ),
@@ -44,17 +47,17 @@
     for (message, expected) in cases {
         assert_eq!(hex(&message.encode()), expected, "{message:?}");
         let bytes = from_hex(expected);
-        assert_eq!(Msg::decode(&bytes), Ok(message));
+        assert_eq!(Message::decode(&bytes), Ok(message));
         // A byte less or more is no datagram.
-        assert!(Msg::decode(&bytes[..bytes.len() - 1]).is_err());
-        assert!(Msg::decode(&[&bytes[..], &[0]].concat()).is_err());
+        assert!(Message::decode(&bytes[..bytes.len() - 1]).is_err());
+        assert!(Message::decode(&[&bytes[..], &[0]].concat()).is_err());
     }
     for kind in [0, 5, 255] {
         let mut bytes = from_hex(cases[0].1);
         bytes[0] = kind;
         assert_eq!(
-            Msg::decode(&bytes).map_err(|error| error.to_string()),
-            Err("ring message malformed".to_owned())
+            Message::decode(&bytes).map_err(|error| error.to_string()),
+            Err("failure detector message malformed".to_owned())
         );
     }
 }
--- a/crates/control/failure-detector/tests/common/mod.rs
+++ b/crates/control/failure-detector/tests/support/mod.rs
@@ -1,11 +1,11 @@
-//! Rings on a network that delays, loses and cuts, in virtual time.
-#![allow(dead_code)]
+//! Failure detectors on a simulated network with delay, loss and partitions, in virtual time.
+#![allow(dead_code, reason = "each test uses a part of it")]
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
 use compact_str::format_compact;
-use failure_detector::{Dispatcher, Ms, Msg, Out, Ring, Verdict};
+use failure_detector::{Dispatcher, Effect, FailureDetector, Message, Ms, Verdict};
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64;
 
@@ -23,49 +23,49 @@
     }
 }
 
-pub struct World {
+pub struct Simulation {
     pub now: Ms,
     pub rng: Pcg64,
     pub list: Vec<Dispatcher>,
-    pub rings: Vec<Option<Ring>>,
-    pub frozen_until: Vec<Ms>,
+    pub detectors: Vec<Option<FailureDetector>>,
+    pub stalled_until: Vec<Ms>,
     phase: Vec<Ms>,
     by_addr: BTreeMap<SocketAddr, usize>,
-    flying: BTreeMap<Ms, Vec<(usize, usize, Msg)>>,
-    inbox: Vec<VecDeque<(SocketAddr, Msg)>>,
-    /// Directed links that say nothing.
-    pub cuts: BTreeSet<(usize, usize)>,
+    in_flight: BTreeMap<Ms, Vec<(usize, usize, Message)>>,
+    inbox: Vec<VecDeque<(SocketAddr, Message)>>,
+    /// Directed links that drop everything.
+    pub blocked: BTreeSet<(usize, usize)>,
     /// Of a thousand messages, so many are lost.
-    pub loss: u64,
+    pub loss_permille: u64,
     pub verdicts: Vec<(Ms, usize, Verdict)>,
     pub sent: u64,
 }
 
-impl World {
-    pub fn new(seed: u64, count: usize, zones: usize) -> World {
+impl Simulation {
+    pub fn new(seed: u64, count: usize, zones: usize) -> Simulation {
         let list = (0..count).map(|n| dispatcher(n, zones)).collect::<Vec<_>>();
         let mut rng = Pcg64::seed_from_u64(seed);
-        let mut rings = list
+        let mut detectors = list
             .iter()
-            .map(|one| Some(Ring::new(one.id)))
+            .map(|one| Some(FailureDetector::new(one.id)))
             .collect::<Vec<_>>();
-        for ring in rings.iter_mut().flatten() {
-            ring.members(1_000, &list);
+        for detector in detectors.iter_mut().flatten() {
+            detector.set_members(1_000, &list);
         }
-        World {
+        Simulation {
             now: 1_000,
-            rings,
-            frozen_until: vec![0; count],
+            detectors,
+            stalled_until: vec![0; count],
             phase: (0..count).map(|_| rng.next_u64() % 100).collect(),
             by_addr: list
                 .iter()
                 .enumerate()
                 .map(|(n, one)| (one.addr, n))
                 .collect(),
-            flying: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             inbox: vec![VecDeque::new(); count],
-            cuts: BTreeSet::new(),
-            loss: 0,
+            blocked: BTreeSet::new(),
+            loss_permille: 0,
             verdicts: Vec::new(),
             sent: 0,
             list,
@@ -81,46 +81,52 @@
         self.now += STEP;
         let now = self.now;
         while self
-            .flying
+            .in_flight
             .first_key_value()
             .is_some_and(|(at, _)| *at <= now)
         {
-            let Some((_, messages)) = self.flying.pop_first() else {
+            let Some((_, messages)) = self.in_flight.pop_first() else {
                 break;
             };
-            for (from, to, msg) in messages {
-                if !self.cuts.contains(&(from, to)) {
-                    self.inbox[to].push_back((self.list[from].addr, msg));
+            for (from, to, message) in messages {
+                if !self.blocked.contains(&(from, to)) {
+                    self.inbox[to].push_back((self.list[from].addr, message));
                 }
             }
         }
-        for n in 0..self.rings.len() {
-            if self.frozen_until[n] > now {
+        for n in 0..self.detectors.len() {
+            if self.stalled_until[n] > now {
                 continue;
             }
-            let Some(mut ring) = self.rings[n].take() else {
+            let Some(mut detector) = self.detectors[n].take() else {
                 continue;
             };
-            while let Some((from, msg)) = self.inbox[n].pop_front() {
-                ring.message(now, from, Msg::decode(&msg.encode()).expect("readable"));
+            while let Some((from, message)) = self.inbox[n].pop_front() {
+                detector.handle_message(
+                    now,
+                    from,
+                    Message::decode(&message.encode()).expect("readable"),
+                );
             }
             if (now + self.phase[n] / STEP * STEP).is_multiple_of(100) {
-                ring.tick(now);
+                detector.tick(now);
             }
-            for out in ring.take() {
-                match out {
-                    Out::Tell(verdict) => self.verdicts.push((now, n, verdict)),
-                    Out::Send { to, msg } => {
+            for effect in detector.take_effects() {
+                match effect {
+                    Effect::Report(verdict) => self.verdicts.push((now, n, verdict)),
+                    Effect::Send { to, message } => {
                         self.sent += 1;
                         let to = self.by_addr[&to];
-                        if self.below(1_000) >= self.loss && !self.cuts.contains(&(n, to)) {
+                        if self.below(1_000) >= self.loss_permille
+                            && !self.blocked.contains(&(n, to))
+                        {
                             let at = now + 5 + self.below(30);
-                            self.flying.entry(at).or_default().push((n, to, msg));
+                            self.in_flight.entry(at).or_default().push((n, to, message));
                         }
                     }
                 }
             }
-            self.rings[n] = Some(ring);
+            self.detectors[n] = Some(detector);
         }
     }
 
@@ -131,10 +137,14 @@
         }
     }
 
-    /// Who was condemned, in order.
-    pub fn condemned(&self) -> Vec<usize> {
-        let gone = self.verdicts.iter().filter(|(_, _, verdict)| verdict.gone);
-        gone.filter_map(|(_, _, verdict)| self.list.iter().position(|one| one.id == verdict.id))
+    /// Who was reported as failed, in order.
+    pub fn reported_failed(&self) -> Vec<usize> {
+        let failed = self
+            .verdicts
+            .iter()
+            .filter(|(_, _, verdict)| verdict.failed);
+        failed
+            .filter_map(|(_, _, verdict)| self.list.iter().position(|one| one.id == verdict.id))
             .collect()
     }
 
--- a/crates/control/relay-tree/tests/support/mod.rs
+++ b/crates/control/relay-tree/tests/support/mod.rs
@@ -1,6 +1,6 @@
 //! Tables on a simulated network with delay, loss, one-way partitions and limited bandwidth, in
 //! virtual time; processes that freeze, crash and restart empty.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test uses a part of it")]
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
