--- a/crates/dispatcher/admin/src/figures.rs
+++ b/crates/dispatcher/admin/src/figures.rs
@@ -103,12 +103,12 @@
             let count = members
                 .members
                 .iter()
-                .filter(|m| m.0.state == state)
+                .filter(|m| m.update.state == state)
                 .count();
             gauge!("fordrelay_members", "state" => state.as_str()).set(count as f64);
         }
         gauge!("fordrelay_members_deaf_to_this")
-            .set(members.members.iter().filter(|m| !m.2).count() as f64);
+            .set(members.members.iter().filter(|m| !m.reachable).count() as f64);
         gauge!("fordrelay_view").set(f64::from(members.view));
     }
     gauge!("svc_active").set(seen.counts.active() as f64);
--- a/crates/dispatcher/admin/src/server.rs
+++ b/crates/dispatcher/admin/src/server.rs
@@ -180,16 +180,13 @@
             "nobody is watched; see the block membership of the operators' file",
         );
     };
-    let shown = members
-        .members
-        .iter()
-        .map(|(m, heard, heard_by)| view::Member {
-            member: m.member,
-            state: m.state.as_str().to_owned(),
-            incarnation: m.incarnation,
-            heard: *heard,
-            heard_by: *heard_by,
-        });
+    let shown = members.members.iter().map(|member| view::Member {
+        member: member.update.member,
+        state: member.update.state.as_str().to_owned(),
+        incarnation: member.update.incarnation,
+        heard: member.received_lately,
+        heard_by: member.reachable,
+    });
     match serde_json::to_string(&shown.collect::<Vec<_>>()) {
         Ok(text) => reply(StatusCode::OK, "application/json", text + "\n"),
         Err(e) => plain(StatusCode::INTERNAL_SERVER_ERROR, e.to_string()),
--- a/crates/dispatcher/admin/src/view.rs
+++ b/crates/dispatcher/admin/src/view.rs
@@ -86,12 +86,7 @@
             "plan {id} of dispatcher {by}: {state}, {gone} of {all} have gone out"
         )?;
         for t in &self.targets {
-            write!(
-                f,
-                "  {}: {}",
-                t.target,
-                format!("{:?}", t.standing).to_lowercase()
-            )?;
+            write!(f, "  {}: {}", t.target, t.standing.as_str())?;
             if !t.not_empty.is_empty() {
                 write!(f, ", not empty at {:?}", t.not_empty)?;
             }
@@ -115,7 +110,7 @@
         } = upkeep.progress.clone();
         let target = |(name, t): (&String, maintenance::TargetProgress)| MaintenanceTarget {
             target: name.clone(),
-            standing: t.standing,
+            standing: t.state,
             since_ms: t.since.map(ms),
             not_empty: t.not_empty,
             not_back: t.not_back,
--- a/crates/dispatcher/coordination/src/lib.rs
+++ b/crates/dispatcher/coordination/src/lib.rs
@@ -39,21 +39,24 @@
         /// Its number.
         member: u16,
         /// It does.
-        heard: bool,
+        reachable: bool,
     },
     /// How far a target of the plan is has changed.
     TargetStateChanged {
         /// The mark of its name.
         name_hash: u32,
         /// How far it is.
-        standing: TargetState,
+        state: TargetState,
         /// Since its time was up.
         forced: bool,
     },
     /// A plan can't be followed.
     PlanRejected(PlanError),
-    /// A plan is called off, if there was one under way.
-    PlanCancelled(bool),
+    /// A plan is cancelled.
+    PlanCancelled {
+        /// One was active.
+        was_active: bool,
+    },
     /// A datagram that can't be read, or in another's name.
     MalformedDatagram,
 }
@@ -269,7 +272,9 @@
                         .map(Effect::PlanRejected),
                 );
             }
-            None => effects.push(Effect::PlanCancelled(maintenance.cancel(now))),
+            None => effects.push(Effect::PlanCancelled {
+                was_active: maintenance.cancel(now),
+            }),
         }
         self.unsaved_change = true;
         self.tick_upkeep(now, targets, effects)
@@ -320,13 +325,13 @@
             }
             maintenance::Effect::TargetStateChanged {
                 name_hash,
-                standing,
+                state,
                 forced,
             } => {
                 self.unsaved_change = true;
                 Effect::TargetStateChanged {
                     name_hash,
-                    standing,
+                    state,
                     forced,
                 }
             }
@@ -341,8 +346,8 @@
             message: message.encode().ok()?,
         },
         membership::Effect::MemberChanged(change) => Effect::MemberChanged(change),
-        membership::Effect::ReachabilityChanged { member, heard } => {
-            Effect::ReachabilityChanged { member, heard }
+        membership::Effect::ReachabilityChanged { member, reachable } => {
+            Effect::ReachabilityChanged { member, reachable }
         }
     })
 }
--- a/crates/dispatcher/discovery-pacing/tests/draw.rs
+++ b/crates/dispatcher/discovery-pacing/tests/bounded_load.rs
@@ -64,7 +64,7 @@
 /// Found on calm+mass: one key of a thousand came with every twelfth job, forty of two hundred targets had eight in ten of the
 /// jobs that were called off, and the rest stood half idle.
 #[test]
-fn a_key_that_everybody_wants_fills_no_home_much_above_the_rest() {
+fn a_hot_key_fills_none_of_its_home_workers_much_above_the_rest() {
     for seed in 0..5 {
         let (_, alone, mean) = play(false, seed);
         assert!(
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn no_figure_of_a_list_takes_a_home_its_keys_for_good() {
+fn no_list_takes_a_home_worker_its_keys_for_good() {
     let mut draw = BoundedLoadShare::default();
     for odd in [f64::NAN, f64::INFINITY, -1.0, 1.0e300] {
         draw.update(odd, 1.0);
--- a/crates/dispatcher/discovery-pacing/tests/load.rs
+++ b/crates/dispatcher/discovery-pacing/tests/fleet_load.rs
@@ -3,7 +3,7 @@
 use discovery_pacing::{outstanding_per_core, FleetLoad, KindCapacity};
 
 #[test]
-fn a_weight_tells_what_was_held() {
+fn a_live_weight_tells_the_outstanding_requests_per_core() {
     assert_eq!(outstanding_per_core(7.5, 7.5), Some(0.0));
     assert_eq!(outstanding_per_core(7.5, 2.5), Some(2.0));
     assert_eq!(
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn the_older_loads_are_the_higher_is_the_level_that_all_come_to() {
+fn the_fill_level_rises_with_the_age_of_the_loads() {
     let loads = FleetLoad {
         held: 180.0,
         slots: 360.0,
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_listed_size_stands_for_the_slots_until_reports_say_more() {
+fn the_listed_size_stands_for_the_slots_until_reports_say_more() {
     let mut kind = KindCapacity::default();
     assert_eq!(kind.slots(), 4.0);
     assert_eq!(kind.record_weight(7.5), Some(0.0));
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn what_has_a_choice_leaves_a_bound_kind_alone_as_far_as_the_rest_has_room() {
+fn jobs_with_a_choice_leave_a_dedicated_kind_alone_while_the_rest_has_capacity() {
     let spare = |held, loose| {
         FleetLoad {
             held,
--- a/crates/dispatcher/discovery-pacing/tests/herd.rs
+++ b/crates/dispatcher/discovery-pacing/tests/watch_pacing.rs
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn nine_in_ten_restarted_together_are_all_told_within_the_time_that_their_spread_takes() {
+fn nine_in_ten_restarted_together_are_all_answered_within_their_spread() {
     for seed in 0..20 {
         let mut world = World::new(100, 90, seed);
         world.play(55 * MS, 0, 60 * SECOND);
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn callers_that_waited_for_a_discovery_that_was_down_do_not_keep_it_down() {
+fn retries_after_an_outage_do_not_overload_discovery_again() {
     for seed in 0..20 {
         let mut world = World {
             expired: Expired::Leaves,
@@ -226,7 +226,7 @@
 /// A fifth of 300 watches fall silent at one moment, as on `join+mass`, where a turn takes 27 ms at the most: all are told
 /// within the clock. Before, each call was spread over 20 s.
 #[test]
-fn watches_that_fall_silent_together_are_all_told_within_the_clock() {
+fn watches_that_time_out_together_are_all_answered_within_the_staleness_limit() {
     for seed in 0..20 {
         let mut world = World::silent(300, 62, seed);
         world.play(27 * MS, 0, 60 * SECOND);
@@ -241,7 +241,7 @@
 /// All 300 together are more than discovery has turns for: those that it turns away leave it its room, and all are told.
 /// With discovery down meanwhile, too: a silent watch and an outage at once.
 #[test]
-fn silence_and_an_outage_together_do_not_keep_discovery_down() {
+fn time_outs_and_an_outage_together_do_not_overload_discovery() {
     for (seed, up) in (0..20).flat_map(|seed| [(seed, 0), (seed, 10 * SECOND)]) {
         let mut world = World {
             expired: Expired::Leaves,
@@ -267,7 +267,7 @@
 }
 
 #[test]
-fn two_dispatchers_ask_at_once_and_again_soon() {
+fn two_dispatchers_call_at_once_and_retry_soon() {
     let mut two = pace(2);
     assert_eq!(
         two.next_delay(DiscoveryFailure::Failed, 0, 0.5, 0.9),
@@ -297,7 +297,7 @@
 }
 
 #[test]
-fn no_size_of_the_fleet_has_a_dispatcher_ask_later_than_it_must() {
+fn no_fleet_size_delays_a_call_beyond_its_limit() {
     for dispatchers in [1, 2, 3, 100, 10_000, u32::MAX] {
         let mut pace = pace(dispatchers);
         assert!(
@@ -337,7 +337,7 @@
 
 proptest! {
     #[test]
-    fn whatever_failed_the_next_call_is_answered_within_the_clock(
+    fn after_any_failure_the_next_call_is_answered_within_the_staleness_limit(
         dispatchers in prop_oneof![1u32..10, 10u32..400, Just(u32::MAX)],
         failures in prop::collection::vec((failure(), 0.0..1.0f64, 0.0..1.0f64), 1..60),
     ) {
@@ -363,7 +363,7 @@
 /// from its return. Before, the last one was told some 20 s later. With less room to spare some are late: 17 ms a turn, 5.1 s
 /// for all, and the last one of 300 was told after 6.7 s in some draws.
 #[test]
-fn after_an_outage_all_are_told_within_the_clock_where_there_are_turns_for_all() {
+fn after_an_outage_all_are_answered_within_the_staleness_limit_if_capacity_allows() {
     for (seed, down) in
         (0..20).flat_map(|seed| [0, 300 * MS, 3 * SECOND, 8 * SECOND].map(|down| (seed, down)))
     {
--- a/crates/dispatcher/discovery-pacing/tests/reach.rs
+++ b/crates/dispatcher/discovery-pacing/tests/zone_reachability.rs
@@ -3,7 +3,7 @@
 use discovery_pacing::ZoneReachability;
 
 #[test]
-fn a_zone_that_fails_is_left_after_two_failures_and_comes_back_with_successes() {
+fn a_zone_is_untrusted_after_two_failures_and_trusted_again_after_successes() {
     let mut reach = ZoneReachability::default();
     assert!(reach.is_trusted(1) && reach.trust(1) == 1.0);
     reach.record_failure(1);
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn zones_without_end_take_no_memory_without_end() {
+fn any_number_of_zones_takes_bounded_memory() {
     let mut reach = ZoneReachability::default();
     (0..100_000).for_each(|zone| reach.record_failure(zone));
     assert!(reach.trust(99_999) == 1.0 && reach.trust(0) < 1.0);
--- a/crates/dispatcher/discovery/src/odd.rs
+++ b/crates/dispatcher/discovery/src/odd.rs
@@ -56,7 +56,7 @@
             for (names, name) in [(&places.zones, &entry.zone), (&places.kinds, &entry.kind)] {
                 if !names.is_empty() && !names.contains(name) {
                     odd(
-                        Anomaly::UnknownPlace,
+                        Anomaly::UnknownLocation,
                         format!("{name:?} of {} is not in the settings", entry.id),
                     );
                 }
@@ -65,7 +65,7 @@
                 !(w.is_finite() && (0.0..=discovery_pacing::LARGEST_WEIGHT).contains(&w))
             }) {
                 odd(
-                    Anomaly::Weight,
+                    Anomaly::InvalidWeight,
                     format!("{:?} of {}", entry.weight, entry.id),
                 );
             }
@@ -159,8 +159,8 @@
             (Anomaly::OlderList, 1),
             (Anomaly::RepeatedTarget, 1),
             (Anomaly::SharedAddress, 1),
-            (Anomaly::UnknownPlace, 2),
-            (Anomaly::Weight, 2),
+            (Anomaly::UnknownLocation, 2),
+            (Anomaly::InvalidWeight, 2),
         ];
         assert_eq!(counts, expected);
         assert_eq!(
--- a/crates/dispatcher/dispatch-api/tests/bytes.rs
+++ b/crates/dispatcher/dispatch-api/tests/bytes.rs
@@ -6,7 +6,7 @@
 use dispatch_api::{ClassSnapshot, PolicySnapshot, WorkerSnapshot};
 
 #[test]
-fn a_worker_goes_by_the_fnv_1a_of_its_name() {
+fn a_name_hash_is_the_fnv_1a_of_the_name() {
     // The published test vectors of the 32-bit FNV-1a.
     assert_eq!(
         [name_hash(""), name_hash("a"), name_hash("foobar")],
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn an_entry_is_the_mark_and_the_slots_up_to_255() {
+fn an_entry_is_the_name_hash_and_the_slots_up_to_255() {
     assert_eq!((ENTRY_BYTES, MESSAGE_BYTES), (5, 256));
     assert_eq!(encode_entry(0xe40c_292c, 7), [0xe4, 0x0c, 0x29, 0x2c, 7]);
     assert_eq!(encode_entry(1, 300), [0, 0, 0, 1, 255]);
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn the_order_of_workers_for_a_key_is_the_same_at_every_version() {
+fn the_rendezvous_order_for_a_key_is_the_same_in_every_version() {
     assert_eq!(
         [
             rendezvous_weight(0, 0),
@@ -45,7 +45,7 @@
 const KNOWN: &str = r#"{"at":9,"kinds":[[2,[1.0,0.5,2.0,3.0]]],"classes":[{"run":[1.5,2.0],"arrivals":3.0,"ended":[4.0,5.0]}],"price":[0.25,0.75],"workers":[{"mark":7,"started":11,"interval":[0.5,12],"runs":[1.0,2.0],"held":[3.0,13],"cold":[14,1.5]},{"mark":8,"started":null,"interval":[0.0,0],"runs":[0.0,0.0],"held":[0.0,null],"cold":[0,null]}]}"#;
 
 #[test]
-fn what_is_known_keeps_its_json() {
+fn a_policy_snapshot_keeps_its_json() {
     let worker = WorkerSnapshot {
         name_hash: 7,
         started: Some(11),
--- a/crates/dispatcher/dispatcher-state/src/plans.rs
+++ b/crates/dispatcher/dispatcher-state/src/plans.rs
@@ -1,55 +1,57 @@
-//! Maintenance as operators ask for it and see it: by names, where members go by marks.
+//! Maintenance plans as operators submit and see them: by the names of targets, where dispatchers use
+//! hashes of the names among themselves.
 
-use super::reducer::State;
-use dispatch_api::load_exchange;
-use maintenance::{Limits, Plan, Progress, Target, TargetState, MAX_KINDS};
+use crate::State;
+use dispatch_api::load_exchange::name_hash;
+use maintenance::{Limits, Maintenance, Plan, Progress, Target, TargetState, MAX_KINDS};
 use std::collections::BTreeMap;
 
-/// A plan as operators want it.
+/// A plan as operators submit it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlanRequest {
-    /// Names of targets, in the order in which they go out.
+    /// Names of targets, in the order in which they are taken out of service.
     pub targets: Vec<String>,
-    /// How many may be out together.
+    /// How many may be out of service at a time.
     pub out: u8,
     /// ... of one zone.
     pub zone: u8,
-    /// ... and as a share of the targets of each kind; one of a kind may always go out.
+    /// ... as a share of the targets of each kind, above 0 and at most 1; one of a kind may always
+    /// be out.
     pub share: f64,
-    /// A target that is not empty by then counts as empty.
+    /// A target that is not drained after this, milliseconds, counts as drained.
     pub drain_ms: u32,
-    /// A target is back by then at the latest.
+    /// A target is back in service after this, milliseconds, at the latest.
     pub out_ms: u32,
-    /// Names the plan.
+    /// A number to know the plan by.
     pub id: u32,
 }
 
 /// Why a plan is refused, with what would be right.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum PlanRequestError {
-    /// Dispatchers don't settle anything here.
+    /// This dispatcher takes part in no maintenance.
     #[error(
         "no maintenance here: it needs the blocks membership and handover of the operators' file"
     )]
     Off,
-    /// One at a time.
+    /// Another plan is active.
     #[error("plan {id} of dispatcher {by} is under way; wait for it, or cancel it")]
     UnderWay {
         /// Its id.
         id: u32,
-        /// The member that it was submitted to.
+        /// The dispatcher that it was submitted to.
         by: u16,
     },
-    /// A list has never named it, or it is gone.
+    /// The target is not in the endpoint list.
     #[error("targets: {0:?} is not in the list")]
     Unknown(String),
-    /// Nobody would be left to serve what only they can.
+    /// The plan names every target of a kind, so that none would be left to serve what only they can.
     #[error("targets: these are all of one kind ({0} of them); leave one out for a later plan")]
     Kind(usize),
-    /// A share that makes no sense.
+    /// The share is out of its range.
     #[error("share: must be above 0 and at most 1")]
     Share,
-    /// Anything else.
+    /// The plan itself is invalid.
     #[error(transparent)]
     Plan(#[from] maintenance::PlanError),
 }
@@ -57,131 +59,132 @@
 /// The plan that is known here, as operators see it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MaintenanceStatus {
-    /// How far it is.
+    /// How far it has come.
     pub progress: Progress,
-    /// The names of its targets, in order; those that no list here has named are empty.
+    /// The names of its targets, in order; empty for those that no list here has ever named.
     pub names: Vec<String>,
 }
 
+/// Numbers for values in the order in which they first occur.
+#[derive(Debug, Default)]
+struct Numbering(Vec<u32>);
+
+impl Numbering {
+    /// The number of a value. What does not fit into a byte makes a plan that is invalid anyway.
+    fn number(&mut self, value: u32) -> u8 {
+        let known = self.0.iter().position(|known| *known == value);
+        let number = known.unwrap_or_else(|| {
+            self.0.push(value);
+            self.0.len() - 1
+        });
+        u8::try_from(number).unwrap_or(u8::MAX)
+    }
+}
+
+/// Where a target is and of which kind, by the list.
+#[derive(Debug, Clone, Copy)]
+struct Location {
+    kind: u32,
+    zone: u32,
+}
+
 impl State {
-    pub(super) fn maintenance_status(&self) -> Option<MaintenanceStatus> {
-        let progress = self
-            .coordinator
-            .maintenance()?
-            .progress(self.last_input_at())?;
-        let name = |t: &Target| {
-            self.targets()
-                .named_by(t.name_hash)
-                .unwrap_or_default()
-                .to_owned()
-        };
+    pub(crate) fn maintenance_status(&self) -> Option<MaintenanceStatus> {
+        let progress = self.coordinator.maintenance()?.progress(self.now)?;
+        let name = |target: &Target| self.targets.name_of(target.name_hash).unwrap_or_default();
+        let targets = progress.plan.targets.iter();
         Some(MaintenanceStatus {
-            names: progress.plan.targets.iter().map(name).collect(),
+            names: targets.map(|target| name(target).to_owned()).collect(),
             progress,
         })
     }
 
-    /// What a plan that operators want comes to here.
+    /// The plan that a request of operators comes to here.
     ///
     /// # Errors
-    /// Why it is refused.
-    pub fn build_plan(&self, wanted: &PlanRequest) -> Result<Plan, PlanRequestError> {
-        let upkeep = self
-            .coordinator
-            .maintenance()
-            .ok_or(PlanRequestError::Off)?;
-        if let Some(kept) = upkeep.saved_state().filter(|_| upkeep.active()) {
+    /// The request can't be followed, or another plan is active.
+    pub fn build_plan(&self, request: &PlanRequest) -> Result<Plan, PlanRequestError> {
+        let maintenance = self.coordinator.maintenance();
+        let maintenance = maintenance.ok_or(PlanRequestError::Off)?;
+        if let Some(active) = maintenance.saved_state().filter(|_| maintenance.active()) {
             return Err(PlanRequestError::UnderWay {
-                id: kept.plan.id,
-                by: kept.plan.by,
+                id: active.plan.id,
+                by: active.plan.by,
             });
         }
-        if !(wanted.share > 0.0 && wanted.share <= 1.0) {
+        if !(request.share > 0.0 && request.share <= 1.0) {
             return Err(PlanRequestError::Share);
         }
-        let listed: BTreeMap<&str, (u32, u32)> = self
-            .targets()
-            .all_listed()
-            .map(|(name, l)| (name, (l.kind, l.zone)))
-            .collect();
-        let (mut kinds, mut zones, mut targets) = (vec![], vec![], vec![]);
-        let place = |all: &mut Vec<u32>, one: u32| {
-            all.iter()
-                .position(|known| *known == one)
-                .unwrap_or_else(|| {
-                    all.push(one);
-                    all.len() - 1
-                })
+        let (targets, kinds) = self.plan_targets(request)?;
+        let plan = Plan {
+            version: 0,
+            by: 0,
+            id: request.id,
+            limits: Limits {
+                out: request.out,
+                zone: request.zone,
+                kinds,
+            },
+            drain_ms: request.drain_ms,
+            out_ms: request.out_ms,
+            cancelled: false,
+            targets,
         };
-        for name in &wanted.targets {
-            let (kind, zone) = *listed
+        plan.validate()?;
+        Ok(plan)
+    }
+
+    /// The targets of a requested plan, and how many of each of their kinds may be out at a time.
+    fn plan_targets(
+        &self,
+        request: &PlanRequest,
+    ) -> Result<(Vec<Target>, Vec<u8>), PlanRequestError> {
+        let listed: BTreeMap<&str, Location> = self
+            .targets
+            .listed_entries()
+            .map(|(name, &dispatch_api::WorkerEntry { kind, zone, .. })| {
+                (name, Location { kind, zone })
+            })
+            .collect();
+        let (mut kinds, mut zones) = (Numbering::default(), Numbering::default());
+        let mut targets = vec![];
+        for name in &request.targets {
+            let location = listed
                 .get(name.as_str())
                 .ok_or_else(|| PlanRequestError::Unknown(name.clone()))?;
-            let (kind, zone) = (place(&mut kinds, kind), place(&mut zones, zone));
-            let byte = |n: usize| u8::try_from(n).unwrap_or(u8::MAX);
             targets.push(Target {
-                name_hash: load_exchange::name_hash(name),
-                kind: byte(kind),
-                zone: byte(zone),
+                name_hash: name_hash(name),
+                kind: kinds.number(location.kind),
+                zone: zones.number(location.zone),
             });
         }
         let mut limits = vec![];
-        for (at, kind) in kinds.iter().enumerate().take(MAX_KINDS + 1) {
-            let all = listed.values().filter(|(k, _)| k == kind).count();
-            if targets.iter().filter(|t| usize::from(t.kind) == at).count() >= all {
+        // One more than a plan may have, so that a plan with too many kinds is found to be invalid.
+        for (number, kind) in kinds.0.iter().enumerate().take(MAX_KINDS + 1) {
+            let all = listed.values().filter(|l| l.kind == *kind).count();
+            let planned = targets.iter().filter(|t| usize::from(t.kind) == number);
+            if planned.count() >= all {
                 return Err(PlanRequestError::Kind(all));
             }
-            limits.push(((all as f64 * wanted.share) as u8).max(1));
+            limits.push(((all as f64 * request.share) as u8).max(1));
         }
-        let limits = Limits {
-            out: wanted.out,
-            zone: wanted.zone,
-            kinds: limits,
-        };
-        let (version, by, cancelled) = (0, 0, false);
-        let PlanRequest {
-            drain_ms,
-            out_ms,
-            id,
-            ..
-        } = *wanted;
-        let plan = Plan {
-            version,
-            by,
-            id,
-            limits,
-            drain_ms,
-            out_ms,
-            cancelled,
-            targets,
-        };
-        plan.validate()?;
-        Ok(plan)
+        Ok((targets, limits))
     }
 
-    /// Whether a plan is under way.
+    /// Whether a plan is active.
     pub fn has_active_plan(&self) -> bool {
-        self.coordinator
-            .maintenance()
-            .is_some_and(maintenance::Maintenance::active)
+        let maintenance = self.coordinator.maintenance();
+        maintenance.is_some_and(Maintenance::active)
     }
 
-    /// Whether this target is out by a plan, so that work on it can be done.
+    /// Whether this target is out of service by a plan, so that work on it can be reported as done.
     pub fn is_out_by_plan(&self, target: &str) -> bool {
-        let name_hash = load_exchange::name_hash(target);
-        let standing = |p: Progress| {
-            p.targets
-                .into_iter()
-                .find(|t| t.name_hash == name_hash)
-                .map(|t| t.standing)
+        let maintenance = self.coordinator.maintenance();
+        let Some(progress) = maintenance.and_then(|m| m.progress(self.now)) else {
+            return false;
         };
-        let upkeep = self
-            .coordinator
-            .maintenance()
-            .and_then(|u| u.progress(self.last_input_at()));
-        matches!(
-            upkeep.and_then(standing),
-            Some(TargetState::Out | TargetState::Empty)
-        )
+        let name_hash = name_hash(target);
+        let target = progress.targets.iter().find(|t| t.name_hash == name_hash);
+        target.is_some_and(|t| matches!(t.state, TargetState::Draining | TargetState::Drained))
     }
 }
--- a/crates/dispatcher/dispatcher-state/tests/upkeep.rs
+++ b/crates/dispatcher/dispatcher-state/tests/maintenance.rs
@@ -155,19 +155,19 @@
             .collect()
     }
 
-    fn standing(&self, me: usize, at: usize) -> maintenance::TargetState {
+    fn target_state(&self, me: usize, at: usize) -> maintenance::TargetState {
         self.states[me]
             .snapshot()
             .maintenance
             .expect("a plan")
             .progress
             .targets[at]
-            .standing
+            .state
     }
 }
 
 #[test]
-fn what_a_plan_has_out_gets_nothing_at_any_dispatcher_and_is_back_once_it_was_restarted() {
+fn a_target_out_by_plan_gets_no_request_at_any_dispatcher_and_returns_after_its_restart() {
     let mut pair = Pair::new();
     pair.plan();
     pair.pass(400 * MS);
@@ -180,7 +180,7 @@
         assert_eq!(pair.states[me].snapshot().ejected, 1, "operators see it");
     }
     pair.pass(400 * MS);
-    assert_eq!(pair.standing(0, 0), maintenance::TargetState::Empty);
+    assert_eq!(pair.target_state(0, 0), maintenance::TargetState::Drained);
     // Restarted: only one of them has heard of it.
     let restarted = vec![listed(0, Some(pair.now))];
     pair.take(
@@ -193,14 +193,14 @@
     );
     pair.pass(1_000 * MS);
     assert_eq!(
-        (pair.standing(0, 0), pair.standing(1, 0)),
+        (pair.target_state(0, 0), pair.target_state(1, 0)),
         (
-            maintenance::TargetState::Back,
-            maintenance::TargetState::Back
+            maintenance::TargetState::Returned,
+            maintenance::TargetState::Returned
         )
     );
     assert!(
-        pair.standing(0, 1) > maintenance::TargetState::In,
+        pair.target_state(0, 1) > maintenance::TargetState::InService,
         "the next one is out"
     );
     pair.take(0, Input::TargetWorkDone("s-1".into()));
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn a_plan_outlives_a_process_and_nothing_is_sent_before_it_is_in_force() {
+fn a_plan_survives_a_process_and_applies_before_the_first_request() {
     let mut pair = Pair::new();
     pair.plan();
     pair.pass(200 * MS);
@@ -244,7 +244,7 @@
 }
 
 #[test]
-fn a_plan_is_refused_by_name_where_it_can_not_be_followed() {
+fn a_plan_request_that_can_not_be_followed_is_refused_with_its_reason() {
     let mut pair = Pair::new();
     assert_eq!(
         pair.wants(&["s-0", "s-9"]),
--- a/crates/dispatcher/dispatcher-state/tests/service.rs
+++ b/crates/dispatcher/dispatcher-state/tests/overrides_and_counters.rs
@@ -151,7 +151,7 @@
 /// Guards against work that reaches a target which operators have left out: by a kept connection, by one that comes
 /// up, by a list that says it is ready, changed or whole, under the same address or another.
 #[test]
-fn a_target_that_is_out_gets_nothing_whatever_the_list_says() {
+fn a_disabled_target_gets_no_request_whatever_the_list_says() {
     let mut b = Bench::new(2);
     for id in 0..6 {
         b.serve(id);
@@ -201,7 +201,7 @@
 /// Guards against a target that starves after its call back, and against one that is pushed over, since it was started
 /// anew while it was out and the list does not know yet.
 #[test]
-fn one_call_back_ends_it_and_the_target_is_filled_as_a_cold_one() {
+fn one_enable_call_ends_the_override_and_the_target_warms_up() {
     let mut b = Bench::new(1);
     b.rule("s-0", true);
     b.after(3_000 * MS);
@@ -238,7 +238,7 @@
     );
     // A call back of what is not out changes nothing.
     let word = b.state.resolve_override("s-0", false, b.now).unwrap();
-    assert_eq!(word.since, word.at);
+    assert_eq!(word.disabled_since, word.set_at);
     assert!(
         b.state.resolve_override("s-9", true, b.now).is_none(),
         "never listed"
@@ -247,8 +247,12 @@
 
 /// Guards against two processes that fall out over who spoke last.
 #[test]
-fn the_latest_word_counts_in_whatever_order_they_come() {
-    let word = |out, at| TargetOverride { out, at, since: at };
+fn the_latest_override_counts_in_whatever_order_they_arrive() {
+    let word = |disabled, set_at| TargetOverride {
+        disabled,
+        set_at,
+        disabled_since: set_at,
+    };
     for words in [
         [word(true, 5), word(false, 9)],
         [word(false, 9), word(true, 5)],
@@ -267,7 +271,7 @@
                 .find(|(name, _)| *name == "s-1")
                 .unwrap()
                 .1
-                .at,
+                .set_at,
             9
         );
         b.list(
@@ -280,7 +284,7 @@
 
 /// Guards against jobs that wait for targets which come back only by another call.
 #[test]
-fn with_all_targets_out_jobs_are_refused_at_once_with_advice() {
+fn with_all_targets_disabled_jobs_are_rejected_at_once_with_retry_after() {
     let mut b = Bench::new(2);
     b.rule("s-0", true);
     b.list(
@@ -303,7 +307,7 @@
 
 /// Guards against jobs that are cut off unanswered where the program ends before their time is up.
 #[test]
-fn what_is_open_when_the_program_ends_is_answered_as_its_class_allows() {
+fn flows_open_at_shutdown_are_answered_as_their_class_allows() {
     let mut b = Bench::new(1);
     let conn = opened(&b.flow(1, 1)).expect("it goes out").0;
     b.take(Input::ConnectionUp(conn));
--- a/crates/dispatcher/dispatcher-state/tests/reducer.rs
+++ b/crates/dispatcher/dispatcher-state/tests/reducer.rs
@@ -135,7 +135,7 @@
 /// Guards against a dropped wake-up: the decisions ask for a time once, and an event that comes when an
 /// earlier one is due must not make both vanish. A flow that is held then misses its deadline.
 #[test]
-fn a_held_flow_is_refused_before_its_deadline_whatever_else_happens() {
+fn a_queued_flow_is_rejected_before_its_deadline_whatever_else_happens() {
     let mut b = Bench::new(safe(), 0);
     let expires = b.now + 5_000 * MS;
     let spec = JobSpec {
@@ -170,7 +170,7 @@
 
 /// Guards against a send to a target that began to drain while the connection was being opened.
 #[test]
-fn a_target_that_drains_while_a_connection_opens_is_sent_nothing() {
+fn a_target_that_starts_draining_while_its_connection_opens_gets_no_request() {
     let mut b = Bench::new(unsafe_class(), 1);
     let conn = b.flow(1);
     b.list(
@@ -191,7 +191,7 @@
 #[rstest]
 #[case::inside(390, true)]
 #[case::outside(420, false)]
-fn what_may_be_repeated_only_for_a_while_is_looked_at_again_once_its_connection_is_up(
+fn the_idempotency_window_is_checked_again_once_the_connection_is_up(
     #[case] up_after: Micros,
     #[case] sent: bool,
 ) {
@@ -221,7 +221,7 @@
 
 /// Guards against a request that goes out after its time, its connection having come up in that very moment.
 #[test]
-fn a_connection_that_comes_up_when_the_time_of_its_flow_is_up_carries_it_no_more() {
+fn a_connection_that_comes_up_after_the_deadline_of_its_flow_carries_nothing() {
     let mut b = Bench::new(safe(), 1);
     let expires = b.now + 100 * MS;
     let spec = JobSpec {
@@ -244,7 +244,7 @@
 #[rstest]
 #[case::overdue(false)]
 #[case::timed_out(true)]
-fn the_next_attempt_waits_until_the_connection_is_closed(#[case] client_leaves: bool) {
+fn the_next_attempt_waits_until_the_cancelled_connection_is_closed(#[case] client_leaves: bool) {
     let mut b = Bench::new(safe(), 2);
     let conn = b.flow(1);
     b.take(Input::ConnectionUp(conn));
@@ -278,9 +278,7 @@
 #[rstest]
 #[case::unsent(true)]
 #[case::in_doubt(false)]
-fn a_broken_connection_proves_that_nothing_ran_only_if_the_request_was_not_sent(
-    #[case] unsent: bool,
-) {
+fn a_reset_proves_that_nothing_ran_only_if_the_request_was_not_sent(#[case] unsent: bool) {
     let mut b = Bench::new(unsafe_class(), 2);
     let conn = b.flow(1);
     b.take(Input::ConnectionUp(conn));
@@ -291,7 +289,7 @@
 
 /// Guards against an answer that crosses its own cancelling: it is the client's if it still waits.
 #[test]
-fn a_last_word_that_crosses_the_closing_is_served_once() {
+fn a_response_that_crosses_the_closing_of_its_connection_is_served_once() {
     let mut b = Bench::new(safe(), 1);
     let conn = b.flow(1);
     b.take(Input::ConnectionUp(conn));
@@ -312,7 +310,7 @@
 
 /// Guards against requests written to a connection that the target is about to close as idle.
 #[test]
-fn a_connection_is_used_again_and_closed_when_it_idles() {
+fn a_connection_is_reused_and_closed_after_its_idle_timeout() {
     let mut b = Bench::new(safe(), 1);
     let conn = b.flow(1);
     b.take(Input::ConnectionUp(conn));
@@ -339,7 +337,7 @@
 /// Guards against requests that are lost on connections which the other side has forgotten long before the time
 /// stated: after one such loss, a connection that has been unused for half as long is not trusted any more.
 #[test]
-fn a_kept_connection_is_trusted_only_as_long_as_kept_ones_have_lasted() {
+fn an_idle_connection_is_trusted_only_as_long_as_reused_ones_have_lasted() {
     let mut b = Bench::new(safe(), 1);
     let (first, _) = b.serve(1);
     b.now += 200 * MS;
@@ -375,7 +373,7 @@
 
 /// Guards against the loss of what can't be repeated on a connection that may be gone.
 #[test]
-fn what_must_not_run_twice_goes_out_on_a_connection_that_is_certainly_there() {
+fn non_idempotent_requests_use_recently_used_connections_only() {
     let mut b = Bench::new(unsafe_class(), 1);
     let (first, _) = b.serve(1);
     b.now += 4 * MS;
@@ -386,7 +384,7 @@
 
 /// Guards against more connections than the limit on descriptors allows.
 #[test]
-fn connections_stay_within_their_limit_and_a_connect_that_hangs_is_given_up() {
+fn connections_stay_within_their_limit_and_a_hanging_connect_times_out() {
     let mut b = Bench::new(safe(), 20);
     let mut open = std::collections::BTreeSet::new();
     for id in 0..40 {
@@ -417,7 +415,7 @@
 #[case(0, vec![0; 5])]
 #[case(9, vec![0; 5])]
 #[case(u32::MAX, vec![1, 2, 3])]
-fn a_message_that_makes_no_sense_changes_nothing(#[case] from: u32, #[case] message: Vec<u8>) {
+fn a_malformed_peer_datagram_changes_nothing(#[case] from: u32, #[case] message: Vec<u8>) {
     let mut b = Bench::new(safe(), 1);
     assert!(b.take(Input::PeerDatagram { from, message }).is_empty());
     b.flow(1);
--- a/crates/dispatcher/event-loop/src/log_limiter.rs
+++ b/crates/dispatcher/event-loop/src/log_limiter.rs
@@ -30,7 +30,7 @@
     use super::{LogRateLimiter, EVERY};
 
     #[test]
-    fn a_storm_of_failures_is_one_line_in_ten_seconds_and_none_goes_uncounted() {
+    fn a_burst_of_failures_is_one_line_in_ten_seconds_and_all_are_counted() {
         let mut log_limiter = LogRateLimiter::default();
         let said: Vec<u64> = (0..1_000)
             .filter_map(|n| log_limiter.record(n * EVERY / 100))
--- a/crates/dispatcher/fordrelay/src/peers.rs
+++ b/crates/dispatcher/fordrelay/src/peers.rs
@@ -115,14 +115,14 @@
                 Ok((len, from)) => {
                     let number = self.addrs.numbers.iter().position(|addr| *addr == from);
                     let odd = match number {
-                        None => Some(Anomaly::Stranger),
+                        None => Some(Anomaly::UnknownSender),
                         Some(_) if len > MESSAGE_BYTES => Some(Anomaly::LongDatagram),
                         // What members tell each other is the reducer's to read, and to count.
                         Some(_)
                             if len % ENTRY_BYTES != 0
                                 && Message::decode(&buffer[..len]).is_err() =>
                         {
-                            Some(Anomaly::CutDatagram)
+                            Some(Anomaly::MalformedDatagram)
                         }
                         Some(_) => None,
                     };
--- a/crates/dispatcher/fordrelay/src/succession.rs
+++ b/crates/dispatcher/fordrelay/src/succession.rs
@@ -81,9 +81,9 @@
         (
             name,
             TargetOverride {
-                out: w.out,
-                at: w.at,
-                since: w.since,
+                disabled: w.out,
+                set_at: w.at,
+                disabled_since: w.since,
             },
         )
     };
@@ -253,9 +253,9 @@
             (
                 name.to_owned(),
                 SavedOverride {
-                    out: r.out,
-                    at: r.at,
-                    since: r.since,
+                    out: r.disabled,
+                    at: r.set_at,
+                    since: r.disabled_since,
                 },
             )
         });
--- a/crates/dispatcher/fordrelay/tests/operators.rs
+++ b/crates/dispatcher/fordrelay/tests/operators.rs
@@ -167,7 +167,7 @@
     );
     let forced = ask(&addr, "POST", "/levels/force?level=trim&for_ms=60000");
     assert!(forced.contains("\"level\":\"trim\",\"rank\":1"), "{forced}");
-    let line = program.wait_for("the level of service changed");
+    let line = program.wait_for("service level changed");
     assert!(
         line.contains("\"from\":\"full\",\"to\":\"trim\",\"cause\":\"forced\""),
         "{line}"
--- a/crates/dispatcher/hot-restart/tests/bytes.rs
+++ b/crates/dispatcher/hot-restart/tests/bytes.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_note_is_a_line_and_its_json_byte_for_byte() {
+fn a_file_is_a_header_line_and_its_json_byte_for_byte() {
     let file = format!("fordrelay-note 1 {} 1fcb5e92\n{BODY}", BODY.len());
     assert_eq!(String::from_utf8(note().encode().unwrap()).unwrap(), file);
     assert_eq!(Plain::decode(file.as_bytes()), Ok(note()));
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn why_a_file_is_no_note_is_said_in_these_words() {
+fn decode_errors_keep_their_texts() {
     let said = |file: &str| Plain::decode(file.as_bytes()).unwrap_err().to_string();
     assert_eq!(said("what?"), "is no note of fordrelay");
     assert_eq!(
--- a/crates/dispatcher/hot-restart/tests/handover.rs
+++ b/crates/dispatcher/hot-restart/tests/file_and_role.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_foreign_or_newer_file_is_named_and_an_older_one_read() {
+fn a_foreign_or_newer_file_is_refused_and_an_older_one_read() {
     let file = note(vec![]).encode().unwrap();
     let text = String::from_utf8(file).unwrap();
     let decode = |text: String| Plain::decode(text.as_bytes());
@@ -78,7 +78,7 @@
 
 proptest! {
     #[test]
-    fn a_file_comes_back_whole_or_not_at_all(
+    fn a_damaged_file_is_refused_completely(
         words in prop::collection::vec((".{0,12}", any::<bool>(), any::<u64>()), 0..6),
         at in any::<prop::sample::Index>(),
         flip in 1u8..,
@@ -95,7 +95,7 @@
     }
 
     #[test]
-    fn somebody_always_accepts_and_nobody_who_leaves_is_ready(
+    fn some_process_always_accepts_and_no_draining_one_is_ready(
         others in 0usize..3,
         events in prop::collection::vec(event(), 0..12),
     ) {
--- a/crates/dispatcher/maintenance/src/member.rs
+++ b/crates/dispatcher/maintenance/src/member.rs
@@ -17,23 +17,38 @@
 
 /// How a target stands with one member. It only ever goes on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-#[serde(rename_all = "lowercase")]
 pub enum TargetState {
     /// It has not gone out.
-    In,
+    #[serde(rename = "in")]
+    InService,
     /// Nothing new goes there.
-    Out,
+    #[serde(rename = "out")]
+    Draining,
     /// ... and nothing is in flight there.
-    Empty,
+    #[serde(rename = "empty")]
+    Drained,
     /// It serves again.
-    Back,
+    #[serde(rename = "back")]
+    Returned,
+}
+
+impl TargetState {
+    /// Its name in JSON and logs.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            TargetState::InService => "in",
+            TargetState::Draining => "out",
+            TargetState::Drained => "empty",
+            TargetState::Returned => "back",
+        }
+    }
 }
 
 const STANDINGS: [TargetState; 4] = [
-    TargetState::In,
-    TargetState::Out,
-    TargetState::Empty,
-    TargetState::Back,
+    TargetState::InService,
+    TargetState::Draining,
+    TargetState::Drained,
+    TargetState::Returned,
 ];
 
 /// What it asks for.
@@ -58,7 +73,7 @@
         /// The target.
         name_hash: u32,
         /// How.
-        standing: TargetState,
+        state: TargetState,
         /// Its time was up, to drain or to be out.
         forced: bool,
     },
@@ -81,7 +96,8 @@
     #[serde(rename = "mark")]
     pub name_hash: u32,
     /// How it stands here.
-    pub standing: TargetState,
+    #[serde(rename = "standing")]
+    pub state: TargetState,
     /// Since when it has been out here, Unix time in microseconds; none if it is not.
     pub since: Option<Micros>,
     /// Members alive that have not said that it is empty.
@@ -142,9 +158,9 @@
     STANDINGS[(words >> (2 * at) & 3) as usize]
 }
 
-fn say(words: Words, at: usize, standing: TargetState) -> Words {
+fn say(words: Words, at: usize, state: TargetState) -> Words {
     let lane = 2 * at;
-    words & !(3 << lane) | (standing as u64) << lane
+    words & !(3 << lane) | (state as u64) << lane
 }
 
 /// The later standing of each target.
@@ -217,7 +233,7 @@
         let Some(at) = self.out_at(name_hash) else {
             return false;
         };
-        self.stands(at, TargetState::Back, false);
+        self.stands(at, TargetState::Returned, false);
         self.tell_at = now;
         true
     }
@@ -230,7 +246,7 @@
             .iter()
             .position(|t| t.name_hash == name_hash)?;
         let own = self.own(at);
-        (own > TargetState::In && own < TargetState::Back).then_some(at)
+        (own > TargetState::InService && own < TargetState::Returned).then_some(at)
     }
 
     /// What it asks for since the last call, besides what [`Maintenance::tick`] and [`Maintenance::handle_message`] return.
@@ -311,10 +327,10 @@
     fn word(&self, member: u16, at: usize) -> TargetState {
         self.words
             .get(&member)
-            .map_or(TargetState::In, |words| said(*words, at))
+            .map_or(TargetState::InService, |words| said(*words, at))
     }
 
-    fn stands(&mut self, at: usize, standing: TargetState, forced: bool) {
+    fn stands(&mut self, at: usize, state: TargetState, forced: bool) {
         let Some(name_hash) = self
             .plan
             .as_ref()
@@ -324,13 +340,13 @@
             return;
         };
         let words = self.words.entry(self.me).or_default();
-        *words = say(*words, at, standing);
+        *words = say(*words, at, state);
         self.effects.push(Effect::TargetStateChanged {
             name_hash,
-            standing,
+            state,
             forced,
         });
-        let out = standing < TargetState::Back;
+        let out = state < TargetState::Returned;
         let changes = if out {
             self.out_of_service.insert(name_hash)
         } else {
@@ -349,13 +365,13 @@
         };
         for at in 0..self.gone {
             let back =
-                cancelled || (0..self.members).any(|m| self.word(m, at) == TargetState::Back);
+                cancelled || (0..self.members).any(|m| self.word(m, at) == TargetState::Returned);
             match self.own(at) {
-                TargetState::Back if self.is_out_of_service(at) => {
-                    self.stands(at, TargetState::Back, false)
+                TargetState::Returned if self.is_out_of_service(at) => {
+                    self.stands(at, TargetState::Returned, false)
                 }
-                TargetState::Back => {}
-                _ if back => self.stands(at, TargetState::Back, false),
+                TargetState::Returned => {}
+                _ if back => self.stands(at, TargetState::Returned, false),
                 // Also what others say that a process before this one had out.
                 own if !self.is_out_of_service(at) => {
                     let since = *self.since[at].get_or_insert(now);
@@ -364,9 +380,9 @@
                     self.stands(
                         at,
                         if up {
-                            TargetState::Back
+                            TargetState::Returned
                         } else {
-                            own.max(TargetState::Out)
+                            own.max(TargetState::Draining)
                         },
                         up,
                     );
@@ -401,16 +417,16 @@
             ) else {
                 continue;
             };
-            if own == TargetState::Back {
+            if own == TargetState::Returned {
                 continue;
             }
             let up = now >= since + out;
             if up || (look.restarted)(name_hash, since) {
-                self.stands(at, TargetState::Back, up);
-            } else if own == TargetState::Out && now >= since + QUIET {
+                self.stands(at, TargetState::Returned, up);
+            } else if own == TargetState::Draining && now >= since + QUIET {
                 let empty = !(look.in_flight)(name_hash);
                 if empty || now >= since + drain {
-                    self.stands(at, TargetState::Empty, !empty);
+                    self.stands(at, TargetState::Drained, !empty);
                 }
             }
         }
@@ -427,7 +443,7 @@
             .dead
             .get(&member)
             .is_some_and(|since| now >= since + out);
-        forgotten || self.word(member, at) == TargetState::Back
+        forgotten || self.word(member, at) == TargetState::Returned
     }
 
     /// A majority of all members, not of those that are left: of two halves one at most goes on.
@@ -446,7 +462,7 @@
 
     fn over(&self) -> bool {
         let Some(plan) = &self.plan else { return true };
-        let all = (0..plan.targets.len()).all(|at| self.own(at) == TargetState::Back);
+        let all = (0..plan.targets.len()).all(|at| self.own(at) == TargetState::Returned);
         plan.cancelled || self.gone == plan.targets.len() && all
     }
 
@@ -502,10 +518,10 @@
             let went = at < self.gone;
             TargetProgress {
                 name_hash: target.name_hash,
-                standing: self.own(at),
-                since: self.since[at].filter(|_| self.own(at) < TargetState::Back),
+                state: self.own(at),
+                since: self.since[at].filter(|_| self.own(at) < TargetState::Returned),
                 not_empty: alive
-                    .filter(|m| went && self.word(*m, at) < TargetState::Empty)
+                    .filter(|m| went && self.word(*m, at) < TargetState::Drained)
                     .collect(),
                 not_back: (0..self.members)
                     .filter(|m| went && !self.holds_no_more(now, *m, at))
--- a/crates/dispatcher/maintenance/tests/settle.rs
+++ b/crates/dispatcher/maintenance/tests/agreement.rs
@@ -227,7 +227,7 @@
 }
 
 #[test]
-fn a_plan_of_twelve_runs_to_its_end_with_a_fifth_of_datagrams_lost() {
+fn a_plan_of_twelve_completes_with_a_fifth_of_datagrams_lost() {
     let mut world = World::new(16, 20, 1);
     let now = world.now;
     world.members[3]
@@ -251,13 +251,13 @@
         progress
             .targets
             .iter()
-            .all(|t| t.standing == TargetState::Back),
+            .all(|t| t.state == TargetState::Returned),
         "{progress:?}"
     );
 }
 
 #[test]
-fn of_two_plans_at_once_one_wins_everywhere_and_what_the_other_had_out_is_back() {
+fn of_two_concurrent_plans_one_wins_everywhere_and_the_other_is_rolled_back() {
     let mut world = World::new(7, 20, 2);
     let now = world.now;
     world.members[5]
@@ -291,7 +291,7 @@
 }
 
 #[test]
-fn a_half_without_a_majority_sends_nothing_out_and_keeps_what_is() {
+fn a_minority_takes_no_target_out_and_keeps_those_that_are() {
     let mut world = World::new(7, 0, 3);
     let now = world.now;
     world.members[0]
@@ -335,7 +335,7 @@
 /// Found by the search below: a process that came back with its note had targets out again which the others had long
 /// counted as back.
 #[test]
-fn a_ban_in_a_note_that_has_run_out_is_none() {
+fn an_expired_removal_in_a_saved_state_is_ignored() {
     let mut world = World::new(7, 20, 4);
     let now = world.now;
     world.members[0]
@@ -357,7 +357,7 @@
 
 /// Guards against a note that goes by the name of the plan under way and is longer, or was written by a clock ahead.
 #[test]
-fn a_note_that_does_not_fit_the_plan_under_way_does_no_harm() {
+fn a_saved_state_that_does_not_fit_the_active_plan_does_no_harm() {
     let mut member = Maintenance::new(0, 3);
     member.submit(5, plan(2, 1), 1).unwrap();
     let mut kept = member.saved_state().unwrap();
@@ -433,7 +433,7 @@
 
     /// Whatever dies, restarts and parts, in whatever order.
     #[test]
-    fn no_limit_is_exceeded_and_the_plan_ends(
+    fn no_limit_is_exceeded_and_the_plan_completes(
         story in prop::collection::vec(happens(false), 0..14),
         draw: u64,
         loss in 0u64..40,
@@ -445,7 +445,7 @@
 
     /// A process that lost its note may have out for a moment what others count as back: then the plan still ends.
     #[test]
-    fn lost_notes_do_not_hold_a_plan_up(
+    fn lost_saved_states_do_not_block_a_plan(
         story in prop::collection::vec(happens(true), 0..14),
         draw: u64,
         loss in 0u64..40,
@@ -456,7 +456,7 @@
     }
 
     #[test]
-    fn any_bytes_are_read_or_refused_and_what_is_written_is_read_back(bytes in prop::collection::vec(any::<u8>(), 0..270)) {
+    fn any_bytes_are_decoded_or_refused_and_messages_decode_to_themselves(bytes in prop::collection::vec(any::<u8>(), 0..270)) {
         if let Ok(message) = Message::decode(&bytes) {
             prop_assert_eq!(Message::decode(&message.encode()), Ok(message));
         }
@@ -469,7 +469,7 @@
 }
 
 #[test]
-fn a_plan_that_nobody_could_follow_is_refused_by_name() {
+fn an_invalid_plan_is_refused_with_its_field() {
     let refused = |change: &dyn Fn(&mut Plan)| {
         let mut plan = plan(3, 1);
         change(&mut plan);
--- a/crates/dispatcher/membership/src/incarnation.rs
+++ b/crates/dispatcher/membership/src/incarnation.rs
@@ -32,7 +32,7 @@
     use super::*;
 
     #[test]
-    fn incarnations_go_round_and_none_is_older_than_one_nobody_has_heard_of() {
+    fn incarnations_wrap_around_and_zero_is_older_than_all() {
         let last = INCARNATIONS - 1;
         assert!(is_newer(2, 1) && !is_newer(1, 2) && !is_newer(1, 1));
         assert!(is_newer(1, last) && !is_newer(last, 1), "round");
--- a/crates/dispatcher/membership/src/lib.rs
+++ b/crates/dispatcher/membership/src/lib.rs
@@ -6,7 +6,7 @@
 mod swim;
 mod wire;
 
-pub use swim::{Config, Effect, Swim, MAX_MEMBERS};
+pub use swim::{Config, Connectivity, Effect, Swim, MAX_MEMBERS};
 pub use wire::{
     MemberState, MemberUpdate, Message, MessageKind, WireError, MAX_DATAGRAM_BYTES, MAX_UPDATES,
 };
--- a/crates/dispatcher/membership/src/swim.rs
+++ b/crates/dispatcher/membership/src/swim.rs
@@ -69,7 +69,7 @@
         /// The member's number.
         member: u16,
         /// It does again.
-        heard: bool,
+        reachable: bool,
     },
 }
 
@@ -102,10 +102,19 @@
     target: u16,
 }
 
+/// Whether datagrams pass between this member and another one.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct Connectivity {
+    /// A datagram of the other one was received directly lately.
+    pub received_lately: bool,
+    /// Datagrams of this one reach the other, as far as it says.
+    pub reachable: bool,
+}
+
 /// One member, and what it believes of all.
 #[derive(Debug)]
 pub struct Swim {
-    terms: Config,
+    config: Config,
     incarnation: u32,
     members: Vec<Member>,
     /// How often each change was told; those told often enough are left out.
@@ -142,12 +151,12 @@
 
 impl Swim {
     /// A member that starts now. All others count as alive until they do not answer.
-    pub fn new(terms: Config, now: Micros) -> Self {
-        let members = terms.members.clamp(1, MAX_MEMBERS);
-        let terms = Config {
+    pub fn new(config: Config, now: Micros) -> Self {
+        let members = config.members.clamp(1, MAX_MEMBERS);
+        let config = Config {
             members,
-            period: terms.period.max(3),
-            ..terms
+            period: config.period.max(3),
+            ..config
         };
         let unknown = Member {
             state: MemberState::Alive,
@@ -156,11 +165,11 @@
         };
         let (news, round, relays, effects) = Default::default();
         let mut swim = Swim {
-            incarnation: terms.incarnation,
+            incarnation: config.incarnation,
             members: vec![unknown; usize::from(members)],
             news,
             probe: None,
-            next_probe: now + mix(terms.seed, u64::from(terms.me)) % terms.period,
+            next_probe: now + mix(config.seed, u64::from(config.me)) % config.period,
             probes: 0,
             round,
             rounds: 0,
@@ -173,9 +182,9 @@
             left: false,
             stable_since: now,
             effects,
-            terms,
+            config,
         };
-        swim.news.insert(terms.me, 0);
+        swim.news.insert(config.me, 0);
         swim
     }
 
@@ -186,7 +195,7 @@
 
     /// What is believed of a member; none of a number that nobody has.
     pub fn state(&self, member: u16) -> Option<MemberState> {
-        if member == self.terms.me {
+        if member == self.config.me {
             return Some(MemberState::Alive);
         }
         self.members.get(usize::from(member)).map(|m| m.state)
@@ -194,12 +203,12 @@
 
     /// Those that are there as far as is known, itself included.
     pub fn alive(&self) -> impl Iterator<Item = u16> + '_ {
-        (0..self.terms.members).filter(|m| self.state(*m).is_some_and(MemberState::is_present))
+        (0..self.config.members).filter(|m| self.state(*m).is_some_and(MemberState::is_present))
     }
 
     /// What is believed of each, by number.
     pub fn members(&self) -> Vec<MemberUpdate> {
-        (0..self.terms.members).map(|m| self.known(m)).collect()
+        (0..self.config.members).map(|m| self.known(m)).collect()
     }
 
     /// When [`Swim::tick`] is wanted next.
@@ -223,11 +232,11 @@
 
     /// How long a suspect has to say otherwise.
     pub fn suspicion(&self) -> Micros {
-        (SUSPICION * self.log() * self.terms.period as f64) as Micros
+        (SUSPICION * self.log() * self.config.period as f64) as Micros
     }
 
     fn log(&self) -> f64 {
-        f64::from(self.terms.members).log10().max(1.0)
+        f64::from(self.config.members).log10().max(1.0)
     }
 
     /// The time of [`Swim::wake_at`] has come, or another.
@@ -235,11 +244,11 @@
         if self.left {
             return vec![];
         }
-        for (member, heard) in self.reachability.changes(self.suspicion() / 2) {
+        for (member, reachable) in self.reachability.changes(self.suspicion() / 2) {
             self.effects
-                .push(Effect::ReachabilityChanged { member, heard });
+                .push(Effect::ReachabilityChanged { member, reachable });
         }
-        for member in 0..self.terms.members {
+        for member in 0..self.config.members {
             let m = self.members[usize::from(member)];
             if m.state == MemberState::Suspect && m.until <= now {
                 self.believe(
@@ -274,7 +283,7 @@
             about,
             ..
         } = *message;
-        if from == self.terms.me || from >= self.terms.members {
+        if from == self.config.me || from >= self.config.members {
             return vec![];
         }
         self.heard = true;
@@ -299,7 +308,8 @@
             self.is_heard(now, from);
         }
         let accused = |c: &MemberUpdate| {
-            c.member == self.terms.me && matches!(c.state, MemberState::Suspect | MemberState::Dead)
+            c.member == self.config.me
+                && matches!(c.state, MemberState::Suspect | MemberState::Dead)
         };
         self.reachability
             .accused(from, message.changes.iter().any(accused), now);
@@ -309,7 +319,7 @@
         match message.kind {
             MessageKind::Ping => self.send(from, MessageKind::Ack, sequence, 0),
             MessageKind::Ack => self.answered(now, from, sequence),
-            MessageKind::PingReq if about < self.terms.members && about != self.terms.me => {
+            MessageKind::PingReq if about < self.config.members && about != self.config.me => {
                 let own = self.next_sequence();
                 if self.relays.len() >= RELAYS {
                     self.relays.pop_first();
@@ -325,7 +335,7 @@
                 self.send(about, MessageKind::Ping, own, 0);
             }
             // Who is asked for this member itself can answer at once.
-            MessageKind::PingReq if about == self.terms.me => {
+            MessageKind::PingReq if about == self.config.me => {
                 self.send(from, MessageKind::Ack, sequence, about)
             }
             MessageKind::PingReq => {}
@@ -373,9 +383,9 @@
         let salt = u64::from(probe.sequence) << 16;
         let others = self
             .alive()
-            .filter(|m| *m != self.terms.me && *m != probe.target);
+            .filter(|m| *m != self.config.me && *m != probe.target);
         let mut others: Vec<u16> = others.collect();
-        others.sort_by_key(|m| mix(self.terms.seed, salt | u64::from(*m)));
+        others.sort_by_key(|m| mix(self.config.seed, salt | u64::from(*m)));
         for other in others.into_iter().take(INDIRECT) {
             self.send(other, MessageKind::PingReq, probe.sequence, probe.target);
         }
@@ -385,7 +395,7 @@
     }
 
     fn ping_next(&mut self, now: Micros) {
-        let span = self.terms.period * (1 + self.health);
+        let span = self.config.period * (1 + self.health);
         self.next_probe = now + span;
         let Some(target) = self.next_target() else {
             return;
@@ -406,18 +416,18 @@
         self.probes += 1;
         if self.probes % TO_SUSPECTS == 1 {
             let suspects =
-                (0..self.terms.members).filter(|m| self.state(*m) == Some(MemberState::Suspect));
+                (0..self.config.members).filter(|m| self.state(*m) == Some(MemberState::Suspect));
             if let Some(one) =
-                suspects.min_by_key(|m| mix(self.terms.seed, self.probes << 16 | u64::from(*m)))
+                suspects.min_by_key(|m| mix(self.config.seed, self.probes << 16 | u64::from(*m)))
             {
                 return Some(one);
             }
         }
         if self.probes.is_multiple_of(TO_THE_DEAD) {
             let dead =
-                (0..self.terms.members).filter(|m| self.state(*m) == Some(MemberState::Dead));
+                (0..self.config.members).filter(|m| self.state(*m) == Some(MemberState::Dead));
             if let Some(one) =
-                dead.min_by_key(|m| mix(self.terms.seed, self.probes << 16 | u64::from(*m)))
+                dead.min_by_key(|m| mix(self.config.seed, self.probes << 16 | u64::from(*m)))
             {
                 return Some(one);
             }
@@ -430,9 +440,9 @@
             }
             self.rounds += 1;
             let salt = self.rounds << 16;
-            self.round = self.alive().filter(|m| *m != self.terms.me).collect();
+            self.round = self.alive().filter(|m| *m != self.config.me).collect();
             self.round
-                .sort_by_key(|m| mix(self.terms.seed, salt | u64::from(*m)));
+                .sort_by_key(|m| mix(self.config.seed, salt | u64::from(*m)));
         }
         None
     }
@@ -449,7 +459,7 @@
             incarnation,
             state,
         } = change;
-        if member == self.terms.me {
+        if member == self.config.me {
             let accused = state != MemberState::Alive && !is_newer(self.incarnation, incarnation);
             if !self.left && (accused || is_newer(incarnation, self.incarnation)) {
                 // It is there, whatever they say, and it is later than a process before it.
@@ -459,7 +469,7 @@
             }
             return;
         }
-        if member >= self.terms.members {
+        if member >= self.config.members {
             return;
         }
         // What this member hears itself is there, whatever others hear: a way that is closed one way is not a death.
@@ -491,7 +501,7 @@
     }
 
     fn known(&self, member: u16) -> MemberUpdate {
-        if member == self.terms.me {
+        if member == self.config.me {
             let state = if self.left {
                 MemberState::Left
             } else {
@@ -523,7 +533,7 @@
         least.sort_unstable();
         // Whoever hears nobody at all tells of itself only: the others are hardly all gone.
         let deaf = self.reachability.deaf();
-        let told = |m: &u16| *m != to && (!deaf || *m == self.terms.me);
+        let told = |m: &u16| *m != to && (!deaf || *m == self.config.me);
         for (_, member) in least
             .into_iter()
             .filter(|(_, m)| told(m))
@@ -537,18 +547,18 @@
             }
         }
         // News may have passed somebody by: who is dead or has left is told again, one by one.
-        let after = |m: &u16| (m + self.terms.members - self.reminder) % self.terms.members;
+        let after = |m: &u16| (m + self.config.members - self.reminder) % self.config.members;
         let gone = |m: &u16| !deaf && *m != to && !self.members[usize::from(*m)].state.is_present();
-        let dead = (0..self.terms.members).filter(|m| *m != self.terms.me && gone(m));
+        let dead = (0..self.config.members).filter(|m| *m != self.config.me && gone(m));
         if let Some(one) = dead
             .min_by_key(after)
             .filter(|m| changes.iter().all(|c| c.member != *m))
         {
             changes.push(self.known(one));
-            self.reminder = (one + 1) % self.terms.members;
+            self.reminder = (one + 1) % self.config.members;
         }
         changes.truncate(MAX_UPDATES);
-        let (from, incarnation) = (self.terms.me, self.incarnation);
+        let (from, incarnation) = (self.config.me, self.incarnation);
         self.effects.push(Effect::Send {
             to,
             message: Message {
--- a/crates/dispatcher/membership/src/swim/evidence.rs
+++ b/crates/dispatcher/membership/src/swim/evidence.rs
@@ -1,5 +1,6 @@
 //! What a member knows from what it hears itself, and what it says when it goes.
 
+use super::Connectivity;
 use super::{
     mix, Effect, MemberState, MemberUpdate, Message, MessageKind, Micros, Swim, FAREWELLS,
 };
@@ -30,15 +31,15 @@
         self.stable_since
     }
 
-    /// Whether that member was heard lately, and whether it hears this one.
-    pub fn heard(&self, member: u16, now: Micros) -> (bool, bool) {
+    /// The connectivity to a member in both directions.
+    pub fn connectivity(&self, member: u16, now: Micros) -> Connectivity {
         // Two datagrams of a member in a period go to one other each.
-        let lately = self.terms.period * u64::from(self.terms.members).max(4) * 2;
-        let me = member == self.terms.me;
-        (
-            me || self.reachability.heard(member, now, lately),
-            me || self.reachability.by(member, self.suspicion() / 2),
-        )
+        let lately = self.config.period * u64::from(self.config.members).max(4) * 2;
+        let own = member == self.config.me;
+        Connectivity {
+            received_lately: own || self.reachability.heard(member, now, lately),
+            reachable: own || self.reachability.by(member, self.suspicion() / 2),
+        }
     }
 
     /// Says that it goes: no suspicion follows. Those that hear it tell the others.
@@ -47,12 +48,12 @@
             return vec![];
         }
         (self.probe, self.next_probe) = (None, Micros::MAX);
-        let most = (FAREWELLS * f64::from(self.terms.members).log2()).ceil() as usize;
-        let mut others: Vec<u16> = self.alive().filter(|m| *m != self.terms.me).collect();
-        others.sort_by_key(|m| mix(self.terms.seed, now << 16 | u64::from(*m)));
-        self.news.insert(self.terms.me, 0);
+        let most = (FAREWELLS * f64::from(self.config.members).log2()).ceil() as usize;
+        let mut others: Vec<u16> = self.alive().filter(|m| *m != self.config.me).collect();
+        others.sort_by_key(|m| mix(self.config.seed, now << 16 | u64::from(*m)));
+        self.news.insert(self.config.me, 0);
         for other in others.into_iter().take(most) {
-            self.news.insert(self.terms.me, 0);
+            self.news.insert(self.config.me, 0);
             self.send(other, MessageKind::Ack, 0, 0);
         }
         std::mem::take(&mut self.effects)
@@ -88,9 +89,9 @@
     pub(super) fn accuse(&mut self, now: Micros, change: MemberUpdate) {
         if self
             .reachability
-            .may_tell(change.member, now, self.terms.period)
+            .may_tell(change.member, now, self.config.period)
         {
-            let (kind, from, incarnation) = (MessageKind::Ack, self.terms.me, self.incarnation);
+            let (kind, from, incarnation) = (MessageKind::Ack, self.config.me, self.incarnation);
             let message = Message {
                 kind,
                 from,
--- a/crates/dispatcher/membership/tests/swim.rs
+++ b/crates/dispatcher/membership/tests/swim.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn whoever_is_accused_says_otherwise_and_whoever_restarts_counts_as_later() {
+fn a_suspected_member_refutes_and_a_restarted_one_has_a_later_incarnation() {
     let mut me = swim(4);
     me.handle_message(1, &said(1, 1, vec![change(0, 4, MemberState::Suspect)]));
     assert_eq!(me.incarnation(), 5, "one above the accused one");
@@ -73,7 +73,7 @@
 
 /// A member whose datagrams come is there, whatever a third says; it is told, and once it has said otherwise all know.
 #[test]
-fn who_is_heard_is_not_taken_for_dead_on_the_word_of_another() {
+fn a_member_heard_directly_is_not_declared_dead_on_hearsay() {
     let mut me = swim(4);
     me.handle_message(1, &said(1, 3, vec![]));
     let effects = me.handle_message(2, &said(2, 1, vec![change(1, 3, MemberState::Suspect)]));
@@ -91,7 +91,7 @@
 
 /// One that leaves is waited for by whoever must know that its jobs have ended, and is suspected by nobody.
 #[test]
-fn who_leaves_is_gone_at_once_and_away_once_its_process_has_had_its_time() {
+fn a_member_that_leaves_is_gone_once_its_process_has_had_time_to_drain() {
     let mut me = swim(4);
     me.handle_message(1, &said(1, 3, vec![change(1, 3, MemberState::Left)]));
     assert_eq!(
@@ -149,7 +149,7 @@
     /// Whatever comes in whatever order: every datagram fits, goes to another member, and the own incarnation never falls
     /// behind what others say; time goes on, so that a caller never spins.
     #[test]
-    fn any_order_of_datagrams_and_times_keeps_its_bounds(steps in prop::collection::vec(step(), 0..80)) {
+    fn any_order_of_datagrams_and_ticks_keeps_the_bounds(steps in prop::collection::vec(step(), 0..80)) {
         let (mut me, mut now) = (swim(1), 0);
         for step in steps {
             let effects = match step {
--- a/crates/dispatcher/membership/tests/wire.rs
+++ b/crates/dispatcher/membership/tests/wire.rs
@@ -47,14 +47,14 @@
 
 proptest! {
     #[test]
-    fn what_is_written_is_read_back_within_a_datagram(message in message()) {
+    fn an_encoded_message_fits_a_datagram_and_decodes_to_itself(message in message()) {
         let bytes = message.encode().unwrap();
         prop_assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
         prop_assert_eq!(Message::decode(&bytes).unwrap(), message);
     }
 
     #[test]
-    fn any_bytes_are_read_or_refused(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
+    fn any_bytes_are_decoded_or_refused(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
         if let Ok(message) = Message::decode(&bytes) {
             prop_assert_eq!(message.encode().unwrap(), bytes);
         }
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn faults_are_named() {
+fn decode_errors_name_the_field() {
     let ping = Message {
         kind: MessageKind::Ping,
         from: 1,
--- a/crates/testbed/testbed/src/members.rs
+++ b/crates/testbed/testbed/src/members.rs
@@ -345,8 +345,8 @@
                     changed = true;
                     self.changed(me, member, state);
                 }
-                Effect::ReachabilityChanged { heard, .. } => {
-                    if !heard {
+                Effect::ReachabilityChanged { reachable, .. } => {
+                    if !reachable {
                         self.unheard.insert(me);
                     }
                 }
--- a/crates/testbed/testbed/src/records.rs
+++ b/crates/testbed/testbed/src/records.rs
@@ -55,7 +55,7 @@
             let Ok(line) = serde_json::from_str::<Line>(line) else {
                 continue;
             };
-            if line.message != "maintenance" {
+            if line.message != "maintenance target state changed" {
                 continue;
             }
             let Ok(time) = humantime::parse_rfc3339_weak(&line.timestamp) else {
@@ -65,7 +65,7 @@
                 .duration_since(UNIX_EPOCH)
                 .map_or(0, |d| d.as_micros() as Micros);
             self.forced += u64::from(line.forced);
-            if line.standing != "Back" {
+            if line.standing != "back" {
                 out.entry(line.target).or_insert(at);
             } else if let Some(from) = out.remove(&line.target) {
                 self.bans.push(Ban {
--- a/crates/testbed/testbed/src/rig/mod.rs
+++ b/crates/testbed/testbed/src/rig/mod.rs
@@ -608,7 +608,7 @@
             };
             for target in &plan.targets {
                 let number = target.target.trim_start_matches("s-").parse::<usize>();
-                let empty = target.standing == TargetState::Empty && target.not_empty.is_empty();
+                let empty = target.standing == TargetState::Drained && target.not_empty.is_empty();
                 let Some(number) = number.ok().filter(|n| empty && !done.contains(n)) else {
                     continue;
                 };
--- a/crates/testbed/testbed/src/witness.rs
+++ b/crates/testbed/testbed/src/witness.rs
@@ -94,13 +94,13 @@
                 .duration_since(UNIX_EPOCH)
                 .map_or(0, |d| d.as_micros() as Micros);
             match message.as_str() {
-                "a dispatcher" => self.words.push(Word {
+                "member state changed" => self.words.push(Word {
                     at,
                     by,
                     member,
                     state,
                 }),
-                "whether a dispatcher hears this one" if !heard => drop(self.unheard.insert(by)),
+                "member reachability changed" if !heard => drop(self.unheard.insert(by)),
                 _ => {}
             }
         }
