--- a/crates/batch/batch-store/examples/recovery.rs
+++ b/crates/batch/batch-store/examples/recovery.rs
@@ -19,10 +19,10 @@
 use std::path::Path;
 use std::time::Instant;
 
-use batch::command::{Command, Take};
+use batch::command::{AcceptedJob, Command};
 use batch::wire::{Item, Message as _};
 use batch::BatchJobTable;
-use batch_store::journal::ReadBack;
+use batch_store::journal::Recovery;
 use bytes::Bytes;
 use chain_replication::{LogRecord, Member, RecoveredLog, Replica, StateMachine};
 use write_ahead_log::{open, open_each, LogError, Options, Record, WriteAheadLog};
@@ -83,7 +83,7 @@
 
 /// A job that is kept.
 fn job(name: String, bytes: usize) -> Bytes {
-    Command::Accept(Take {
+    Command::Accept(AcceptedJob {
         clock: 1,
         batch_job: name.as_str().into(),
         host: "h".into(),
@@ -185,7 +185,7 @@
 
 fn recover(folder: &Path, options: Options) -> Result<(), Failure> {
     let began = Instant::now();
-    let (mut back, mut bad) = (ReadBack::default(), None);
+    let (mut back, mut bad) = (Recovery::default(), None);
     let opened = open_each(
         folder,
         options,
@@ -195,7 +195,7 @@
         },
         &mut |ticket, record| {
             if bad.is_none() {
-                bad = back.take(ticket, record).err();
+                bad = back.replay(ticket, record).err();
             }
         },
     )?;
--- a/crates/batch/batch-store/src/lib.rs
+++ b/crates/batch/batch-store/src/lib.rs
@@ -1,21 +1,16 @@
 //! The batch plane of the tier: stores batch jobs, their items and results.
 //!
-//! [`Store`] is the whole of it without sockets and disk; [`run`] puts it into a process.
+//! [`Store`] is all of it without sockets and disk; [`journal`] is what is on the disk; [`run`] puts
+//! them into a process.
 
-#![expect(
-    clippy::missing_errors_doc,
-    clippy::too_many_lines,
-    reason = "not revised yet"
-)]
-
-mod answer;
-mod core;
-mod fetches;
+mod fetch_queue;
 pub mod journal;
-mod pace;
-mod part;
+mod pacer;
+mod partition;
 mod process;
+mod responder;
+mod store;
 
-pub use crate::answer::Answer;
-pub use crate::core::{Disk, Effect, Odd, Store, Terms};
-pub use crate::process::run;
+pub use process::run;
+pub use responder::Responder;
+pub use store::{DiskUsage, Effect, FrameError, Store, StoreConfig};
--- a/crates/batch/batch-store/tests/journal.rs
+++ b/crates/batch/batch-store/tests/journal.rs
@@ -7,10 +7,10 @@
     reason = "not revised yet"
 )]
 
-use batch::command::{Command, ItemResult, Take};
+use batch::command::{AcceptedJob, Command, ItemResult};
 use batch::wire::{Item, Message, ResultStatus, MAX_PARTITIONS};
 use batch::BatchJobTable;
-use batch_store::journal::{read_back, BadRecord, Journal, ReadBack};
+use batch_store::journal::{recover, Journal, Recovery, RecoveryError, SyncedTicket};
 use bytes::Bytes;
 use chain_replication::{
     Effect, LogRecord, Member, RecoveredLog, Replica, StateMachine as _, View,
@@ -73,7 +73,7 @@
             .iter()
             .map(|(_, r)| r.body.len() as u64)
             .sum();
-        let parts = read_back(opened.records).unwrap();
+        let parts = recover(opened.records).unwrap();
         let node = |found| Replica::new(me(), BatchJobTable::new(), found);
         let nodes: BTreeMap<u16, Replica<BatchJobTable>> = parts
             .into_iter()
@@ -96,12 +96,8 @@
 
     fn act(&mut self, part: u16) {
         for out in self.nodes.get_mut(&part).unwrap().take_effects() {
-            if let Effect::Write {
-                ticket,
-                record: write,
-            } = out
-            {
-                self.journal.write(part, ticket, &write);
+            if let Effect::Write { ticket, record } = out {
+                self.journal.write(part, ticket, &record);
             }
         }
     }
@@ -148,7 +144,11 @@
     }
 
     fn synced(&mut self, at: u64) {
-        for (part, ticket) in self.journal.synced(at) {
+        for SyncedTicket {
+            partition: part,
+            ticket,
+        } in self.journal.synced(at)
+        {
             if let Some(node) = self.nodes.get_mut(&part) {
                 node.handle_synced(self.now, ticket);
                 self.act(part);
@@ -180,7 +180,7 @@
         tokens: 1,
     };
     let items = (0..1 + random.next_u64() as usize % 4).map(item).collect();
-    Command::Accept(Take {
+    Command::Accept(AcceptedJob {
         clock: 1,
         batch_job: name.as_str().into(),
         host: "h".into(),
@@ -215,7 +215,7 @@
         if round == 3 {
             // RemainingTokens, and joined again from nothing: what was there before must not come back.
             disk.nodes.remove(&3);
-            disk.journal.void(3);
+            disk.journal.discard(3);
             disk.enter(3, 1);
             assert!(disk.nodes[&3].state_machine().is_empty());
         }
@@ -234,7 +234,7 @@
                     let result = |index| ItemResult {
                         batch_job: name.as_str().into(),
                         index,
-                        state: ResultStatus::Complete,
+                        status: ResultStatus::Complete,
                         text: text.clone(),
                     };
                     Command::RecordResults {
@@ -251,7 +251,7 @@
                 disk.tick();
             }
             most = most.max(disk.journal.disk().used);
-            assert!(!disk.journal.state().failing);
+            assert!(!disk.journal.status().failing);
         }
         disk.sync(&runtime);
         before = disk.tables();
@@ -285,7 +285,7 @@
         .encode()
     };
     let (one, two) = (entry(1, "first"), entry(2, "second"));
-    let found = read_back(vec![
+    let found = recover(vec![
         record(1, 2, one.clone()),
         record(2, 2, two.slice(..4)),
         record(2, 2, two.slice(..7)),
@@ -302,21 +302,21 @@
         .collect();
     assert_eq!(found, [(2, vec![1, 2]), (5, vec![1])]);
     assert!(
-        read_back(vec![record(1, 2, one.clone()), record(5, 2, Bytes::new())])
+        recover(vec![record(1, 2, one.clone()), record(5, 2, Bytes::new())])
             .unwrap()
             .is_empty()
     );
     assert!(matches!(
-        read_back(vec![record(6, 2, one.clone())]),
-        Err(BadRecord::Kind { kind: 6, .. })
+        recover(vec![record(6, 2, one.clone())]),
+        Err(RecoveryError::Kind { kind: 6, .. })
     ));
     assert!(matches!(
-        read_back(vec![record(1, MAX_PARTITIONS as u32, one.clone())]),
-        Err(BadRecord::Kind { part: 512, .. })
+        recover(vec![record(1, MAX_PARTITIONS as u32, one.clone())]),
+        Err(RecoveryError::Kind { partition: 512, .. })
     ));
     assert!(matches!(
-        read_back(vec![record(1, 2, one.slice(1..))]),
-        Err(BadRecord::Write { part: 2, .. })
+        recover(vec![record(1, 2, one.slice(1..))]),
+        Err(RecoveryError::Write { partition: 2, .. })
     ));
     let snapshot = LogRecord::Snapshot {
         view: 1,
@@ -325,8 +325,8 @@
     }
     .encode();
     assert!(matches!(
-        read_back(vec![record(1, 2, snapshot)]),
-        Err(BadRecord::Snapshot { part: 2, .. })
+        recover(vec![record(1, 2, snapshot)]),
+        Err(RecoveryError::Snapshot { partition: 2, .. })
     ));
 }
 
@@ -346,7 +346,7 @@
             let whole = |node: &Replica<BatchJobTable>| {
                 node.committed() == node.last_received() && node.is_active()
             };
-            if self.nodes.values().all(whole) && !self.journal.disk().behind {
+            if self.nodes.values().all(whole) && !self.journal.disk().is_behind {
                 return true;
             }
             std::thread::sleep(std::time::Duration::from_millis(2));
@@ -381,7 +381,7 @@
         body: body.into(),
         tokens: 1,
     };
-    let take = Take {
+    let take = AcceptedJob {
         clock: 1,
         batch_job: name.as_str().into(),
         host: "h".into(),
@@ -445,7 +445,7 @@
     for round in 2..6u64 {
         // RemainingTokens, and joined again: the whole state comes once more.
         disk.nodes.remove(&3);
-        disk.journal.void(3);
+        disk.journal.discard(3);
         let snapshot = Some(chain_replication::StateSnapshot {
             view: 1,
             number,
@@ -521,7 +521,7 @@
     const ENTRY: usize = 160_000;
     let mut random = Pcg64::seed_from_u64(5);
     for parts in [1u16, 16] {
-        let mut back = ReadBack::default();
+        let mut back = Recovery::default();
         let mut tables = BTreeMap::new();
         let (mut bytes, mut most) = (0, 0);
         for number in 1..=300 / u64::from(parts) {
@@ -537,7 +537,7 @@
                     command,
                 }
                 .encode();
-                back.take(
+                back.replay(
                     number,
                     Record {
                         kind: 1,
--- a/crates/batch/batch-store/tests/refused.rs
+++ b/crates/batch/batch-store/tests/refused.rs
@@ -4,7 +4,7 @@
 #![expect(clippy::unwrap_used, reason = "a test ends at the first surprise")]
 
 use batch::wire::*;
-use batch_store::{Answer, Effect, Odd, Store, Terms};
+use batch_store::{Effect, FrameError, Responder, Store, StoreConfig};
 use bytes::Bytes;
 use chain_replication::{LogRecord, Member, View};
 use proptest::prelude::*;
@@ -23,8 +23,8 @@
 #[derive(Clone, Default)]
 struct Said(Rc<Cell<u32>>);
 
-impl Answer for Said {
-    fn answer(self, _: Bytes) {
+impl Responder for Said {
+    fn respond(self, _: Bytes) {
         self.0.set(self.0.get() + 1);
     }
 }
@@ -39,20 +39,20 @@
 
 /// A store that is alone in all its chains, with a lease until 1,700.
 fn store() -> Store<Said> {
-    let terms = Terms {
+    let config = StoreConfig {
         addr: addr(1),
         incarnation: 77,
         id: 1,
         node: "s-1".into(),
         zone: "z".into(),
         poll_ms: 120_000,
-        least: 1,
-        most_bytes: 100_000,
-        answer_bytes_per_ms: 1_000_000,
+        min_members: 1,
+        max_bytes: 100_000,
+        response_bytes_per_ms: 1_000_000,
     };
-    let mut store = Store::new(terms, Vec::new(), Logger::root(Discard, o!()));
-    store.controllers(vec![controller(1)]);
-    store.persistence(
+    let mut store = Store::new(config, Vec::new(), Logger::root(Discard, o!()));
+    store.set_controllers(vec![controller(1)]);
+    store.update_health(
         1,
         DiskStatus {
             preallocated: true,
@@ -69,7 +69,7 @@
         members: vec![member],
         joining: vec![],
     };
-    store.take_map(
+    store.apply_map(
         300,
         PlacementMap {
             number: 1,
@@ -90,8 +90,8 @@
     from: SocketAddr,
     sent_ms: u64,
     lease_ms: u64,
-) -> Result<(), Odd> {
-    store.told(
+) -> Result<(), FrameError> {
+    store.handle_message(
         1_000,
         from,
         LEASE_GRANT,
@@ -108,23 +108,26 @@
 fn settle(store: &mut Store<Said>, now: u64) -> Vec<Effect> {
     let mut all = Vec::new();
     loop {
-        let effects = store.effects();
+        let effects = store.take_effects();
         if effects.is_empty() {
             return all;
         }
         for effect in &effects {
-            if let Effect::Write { part, ticket, .. } = effect {
-                store.synced(now, *part, *ticket);
+            if let Effect::Write {
+                partition, ticket, ..
+            } = effect
+            {
+                store.handle_synced(now, *partition, *ticket);
             }
         }
-        store.all_synced(now);
+        store.finish_synced(now);
         all.extend(effects);
     }
 }
 
 fn stands(store: &Store<Said>) -> Vec<(u16, Vec<LogRecord>)> {
     store
-        .held()
+        .replicas()
         .map(|(part, node)| (part, node.snapshot_records()))
         .collect()
 }
@@ -139,7 +142,7 @@
         wait_ms: 2_000,
     };
     store
-        .called(now, READ, &call.encode(), said.clone())
+        .handle_request(now, READ, &call.encode(), said.clone())
         .unwrap();
     settle(store, now);
     said.0.get() == 1
@@ -158,7 +161,10 @@
     ] {
         let mut store = store();
         assert!(
-            matches!(grant(&mut store, from, 1_000, lease_ms), Err(Odd::Lease(_))),
+            matches!(
+                grant(&mut store, from, 1_000, lease_ms),
+                Err(FrameError::InvalidLease(_))
+            ),
             "{from} {lease_ms}"
         );
         assert_eq!(
@@ -179,7 +185,7 @@
     ) {
         let mut store = store();
         let before = stands(&store);
-        let _ = store.told(1_100, addr(9), kind, &body.into());
+        let _ = store.handle_message(1_100, addr(9), kind, &body.into());
         prop_assert!(settle(&mut store, 1_100).is_empty());
         prop_assert_eq!(stands(&store), before);
     }
@@ -204,7 +210,7 @@
         let mut store = store();
         let before = stands(&store);
         let said = Said::default();
-        let taken = store.called(1_100, SUBMIT, &bytes.into(), said.clone());
+        let taken = store.handle_request(1_100, SUBMIT, &bytes.into(), said.clone());
         settle(&mut store, 1_100);
         if taken.is_err() {
             prop_assert_eq!(said.0.get(), 0);
--- a/crates/batch/batch-store/tests/store.rs
+++ b/crates/batch/batch-store/tests/store.rs
@@ -4,7 +4,7 @@
 #![expect(clippy::too_many_lines, reason = "not revised yet")]
 
 use batch::wire::*;
-use batch_store::{Answer, Disk, Effect, Store, Terms};
+use batch_store::{DiskUsage, Effect, Responder, Store, StoreConfig};
 use bytes::Bytes;
 use chain_replication::{Member, View};
 use slog::{o, Discard, Logger};
@@ -20,8 +20,8 @@
 #[derive(Clone, Default)]
 struct Said(Rc<RefCell<Vec<Bytes>>>);
 
-impl Answer for Said {
-    fn answer(self, body: Bytes) {
+impl Responder for Said {
+    fn respond(self, body: Bytes) {
         self.0.borrow_mut().push(body);
     }
 }
@@ -53,29 +53,29 @@
 }
 
 impl One {
-    fn new(least: usize) -> One {
-        One::with_id(1, least)
+    fn new(min_members: usize) -> One {
+        One::with_id(1, min_members)
     }
 
-    fn with_id(id: u8, least: usize) -> One {
-        One::with_link(id, least, 1_000_000)
+    fn with_id(id: u8, min_members: usize) -> One {
+        One::with_link(id, min_members, 1_000_000)
     }
 
-    fn with_link(id: u8, least: usize, answer_bytes_per_ms: u64) -> One {
-        let terms = Terms {
+    fn with_link(id: u8, min_members: usize, response_bytes_per_ms: u64) -> One {
+        let config = StoreConfig {
             addr: addr(id),
             id: id.into(),
             node: "s-1".into(),
             zone: "z".into(),
             poll_ms: 120_000,
-            least,
-            most_bytes: 100_000,
+            min_members,
+            max_bytes: 100_000,
             incarnation: 77,
-            answer_bytes_per_ms,
+            response_bytes_per_ms,
         };
-        let mut store = Store::new(terms, Vec::new(), Logger::root(Discard, o!()));
-        store.controllers(vec![controller(1), controller(2)]);
-        store.persistence(
+        let mut store = Store::new(config, Vec::new(), Logger::root(Discard, o!()));
+        store.set_controllers(vec![controller(1), controller(2)]);
+        store.update_health(
             1,
             DiskStatus {
                 preallocated: true,
@@ -93,29 +93,31 @@
 
     fn act(&mut self, now: u64) {
         loop {
-            let effects = self.store.effects();
+            let effects = self.store.take_effects();
             if effects.is_empty() {
                 return;
             }
             for effect in effects {
                 match effect {
-                    Effect::Tell { to, kind, body } => self.told.push((to, kind, body)),
-                    Effect::Void { part } => self.voids.push(part),
-                    Effect::Write { part, ticket, .. } => match &mut self.held {
-                        Some(held) => held.push((part, ticket)),
-                        None => self.store.synced(now, part, ticket),
+                    Effect::Send { to, kind, body } => self.told.push((to, kind, body)),
+                    Effect::Discard { partition } => self.voids.push(partition),
+                    Effect::Write {
+                        partition, ticket, ..
+                    } => match &mut self.held {
+                        Some(held) => held.push((partition, ticket)),
+                        None => self.store.handle_synced(now, partition, ticket),
                     },
                 }
             }
-            self.store.all_synced(now);
+            self.store.finish_synced(now);
         }
     }
 
     fn sync(&mut self, now: u64) {
-        for (part, ticket) in self.held.take().unwrap_or_default() {
-            self.store.synced(now, part, ticket);
+        for (partition, ticket) in self.held.take().unwrap_or_default() {
+            self.store.handle_synced(now, partition, ticket);
         }
-        self.store.all_synced(now);
+        self.store.finish_synced(now);
         self.act(now);
     }
 
@@ -131,7 +133,7 @@
             members: list(members),
             joining: list(joining),
         };
-        self.store.take_map(
+        self.store.apply_map(
             now,
             PlacementMap {
                 number,
@@ -151,7 +153,7 @@
         }
         .encode();
         self.store
-            .told(now, controller(1), LEASE_GRANT, &grant)
+            .handle_message(now, controller(1), LEASE_GRANT, &grant)
             .unwrap();
         self.act(now);
     }
@@ -159,7 +161,7 @@
     fn call<C: Message>(&mut self, now: u64, kind: u16, call: &C) -> Said {
         let said = Said::default();
         self.store
-            .called(now, kind, &call.encode(), said.clone())
+            .handle_request(now, kind, &call.encode(), said.clone())
             .unwrap();
         self.act(now);
         said
@@ -239,10 +241,10 @@
     FetchRequest {
         holder: 9,
         wait_ms,
-        wants: vec![RouteDemand {
+        demands: vec![RouteDemand {
             host: HOST.into(),
             route: "r".into(),
-            want,
+            max_items: want,
         }],
     }
 }
@@ -252,9 +254,11 @@
         text: Bytes::from_static(text.as_bytes()),
     };
     let done = Completion {
-        batch_job: leased.batch_job.clone(),
-        index: leased.index,
-        lease: leased.lease,
+        key: LeaseKey {
+            batch_job: leased.key.batch_job.clone(),
+            index: leased.key.index,
+            lease: leased.key.lease,
+        },
         outcome,
     };
     CompleteRequest {
@@ -265,16 +269,16 @@
 }
 
 fn hold(leased: &LeasedItem) -> RenewRequest {
-    let held = vec![LeaseRef {
-        batch_job: leased.batch_job.clone(),
-        index: leased.index,
-        lease: leased.lease,
+    let held = vec![LeaseKey {
+        batch_job: leased.key.batch_job.clone(),
+        index: leased.key.index,
+        lease: leased.key.lease,
     }];
     RenewRequest {
         holder: 9,
-        parts: vec![PartitionLeases {
+        partitions: vec![PartitionLeases {
             partition: home_partition(HOST, PARTITIONS) as u16,
-            held,
+            leases: held,
         }],
     }
 }
@@ -306,27 +310,30 @@
     );
     let call = RenewRequest {
         holder: 9,
-        parts: vec![PartitionLeases {
+        partitions: vec![PartitionLeases {
             partition: 3,
-            held: vec![],
+            leases: vec![],
         }],
     };
     let parts = vec![PartitionRenewal {
         partition: 3,
-        answer: RenewOutcome::Unavailable,
+        outcome: RenewOutcome::Unavailable,
     }];
-    assert_eq!(one.ask(5, RENEW, &call), Some(RenewResponse { parts }));
+    assert_eq!(
+        one.ask(5, RENEW, &call),
+        Some(RenewResponse { partitions: parts })
+    );
     assert!(one
         .store
-        .called(5, 0x0399, &Bytes::new(), Said::default())
+        .handle_request(5, 0x0399, &Bytes::new(), Said::default())
         .is_err());
     assert!(one
         .store
-        .called(5, READ, &Bytes::from_static(b"?"), Said::default())
+        .handle_request(5, READ, &Bytes::from_static(b"?"), Said::default())
         .is_err());
     assert!(one
         .store
-        .told(5, addr(2), CHAIN, &Bytes::from_static(b"?"))
+        .handle_message(5, addr(2), CHAIN, &Bytes::from_static(b"?"))
         .is_err());
 }
 
@@ -368,7 +375,7 @@
         one.ask(5, FETCH, &fetch(1, 500)),
         Some(FetchResponse {
             items: vec![],
-            elsewhere
+            redirects: elsewhere
         })
     );
 }
@@ -491,11 +498,11 @@
     );
     let unsure = vec![PartitionRenewal {
         partition: home_partition(HOST, PARTITIONS) as u16,
-        answer: RenewOutcome::Unavailable,
+        outcome: RenewOutcome::Unavailable,
     }];
     assert_eq!(
         one.ask(10_700, RENEW, &hold(&leased.items[0])),
-        Some(RenewResponse { parts: unsure })
+        Some(RenewResponse { partitions: unsure })
     );
     let fetched = one.call(10_700, FETCH, &fetch(1, 200));
     one.tick(11_000);
@@ -562,20 +569,20 @@
 #[test]
 fn what_there_is_no_room_for_is_refused() {
     let mut one = One::alone(10_000);
-    let disk = Disk {
+    let disk = DiskUsage {
         used: 84 << 20,
         size: 100 << 20,
-        behind: false,
+        is_behind: false,
         sync_ms: 1,
     };
-    one.store.disk(10_000, disk);
+    one.store.update_disk(10_000, disk);
     assert_eq!(
         one.ask(10_000, SUBMIT, &submit("a", 1)),
         Some(SubmitResponse::Accepted)
     );
-    one.store.disk(
+    one.store.update_disk(
         10_000,
-        Disk {
+        DiskUsage {
             used: 85 << 20,
             ..disk
         },
@@ -589,17 +596,17 @@
         Some(SubmitResponse::Accepted),
         "it is there already"
     );
-    one.store.disk(
+    one.store.update_disk(
         10_000,
-        Disk {
-            behind: true,
+        DiskUsage {
+            is_behind: true,
             ..disk
         },
     );
-    one.store.disk(
+    one.store.update_disk(
         10_999,
-        Disk {
-            behind: true,
+        DiskUsage {
+            is_behind: true,
             ..disk
         },
     );
@@ -612,7 +619,7 @@
         one.ask(11_000, SUBMIT, &submit("c", 1)),
         Some(SubmitResponse::Unavailable)
     );
-    one.store.disk(11_000, disk);
+    one.store.update_disk(11_000, disk);
     assert_eq!(
         one.ask(11_000, SUBMIT, &submit("c", 200)),
         Some(SubmitResponse::Accepted)
@@ -621,7 +628,7 @@
         one.ask(11_000, SUBMIT, &submit("d", 200)),
         Some(SubmitResponse::Accepted)
     );
-    assert!(one.store.bytes() > 100_000);
+    assert!(one.store.expected_bytes() > 100_000);
     assert_eq!(
         one.ask(11_000, SUBMIT, &submit("e", 1)),
         Some(SubmitResponse::Unavailable)
@@ -691,10 +698,14 @@
             return;
         }
         for body in to_two {
-            two.store.told(now, addr(1), CHAIN, &body).unwrap();
+            two.store
+                .handle_message(now, addr(1), CHAIN, &body)
+                .unwrap();
         }
         for body in to_one {
-            one.store.told(now, addr(2), CHAIN, &body).unwrap();
+            one.store
+                .handle_message(now, addr(2), CHAIN, &body)
+                .unwrap();
         }
         one.act(now);
         two.act(now);
@@ -718,11 +729,11 @@
     one.map(6_000, 2, &[1, 3], &[]);
     assert!(one
         .store
-        .held()
+        .replicas()
         .all(|(_, node)| node.is_head() && node.is_active()));
     assert!(one
         .store
-        .held()
+        .replicas()
         .any(|(_, node)| node.last_received() == 1 && node.committed() == 0));
     one.grant(7_000, 7_000, 2);
     let fetched = one.call(7_000, FETCH, &fetch(1, 1_000));
@@ -742,16 +753,16 @@
     one.map(10_100, 2, &[2, 3], &[]);
     assert_eq!(one.voids.len(), PARTITIONS);
     assert_eq!(parked.take(), Some(ReadResponse::Unavailable));
-    assert_eq!(one.store.held().count(), 0);
+    assert_eq!(one.store.replicas().count(), 0);
     assert_eq!(
         one.ask(10_100, READ, &read("a", 0, 0)),
         Some(ReadResponse::Redirect { to: addr(3) })
     );
     one.map(10_200, 3, &[2, 3], &[1]);
-    assert_eq!(one.store.held().count(), PARTITIONS);
+    assert_eq!(one.store.replicas().count(), PARTITIONS);
     assert!(one
         .store
-        .held()
+        .replicas()
         .all(|(_, node)| node.state_machine().is_empty()));
     // An older map changes nothing.
     one.map(10_300, 2, &[1], &[]);
@@ -800,7 +811,7 @@
         .all(|s| s.status.in_sync_view == 1 && s.batch_jobs == 0));
     one.tick(11_000);
     assert_eq!(heartbeats(&mut one).len(), 2);
-    one.store.leave(11_050);
+    one.store.start_leaving(11_050);
     one.act(11_050);
     let last = heartbeats(&mut one);
     assert!(last[0].1.leaving);
@@ -809,7 +820,7 @@
 #[test]
 fn one_that_ends_serves_on_until_it_is_taken_out_or_closed() {
     let mut one = One::alone(10_000);
-    one.store.leave(10_010);
+    one.store.start_leaving(10_010);
     one.act(10_010);
     assert_eq!(
         one.ask(10_020, SUBMIT, &submit("a", 1)),
@@ -849,21 +860,21 @@
 fn a_disk_takes_no_more_than_it_can_write_anew() {
     let mut one = One::alone(10_000);
     // 12 MiB are for what is written meanwhile; of the rest, a bit less than half is for batch jobs.
-    let disk = Disk {
+    let disk = DiskUsage {
         used: 0,
         size: (12 << 20) + 100_000,
-        behind: false,
+        is_behind: false,
         sync_ms: 1,
     };
-    one.store.disk(10_000, disk);
+    one.store.update_disk(10_000, disk);
     assert_eq!(
         one.ask(10_000, SUBMIT, &submit("a", 200)),
         Some(SubmitResponse::Accepted)
     );
     assert!(
-        (47_000..100_000).contains(&one.store.bytes()),
+        (47_000..100_000).contains(&one.store.expected_bytes()),
         "{}: below the limit of its memory",
-        one.store.bytes()
+        one.store.expected_bytes()
     );
     assert_eq!(
         one.ask(10_000, SUBMIT, &submit("b", 1)),
@@ -945,24 +956,27 @@
         })
         .collect();
     let mut one = One::with_id(1, 1);
-    let terms = Terms {
+    let config = StoreConfig {
         addr: addr(1),
         incarnation: 77,
         id: 1,
         node: "s-1".into(),
         zone: "z".into(),
         poll_ms: 120_000,
-        least: 1,
-        most_bytes: 100_000,
-        answer_bytes_per_ms: 1_000_000,
+        min_members: 1,
+        max_bytes: 100_000,
+        response_bytes_per_ms: 1_000_000,
     };
-    one.store = Store::new(terms, parts, Logger::root(Discard, o!()));
-    let together = |one: &One| -> u64 { one.store.held().map(|(_, node)| node.log_bytes()).sum() };
+    one.store = Store::new(config, parts, Logger::root(Discard, o!()));
+    let together =
+        |one: &One| -> u64 { one.store.replicas().map(|(_, node)| node.log_bytes()).sum() };
     assert!(together(&one) > 120_000_000, "{}", together(&one));
     one.tick(100);
     assert!(together(&one) <= TOGETHER, "{}", together(&one));
     assert!(
-        one.store.held().all(|(_, node)| node.last_received() == 80),
+        one.store
+            .replicas()
+            .all(|(_, node)| node.last_received() == 80),
         "nothing else is gone"
     );
 }
@@ -1085,14 +1099,16 @@
     one.map(1, 1, &[1], &[]);
     one.grant(10_000, 10_000, 1);
     let word = ReserveResponse {
-        partition: 900,
-        batch_job: "l".into(),
-        incarnation: 77,
-        nonce: 1,
+        attempt: ReserveAttempt {
+            partition: 900,
+            batch_job: "l".into(),
+            incarnation: 77,
+            nonce: 1,
+        },
         granted: true,
     };
     one.store
-        .told(10_000, addr(2), RESERVE_RESPONSE, &word.encode())
+        .handle_message(10_000, addr(2), RESERVE_RESPONSE, &word.encode())
         .unwrap();
     let audit = AuditRequest {
         home: 900,
@@ -1100,24 +1116,24 @@
         reply_to: addr(2),
         incarnation: 1,
         audit: 1,
-        batch_jobs: vec![],
+        jobs: vec![],
     };
     one.store
-        .told(10_000, addr(2), AUDIT, &audit.encode())
+        .handle_message(10_000, addr(2), AUDIT, &audit.encode())
         .unwrap();
     let left = AuditResponse {
         home: 900,
         partition: 0,
         incarnation: 77,
         audit: 1,
-        batch_jobs: vec![],
+        jobs: vec![],
     };
     one.store
-        .told(10_000, addr(2), AUDIT_RESPONSE, &left.encode())
+        .handle_message(10_000, addr(2), AUDIT_RESPONSE, &left.encode())
         .unwrap();
     assert!(one
         .store
-        .told(10_000, addr(2), RESERVE, &Bytes::from_static(b"x"))
+        .handle_message(10_000, addr(2), RESERVE, &Bytes::from_static(b"x"))
         .is_err());
     one.act(10_000);
     assert!(one
@@ -1144,7 +1160,7 @@
         PARTITIONS
     ];
     partitions[home_partition(HOST, PARTITIONS)].members = vec![member(2)];
-    one.store.take_map(
+    one.store.apply_map(
         1,
         PlacementMap {
             number: 1,
@@ -1166,14 +1182,16 @@
         // A note about any batch job of the same partition shows that the home's head is of a version that says them.
         let partition = partition_of(HOST, &job, PARTITIONS) as u16;
         let note = ReserveProgress {
-            partition,
-            batch_job: first.into(),
-            incarnation: 1,
-            nonce: 1,
+            attempt: ReserveAttempt {
+                partition,
+                batch_job: first.into(),
+                incarnation: 1,
+                nonce: 1,
+            },
             soon: true,
         };
         one.store
-            .told(10_000, addr(2), RESERVE_PROGRESS, &note.encode())
+            .handle_message(10_000, addr(2), RESERVE_PROGRESS, &note.encode())
             .unwrap();
     }
     let said = one.call(10_000, SUBMIT, &limited(&job));
@@ -1187,21 +1205,8 @@
 }
 
 fn note(asked: &ReserveRequest, soon: bool) -> Bytes {
-    let ReserveRequest {
-        partition,
-        batch_job,
-        incarnation,
-        nonce,
-        ..
-    } = asked.clone();
-    ReserveProgress {
-        partition,
-        batch_job,
-        incarnation,
-        nonce,
-        soon,
-    }
-    .encode()
+    let attempt = asked.attempt();
+    ReserveProgress { attempt, soon }.encode()
 }
 
 /// While no head of the home partition answers, a batch job is sent away in time for its client's next try to count.
@@ -1223,27 +1228,17 @@
     let (mut one, said, asked) = waits_for_another_home(true);
     for now in (10_050..10_500).step_by(50) {
         one.store
-            .told(now, addr(2), RESERVE_PROGRESS, &note(&asked, true))
+            .handle_message(now, addr(2), RESERVE_PROGRESS, &note(&asked, true))
             .unwrap();
         one.tick(now);
     }
     assert_eq!(said.take::<SubmitResponse>(), None);
-    let ReserveRequest {
-        partition,
-        batch_job,
-        incarnation,
-        nonce,
-        ..
-    } = asked;
     let word = ReserveResponse {
-        partition,
-        batch_job,
-        incarnation,
-        nonce,
+        attempt: asked.attempt(),
         granted: true,
     };
     one.store
-        .told(10_500, addr(2), RESERVE_RESPONSE, &word.encode())
+        .handle_message(10_500, addr(2), RESERVE_RESPONSE, &word.encode())
         .unwrap();
     one.act(10_500);
     assert_eq!(said.take(), Some(SubmitResponse::Accepted));
@@ -1253,7 +1248,7 @@
 fn a_batch_job_is_sent_away_at_once_where_its_home_partition_cannot_know_soon() {
     let (mut one, said, asked) = waits_for_another_home(true);
     one.store
-        .told(
+        .handle_message(
             10_010,
             addr(2),
             RESERVE_PROGRESS,
@@ -1272,7 +1267,7 @@
         "that was said of an earlier asking"
     );
     one.store
-        .told(10_010, addr(2), RESERVE_PROGRESS, &note(&asked, false))
+        .handle_message(10_010, addr(2), RESERVE_PROGRESS, &note(&asked, false))
         .unwrap();
     assert_eq!(said.take(), Some(SubmitResponse::Unavailable));
 }
@@ -1325,10 +1320,10 @@
             reply_to: addr(2),
             incarnation: 5,
             audit,
-            batch_jobs: vec![],
+            jobs: vec![],
         };
         one.store
-            .told(10_000, addr(2), AUDIT, &call.encode())
+            .handle_message(10_000, addr(2), AUDIT, &call.encode())
             .unwrap();
     }
     one.act(10_000);
--- a/crates/batch/batch-store/tests/stored_data.rs
+++ b/crates/batch/batch-store/tests/stored_data.rs
@@ -6,8 +6,8 @@
 
 use batch::wire::*;
 use batch::{BatchJobTable, ItemState};
-use batch_store::journal::{Journal, ReadBack};
-use batch_store::{Answer, Effect, Store, Terms};
+use batch_store::journal::{Journal, Recovery, SyncedTicket};
+use batch_store::{Effect, Responder, Store, StoreConfig};
 use bytes::Bytes;
 use chain_replication::{Member, View};
 use flate2::read::GzDecoder;
@@ -78,8 +78,8 @@
 #[derive(Clone, Default)]
 struct Answered(Rc<RefCell<Option<Bytes>>>);
 
-impl Answer for Answered {
-    fn answer(self, body: Bytes) {
+impl Responder for Answered {
+    fn respond(self, body: Bytes) {
         *self.0.borrow_mut() = Some(body);
     }
 }
@@ -106,13 +106,13 @@
 
 impl StoreOnDisk {
     fn open(path: &Path) -> StoreOnDisk {
-        let (mut back, mut first_ticket, mut kinds) = (ReadBack::default(), 0, BTreeSet::new());
+        let (mut back, mut first_ticket, mut kinds) = (Recovery::default(), 0, BTreeSet::new());
         let mut take = |ticket, record: Record| {
             if first_ticket == 0 {
                 first_ticket = ticket;
             }
             kinds.insert(record.kind);
-            back.take(ticket, record).unwrap();
+            back.replay(ticket, record).unwrap();
         };
         let holder = write_ahead_log::owner_id("s-1", "store");
         let opened = write_ahead_log::open_each(
@@ -127,21 +127,21 @@
         .unwrap();
         assert!(!opened.torn);
         let bytes = back.bytes();
-        let terms = Terms {
+        let config = StoreConfig {
             addr: addr(1),
             id: opened.identity,
             node: "s-1".into(),
             zone: "z-1".into(),
             poll_ms: 20_000,
-            least: 1,
-            most_bytes: 100_000_000,
+            min_members: 1,
+            max_bytes: 100_000_000,
             incarnation: 77,
-            answer_bytes_per_ms: 1_000_000,
+            response_bytes_per_ms: 1_000_000,
         };
-        let mut store = Store::new(terms, back.finish().unwrap(), Logger::root(Discard, o!()));
-        store.controllers(vec![controller()]);
+        let mut store = Store::new(config, back.finish().unwrap(), Logger::root(Discard, o!()));
+        store.set_controllers(vec![controller()]);
         let live = store
-            .held()
+            .replicas()
             .map(|(_, node)| node.state_machine().bytes() as u64)
             .sum();
         let journal = Journal::new(opened.log, bytes, live);
@@ -158,16 +158,16 @@
     }
 
     fn act(&mut self) {
-        self.journal.at(self.now);
-        for effect in self.store.effects() {
+        self.journal.set_now(self.now);
+        for effect in self.store.take_effects() {
             match effect {
                 Effect::Write {
-                    part,
+                    partition,
                     ticket,
-                    write,
-                } => self.journal.write(part, ticket, &write),
-                Effect::Void { part } => self.journal.void(part),
-                Effect::Tell { .. } => {}
+                    record,
+                } => self.journal.write(partition, ticket, &record),
+                Effect::Discard { partition } => self.journal.discard(partition),
+                Effect::Send { .. } => {}
             }
         }
     }
@@ -183,19 +183,23 @@
                 map: self.map,
             };
             self.store
-                .told(now, controller(), LEASE_GRANT, &grant.encode())
+                .handle_message(now, controller(), LEASE_GRANT, &grant.encode())
                 .unwrap();
         }
-        self.journal.at(now);
+        self.journal.set_now(now);
         let synced = *self.journal.watch().borrow();
         let done = self.journal.synced(synced);
-        for (part, ticket) in done {
-            self.store.synced(now, part, ticket);
+        for SyncedTicket {
+            partition: part,
+            ticket,
+        } in done
+        {
+            self.store.handle_synced(now, part, ticket);
         }
-        self.store.all_synced(now);
-        self.journal.tick(self.store.held());
-        self.store.disk(now, self.journal.disk());
-        self.store.persistence(now, self.journal.state());
+        self.store.finish_synced(now);
+        self.journal.tick(self.store.replicas());
+        self.store.update_disk(now, self.journal.disk());
+        self.store.update_health(now, self.journal.status());
         self.store.tick(now);
         self.act();
     }
@@ -216,7 +220,7 @@
             let committed = |(part, node): (u16, &chain_replication::Replica<BatchJobTable>)| {
                 part == UNCOMMITTED || node.committed() == node.last_received() && node.is_active()
             };
-            !disk.journal.disk().behind && disk.store.held().all(committed)
+            !disk.journal.disk().is_behind && disk.store.replicas().all(committed)
         });
     }
 
@@ -228,7 +232,7 @@
     /// The next map of the stores, in which this one is alone in its chains but for the two of their own kind.
     fn enter(&mut self, number: u64, without: &[u16]) {
         self.until("the disk is prepared", |disk| {
-            disk.journal.state().preallocated
+            disk.journal.status().preallocated
         });
         let member = |id: u64| Member {
             id: if id == 1 { IDENTITY } else { id },
@@ -259,7 +263,7 @@
             stores: vec![],
             placement: Placement::ByJob,
         };
-        self.store.take_map(self.now, map);
+        self.store.apply_map(self.now, map);
         self.map = number;
         self.act();
         self.settle();
@@ -269,7 +273,7 @@
     fn call<C: Message>(&mut self, kind: u16, call: &C) -> Answered {
         let answered = Answered::default();
         self.store
-            .called(self.now, kind, &call.encode(), answered.clone())
+            .handle_request(self.now, kind, &call.encode(), answered.clone())
             .unwrap();
         self.act();
         answered
@@ -293,7 +297,7 @@
         panic!(
             "busy for long: {:?} {:?}",
             self.journal.disk(),
-            self.journal.state()
+            self.journal.status()
         )
     }
 
@@ -339,10 +343,10 @@
     FetchRequest {
         holder: 9,
         wait_ms: 0,
-        wants: vec![RouteDemand {
+        demands: vec![RouteDemand {
             host: host.into(),
             route: route.into(),
-            want,
+            max_items: want,
         }],
     }
 }
@@ -352,22 +356,12 @@
 }
 
 fn done(leased: &LeasedItem, outcome: Outcome) -> CompleteRequest {
-    let partition = partition_of_job(&leased.host, &leased.batch_job);
-    let LeasedItem {
-        batch_job,
-        index,
-        lease,
-        ..
-    } = leased.clone();
+    let partition = partition_of_job(&leased.host, &leased.key.batch_job);
+    let key = leased.key.clone();
     CompleteRequest {
         holder: 9,
         partition,
-        results: vec![Completion {
-            batch_job,
-            index,
-            lease,
-            outcome,
-        }],
+        results: vec![Completion { key, outcome }],
     }
 }
 
@@ -383,7 +377,7 @@
 fn written_out(disk: &StoreOnDisk) -> String {
     let mut out = String::new();
     let line = &mut out;
-    for (part, node) in disk.store.held() {
+    for (part, node) in disk.store.replicas() {
         let (table, status) = (node.state_machine(), node.status());
         writeln!(
             line,
@@ -393,14 +387,14 @@
             table.clock(),
             table.len(),
             table.bytes(),
-            table.refused()
+            table.rejected()
         )
         .unwrap();
         for (id, job) in table.iter() {
             writeln!(
                 line,
                 "  job {id}: host {} route {} content {:016x} sent {} taken {} due {} retain {} tries {} ended {} order {:?}",
-                job.host, job.route, job.content, job.sent, job.taken, job.due_ms, job.retain_ms, job.tries,
+                job.host, job.route, job.content, job.sent, job.accepted, job.due_ms, job.retain_ms, job.tries,
                 job.ended, job.order
             )
             .unwrap();
@@ -415,12 +409,12 @@
                         let headers = headers.collect::<Vec<_>>().join(";");
                         format!("waiting {path} {headers} {}", digest(body))
                     }
-                    ItemState::Finished { state, text } => {
+                    ItemState::Finished { status, text } => {
                         let text = match std::str::from_utf8(text) {
                             Ok(text) if text.len() <= 60 => format!("{text:?}"),
                             _ => digest(text),
                         };
-                        format!("{} {text}", state.name())
+                        format!("{} {text}", status.name())
                     }
                     ItemState::Ended => "ended".to_owned(),
                 };
@@ -462,7 +456,7 @@
     );
     assert_eq!(written_out(&disk), EXPECTED);
     assert!(
-        disk.store.node(usize::from(LEFT_PARTITION)).is_none(),
+        disk.store.replica(usize::from(LEFT_PARTITION)).is_none(),
         "it was left"
     );
     disk.close();
@@ -568,7 +562,7 @@
     let (short, long) = (entry(1, 3), entry(2, 300_000));
     journal.write(3, 1, &short);
     journal.write(511, 2, &long);
-    journal.void(2);
+    journal.discard(2);
     journal.close();
     let (short, long) = (short.encode(), long.encode());
     assert_eq!(
--- a/crates/batch/batch-store/tests/world/faults.rs
+++ b/crates/batch/batch-store/tests/world/faults.rs
@@ -106,7 +106,7 @@
                 // Told to end, it is restarted after a while.
                 let now = self.now;
                 if let Some(found) = self.processes[store].store.as_mut() {
-                    found.leave(now);
+                    found.start_leaving(now);
                 }
                 self.act(store);
                 self.run_on_and_kill(store, long);
--- a/crates/batch/batch-store/tests/world/gateway.rs
+++ b/crates/batch/batch-store/tests/world/gateway.rs
@@ -372,13 +372,15 @@
                 continue;
             };
             let partition =
-                map.partition_of(&holding.leased.host, &holding.leased.batch_job) as u16;
+                map.partition_of(&holding.leased.host, &holding.leased.key.batch_job) as u16;
             outcomes.push((
                 partition,
                 Completion {
-                    batch_job: key.0.into(),
-                    index: key.1,
-                    lease: key.2,
+                    key: LeaseKey {
+                        batch_job: key.0.into(),
+                        index: key.1,
+                        lease: key.2,
+                    },
                     outcome,
                 },
             ));
@@ -426,15 +428,15 @@
         let mine = world.gateways.holders.entry(holder).or_default();
         if now >= mine.held_at + LEASE_RENEWAL_INTERVAL_MS {
             mine.held_at = now;
-            let mut by_head: BTreeMap<std::net::SocketAddr, BTreeMap<u16, Vec<LeaseRef>>> =
+            let mut by_head: BTreeMap<std::net::SocketAddr, BTreeMap<u16, Vec<LeaseKey>>> =
                 BTreeMap::new();
             for (key, holding) in &mine.held {
                 let partition =
-                    map.partition_of(&holding.leased.host, &holding.leased.batch_job) as u16;
+                    map.partition_of(&holding.leased.host, &holding.leased.key.batch_job) as u16;
                 let Some(to) = map.head(usize::from(partition)) else {
                     continue;
                 };
-                let held = LeaseRef {
+                let held = LeaseKey {
                     batch_job: key.0.as_str().into(),
                     index: key.1,
                     lease: key.2,
@@ -449,13 +451,20 @@
             for (to, parts) in by_head {
                 let parts = parts
                     .into_iter()
-                    .map(|(partition, held)| PartitionLeases { partition, held })
+                    .map(|(partition, held)| PartitionLeases {
+                        partition,
+                        leases: held,
+                    })
                     .collect();
                 Self::call(
                     world,
                     to,
                     RENEW,
-                    RenewRequest { holder, parts }.encode(),
+                    RenewRequest {
+                        holder,
+                        partitions: parts,
+                    }
+                    .encode(),
                     What::Hold { holder },
                 );
             }
@@ -472,7 +481,7 @@
                     let want = RouteDemand {
                         host: host.into(),
                         route: "r".into(),
-                        want: 4,
+                        max_items: 4,
                     };
                     by_head.entry(to).or_default().push(want);
                 }
@@ -488,7 +497,7 @@
                 let call = FetchRequest {
                     holder,
                     wait_ms: 500,
-                    wants,
+                    demands: wants,
                 };
                 Self::call(world, to, FETCH, call.encode(), What::Fetch { holder, to });
             }
@@ -514,7 +523,7 @@
                             let index = result.id.rsplit('-').next().unwrap().parse().unwrap();
                             assert_eq!(result.id, format!("{batch_job}-{index}"));
                             assert_eq!(
-                                (result.state, &result.text),
+                                (result.status, &result.text),
                                 (ResultStatus::Complete, &text(&batch_job, index))
                             );
                         }
@@ -583,29 +592,34 @@
                 mine.handing.retain(|p| *p != partition);
                 if answer == Some(CompleteResponse::Accepted) {
                     for done in &results {
-                        mine.held
-                            .remove(&(done.batch_job.to_string(), done.index, done.lease));
+                        mine.held.remove(&(
+                            done.key.batch_job.to_string(),
+                            done.key.index,
+                            done.key.lease,
+                        ));
                     }
                     for done in results
                         .iter()
                         .filter(|d| matches!(d.outcome, Outcome::Complete { .. }))
                     {
-                        if let Some(batch_job) =
-                            world.gateways.batch_jobs.get_mut(done.batch_job.as_str())
+                        if let Some(batch_job) = world
+                            .gateways
+                            .batch_jobs
+                            .get_mut(done.key.batch_job.as_str())
                         {
-                            batch_job.handed.entry(done.index).or_insert(now);
+                            batch_job.handed.entry(done.key.index).or_insert(now);
                         }
-                        let host = &world.gateways.batch_jobs[done.batch_job.as_str()].host;
+                        let host = &world.gateways.batch_jobs[done.key.batch_job.as_str()].host;
                         let kept = world
-                            .kept(host, &done.batch_job)
-                            .map(|batch_jobs| batch_jobs.batch_job(&done.batch_job));
+                            .kept(host, &done.key.batch_job)
+                            .map(|batch_jobs| batch_jobs.batch_job(&done.key.batch_job));
                         let item = |batch_job: &batch::BatchJob| {
-                            batch_job.items[done.index as usize].request().is_none()
+                            batch_job.items[done.key.index as usize].request().is_none()
                         };
                         assert!(
                             kept.is_none_or(|batch_job| batch_job.is_none_or(item)),
                             "{}: a result is lost",
-                            done.batch_job
+                            done.key.batch_job
                         );
                     }
                 } else {
@@ -617,8 +631,8 @@
                     return;
                 };
                 let mine = world.gateways.holders.entry(holder).or_default();
-                for part in answer.parts {
-                    if let RenewOutcome::Revoke { leases } = part.answer {
+                for part in answer.partitions {
+                    if let RenewOutcome::Revoke { leases } = part.outcome {
                         for one in leases {
                             // What is on its way to the store is said to the end.
                             let key = (one.batch_job.to_string(), one.index, one.lease);
@@ -683,31 +697,35 @@
         mine.fetching.retain(|at| *at != to);
         for leased in answer.map(|answer| answer.items).unwrap_or_default() {
             let took = 50 + world.below(1_500);
-            let batch_job = &world.gateways.batch_jobs[leased.batch_job.as_str()];
+            let batch_job = &world.gateways.batch_jobs[leased.key.batch_job.as_str()];
             assert!(
                 !batch_job.refused,
                 "{} runs, and every try was refused",
-                leased.batch_job
+                leased.key.batch_job
             );
             assert!(
                 batch_job.ended_at.is_none_or(|at| now <= at + CANCEL),
                 "{} runs long after its end",
-                leased.batch_job
+                leased.key.batch_job
             );
             let kept = world
-                .kept(&batch_job.host, &leased.batch_job)
-                .map(|batch_jobs| batch_jobs.batch_job(&leased.batch_job).is_some());
+                .kept(&batch_job.host, &leased.key.batch_job)
+                .map(|batch_jobs| batch_jobs.batch_job(&leased.key.batch_job).is_some());
             assert!(
                 kept.unwrap_or(true),
                 "{} runs, and is not kept",
-                leased.batch_job
+                leased.key.batch_job
             );
             assert_eq!(
                 leased.item.id,
-                format!("{}-{}", leased.batch_job, leased.index)
+                format!("{}-{}", leased.key.batch_job, leased.key.index)
             );
             assert_eq!(leased.item.body, format!("body of {}", leased.item.id));
-            let key = (leased.batch_job.to_string(), leased.index, leased.lease);
+            let key = (
+                leased.key.batch_job.to_string(),
+                leased.key.index,
+                leased.key.lease,
+            );
             let mine = world.gateways.holders.entry(holder).or_default();
             mine.held.insert(
                 key,
--- a/crates/batch/batch-store/tests/world/losses.rs
+++ b/crates/batch/batch-store/tests/world/losses.rs
@@ -72,7 +72,7 @@
     fn has(&self, part: usize, batch_job: &str) -> bool {
         if let Some(store) = &self.store {
             return store
-                .node(part)
+                .replica(part)
                 .is_some_and(|node| node.state_machine().batch_job(batch_job).is_some());
         }
         let mut recovered = RecoveredLog::default();
@@ -263,7 +263,7 @@
         for (store, at, long, comes_back) in std::mem::take(&mut self.losses.leaving) {
             let empty = self.processes[store].store.as_mut().is_none_or(|found| {
                 if now >= at {
-                    found.leave(now);
+                    found.start_leaving(now);
                 }
                 found.is_empty()
             });
--- a/crates/batch/batch-store/tests/world/mod.rs
+++ b/crates/batch/batch-store/tests/world/mod.rs
@@ -7,7 +7,7 @@
 mod quota;
 
 use batch::wire::{Heartbeat, Message, ResultEntry, MAX_PARTITIONS};
-use batch_store::{Answer, Effect, Store, Terms};
+use batch_store::{Effect, Responder, Store, StoreConfig};
 use bytes::Bytes;
 use chain_replication::{LogRecord, RecoveredLog};
 use controller::Controller;
@@ -92,8 +92,8 @@
     given: bool,
 }
 
-impl Answer for TestReply {
-    fn answer(mut self, body: Bytes) {
+impl Responder for TestReply {
+    fn respond(mut self, body: Bytes) {
         self.given = true;
         assert!(!body.is_empty(), "an answer that can't be said");
         self.answers.borrow_mut().push((self.call, Some(body)));
@@ -340,8 +340,8 @@
         world
     }
 
-    pub fn below(&mut self, most: u64) -> u64 {
-        self.random.next_u64() % most.max(1)
+    pub fn below(&mut self, bound: u64) -> u64 {
+        self.random.next_u64() % bound.max(1)
     }
 
     pub fn at(&mut self, delay: u64, event: Event) {
@@ -447,7 +447,7 @@
                 let body = self.planted_word(kind, body);
                 if let Some(store) = self.processes[to].store.as_mut() {
                     store
-                        .told(now, from, kind, &body)
+                        .handle_message(now, from, kind, &body)
                         .expect("a frame that can be read");
                 }
                 self.act(to);
@@ -465,7 +465,7 @@
                 };
                 if let Some(store) = self.processes[to].store.as_mut() {
                     store
-                        .called(now, kind, &body, reply)
+                        .handle_request(now, kind, &body, reply)
                         .expect("a call that can be read");
                 }
                 self.act(to);
@@ -511,7 +511,7 @@
             }
             Event::Map { store, map } => {
                 if let Some(store) = self.processes[store].store.as_mut() {
-                    store.take_map(now, Message::decode(&map).expect("a map"));
+                    store.apply_map(now, Message::decode(&map).expect("a map"));
                 }
                 self.act(store);
             }
@@ -556,8 +556,8 @@
             } => {
                 if self.processes[store].incarnation == incarnation {
                     if let Some(found) = self.processes[store].store.as_mut() {
-                        found.synced(now, part, ticket);
-                        found.all_synced(now);
+                        found.handle_synced(now, part, ticket);
+                        found.finish_synced(now);
                     }
                     self.act(store);
                 }
@@ -567,7 +567,7 @@
 
     fn start(&mut self, store: usize) {
         let one_disk = self.planted == Some(Planted::AcknowledgedByOneDisk);
-        let least = if one_disk { 1 } else { self.budget + 1 };
+        let min_members = if one_disk { 1 } else { self.budget + 1 };
         let process = &mut self.processes[store];
         if process.gone || process.store.is_some() {
             return;
@@ -594,20 +594,20 @@
             .zip(parts)
             .filter_map(|(n, part)| Some((n, part?)))
             .collect();
-        let terms = Terms {
+        let config = StoreConfig {
             addr: process.addr,
             id: process.id,
             node: format!("store-{store}").into(),
             zone: format!("zone-{}", store % 3).into(),
             poll_ms: 120_000,
-            least,
-            most_bytes: 50_000_000,
+            min_members,
+            max_bytes: 50_000_000,
             incarnation: process.id ^ (incarnation << 32),
-            answer_bytes_per_ms: 1_000_000,
+            response_bytes_per_ms: 1_000_000,
         };
         let log = slog::Logger::root(slog::Discard, slog::o!());
-        let mut new = Store::new(terms, parts, log);
-        new.controllers(vec![controller_addr()]);
+        let mut new = Store::new(config, parts, log);
+        new.set_controllers(vec![controller_addr()]);
         process.store = Some(new);
         self.act(store);
         self.at(1, Event::Tick { store, incarnation });
@@ -618,9 +618,9 @@
         let Some(found) = self.processes[store].store.as_mut() else {
             return;
         };
-        for effect in found.effects() {
+        for effect in found.take_effects() {
             match effect {
-                Effect::Tell { to, kind, body } if to == controller_addr() => {
+                Effect::Send { to, kind, body } if to == controller_addr() => {
                     assert_eq!(kind, batch::wire::HEARTBEAT);
                     if let Some(delay) = self.way(store, CONTROLLER) {
                         self.at(
@@ -629,7 +629,7 @@
                         );
                     }
                 }
-                Effect::Tell { to, kind, body } => {
+                Effect::Send { to, kind, body } => {
                     let from = self.processes[store].addr;
                     let Some(to) = self.processes.iter().position(|p| p.addr == to) else {
                         continue;
@@ -655,16 +655,16 @@
                     }
                 }
                 Effect::Write {
-                    part,
+                    partition,
                     ticket,
-                    write,
+                    record,
                 } => {
                     let slow = self.faults.cuts && !self.healing && self.below(300) == 0;
                     let took = if slow { 400 } else { 1 + self.below(6) };
                     let (now, process) = (self.now, &mut self.processes[store]);
-                    process.disk.records.push((part, Some(write)));
+                    process.disk.records.push((partition, Some(record)));
                     let upto = process.disk.records.len();
-                    process.disk.waiting.push((upto, part, ticket, now));
+                    process.disk.waiting.push((upto, partition, ticket, now));
                     process.disk.busy_until = process.disk.busy_until.max(now + took);
                     let (delay, incarnation) = (process.disk.busy_until - now, process.incarnation);
                     if self.planted == Some(Planted::SyncedBeforeItIs) {
@@ -674,7 +674,7 @@
                             Event::Early {
                                 store,
                                 incarnation,
-                                part,
+                                part: partition,
                                 ticket,
                             },
                         );
@@ -688,10 +688,10 @@
                         },
                     );
                 }
-                Effect::Void { part } => {
+                Effect::Discard { partition } => {
                     let disk = &mut self.processes[store].disk;
-                    disk.records.push((part, None));
-                    disk.waiting.retain(|w| w.1 != part);
+                    disk.records.push((partition, None));
+                    disk.waiting.retain(|w| w.1 != partition);
                 }
             }
         }
@@ -728,9 +728,9 @@
         disk.waiting.retain(|w| w.0 > upto);
         if let Some(found) = process.store.as_mut() {
             for (_, part, ticket, _) in done {
-                found.synced(now, part, ticket);
+                found.handle_synced(now, part, ticket);
             }
-            found.all_synced(now);
+            found.finish_synced(now);
         }
         self.act(store);
     }
@@ -754,7 +754,7 @@
             process.disk.waiting.len()
         );
         if let Some(found) = process.store.as_mut() {
-            found.persistence(now, state);
+            found.update_health(now, state);
         }
     }
 
@@ -822,7 +822,7 @@
         let part = self.part_of(host, batch_job);
         let tail = self.controller.map.as_ref()?.tail(part)?;
         let process = self.processes.iter().find(|p| p.addr == tail)?;
-        let node = process.store.as_ref()?.node(part)?;
+        let node = process.store.as_ref()?.replica(part)?;
         let view = self.controller.map.as_ref()?.partitions.get(part)?.number;
         let current =
             node.is_active() && node.is_tail() && node.view().is_some_and(|v| v.number == view);
@@ -842,7 +842,7 @@
     /// How the stores of a partition stand.
     pub fn places(&self, part: usize) -> String {
         let place = |p: &Process| {
-            let node = p.store.as_ref().and_then(|s| s.node(part));
+            let node = p.store.as_ref().and_then(|s| s.replica(part));
             node.map(|n| {
                 (
                     p.addr,
@@ -865,7 +865,7 @@
         let nodes = self
             .processes
             .iter()
-            .filter_map(|p| p.store.as_ref()?.node(self.part_of(host, batch_job)));
+            .filter_map(|p| p.store.as_ref()?.replica(self.part_of(host, batch_job)));
         let mut batch_jobs = nodes.filter_map(|node| node.state_machine().batch_job(batch_job));
         batch_jobs.any(|batch_job| {
             batch_job
@@ -888,7 +888,7 @@
                 .and_then(|p| p.store.as_ref());
             let store = store.unwrap_or_else(|| panic!("the tail {tail} is down"));
             let node = store
-                .node(map.partition_of(&taken.host, &batch_job))
+                .replica(map.partition_of(&taken.host, &batch_job))
                 .expect("a partition");
             let kept = node
                 .state_machine()
--- a/crates/batch/batch-store/tests/world/quota.rs
+++ b/crates/batch/batch-store/tests/world/quota.rs
@@ -114,12 +114,12 @@
             if word.granted {
                 self.quota
                     .granted
-                    .insert(word.batch_job.to_string(), body.clone());
+                    .insert(word.attempt.batch_job.to_string(), body.clone());
             }
         } else if kind == RESERVE {
             let call = ReserveRequest::decode(body).expect("an asking");
             if let (Some(body), Some(delay)) = (
-                self.quota.granted.get(call.batch_job.as_str()).cloned(),
+                self.quota.granted.get(call.job.batch_job.as_str()).cloned(),
                 self.way(to, from),
             ) {
                 let addr = self.processes[to].addr;
@@ -160,9 +160,10 @@
         match kind {
             RESERVE => {
                 let call = ReserveRequest::decode(body).expect("an asking");
-                self.quota
-                    .asked
-                    .insert(call.batch_job.to_string(), (call.incarnation, call.nonce));
+                self.quota.asked.insert(
+                    call.job.batch_job.to_string(),
+                    (call.incarnation, call.nonce),
+                );
             }
             AUDIT => {
                 let call = AuditRequest::decode(body).expect("an audit");
@@ -179,8 +180,10 @@
         match (self.planted, kind) {
             (Some(Planted::GrantOfAnyAsking), RESERVE_RESPONSE) => {
                 let mut word = ReserveResponse::decode(&body).expect("a grant");
-                if let Some((incarnation, nonce)) = self.quota.asked.get(word.batch_job.as_str()) {
-                    (word.incarnation, word.nonce) = (*incarnation, *nonce);
+                if let Some((incarnation, nonce)) =
+                    self.quota.asked.get(word.attempt.batch_job.as_str())
+                {
+                    (word.attempt.incarnation, word.attempt.nonce) = (*incarnation, *nonce);
                 }
                 word.encode()
             }
@@ -196,7 +199,7 @@
             (Some(Planted::PartitionForgotten), AUDIT_RESPONSE) => {
                 let mut word = AuditResponse::decode(&body).expect("a word");
                 if word.partition == 0 {
-                    word.batch_jobs.iter_mut().for_each(|left| left.tokens = 0);
+                    word.jobs.iter_mut().for_each(|left| left.tokens = 0);
                 }
                 word.encode()
             }
--- a/crates/batch/batch/src/codec.rs
+++ b/crates/batch/batch/src/codec.rs
@@ -1,4 +1,7 @@
-//! Reading and writing of bounded fields for binrw, shared by the wire, the commands and the snapshot.
+//! Binary encoding of messages, commands and snapshots: little-endian, with a bound on each length.
+//!
+//! Reading never panics and sets no memory aside for bytes that have not arrived. A value over its
+//! bound is neither read nor written.
 
 use binrw::io::{Cursor, Read, Seek, Write};
 use binrw::meta::{ReadEndian, WriteEndian};
@@ -7,22 +10,34 @@
 use compact_str::CompactString;
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr};
 
-/// Bytes that are no message of the kind.
+use crate::wire::MAX_NAME;
+
+/// The most bytes for which a buffer is reserved before any of them has been read: a short frame
+/// that announces a long field can't claim much memory.
+const MAX_RESERVED_BYTES: usize = 64 << 10;
+/// The same for the elements of a list.
+const MAX_RESERVED_ELEMENTS: usize = 64;
+
+/// Why bytes are no message of the expected type.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// They break off, or a field has no meaning or is over its bound.
-    #[error("no message of this kind: {0}")]
+    /// The bytes end within a field, or a field has no meaning or is over its bound.
+    #[error("malformed message: {0}")]
     Malformed(String),
-    /// There are more bytes behind the message.
-    #[error("{0} bytes behind the message")]
+    /// The message is complete and so many bytes follow it.
+    #[error("{0} bytes after the end of the message")]
     TrailingBytes(usize),
 }
 
-/// A message that turns into bytes and back.
+/// A message with a binary encoding.
 pub trait Message: Sized {
-    /// As bytes; none when a field is over its bound, which nobody reads as a message.
+    /// The message as bytes; empty if a field is over its bound. No reader accepts empty bytes.
     fn encode(&self) -> Bytes;
-    /// From bytes, whole.
+
+    /// Reads a message that takes up all of `bytes`.
+    ///
+    /// # Errors
+    /// The bytes are malformed, or more than the message.
     fn decode(bytes: &[u8]) -> Result<Self, DecodeError>;
 }
 
@@ -42,40 +57,37 @@
         let mut cursor = Cursor::new(bytes);
         let message =
             Self::read(&mut cursor).map_err(|error| DecodeError::Malformed(error.to_string()))?;
-        let behind = bytes
-            .len()
-            .saturating_sub(usize::try_from(cursor.position()).unwrap_or(usize::MAX));
-        if behind > 0 {
-            return Err(DecodeError::TrailingBytes(behind));
+        let read = usize::try_from(cursor.position()).unwrap_or(usize::MAX);
+        match bytes.len().saturating_sub(read) {
+            0 => Ok(message),
+            trailing => Err(DecodeError::TrailingBytes(trailing)),
         }
-        Ok(message)
     }
 }
 
-fn bad<R: Seek>(reader: &mut R, message: &str) -> binrw::Error {
+fn invalid<S: Seek>(stream: &mut S, message: &str) -> binrw::Error {
     binrw::Error::AssertFail {
-        pos: reader.stream_position().unwrap_or(0),
+        pos: stream.stream_position().unwrap_or(0),
         message: message.to_owned(),
     }
 }
 
-fn raw<R: Read + Seek>(reader: &mut R, endian: Endian, max: usize) -> BinResult<Vec<u8>> {
+fn read_raw<R: Read + Seek>(reader: &mut R, endian: Endian, max: usize) -> BinResult<Vec<u8>> {
     let len = u32::read_options(reader, endian, ())?;
     if len as usize > max {
-        return Err(bad(reader, "too long"));
+        return Err(invalid(reader, "too long"));
     }
-    // Little memory is set aside on the word of a length alone: a short frame can't claim much.
-    let mut out = Vec::with_capacity((len as usize).min(64 << 10));
+    let mut out = Vec::with_capacity((len as usize).min(MAX_RESERVED_BYTES));
     reader.by_ref().take(u64::from(len)).read_to_end(&mut out)?;
     if out.len() != len as usize {
-        return Err(bad(reader, "cut off"));
+        return Err(invalid(reader, "cut off"));
     }
-    // Many of these are kept for minutes.
+    // Many of these stay in memory for minutes.
     out.shrink_to_fit();
     Ok(out)
 }
 
-fn put_raw<W: Write + Seek>(
+fn write_raw<W: Write + Seek>(
     writer: &mut W,
     endian: Endian,
     bytes: &[u8],
@@ -83,49 +95,61 @@
 ) -> BinResult<()> {
     let len = match u32::try_from(bytes.len()) {
         Ok(len) if bytes.len() <= max => len,
-        _ => return Err(bad(writer, "too long")),
+        _ => return Err(invalid(writer, "too long")),
     };
     len.write_options(writer, endian, ())?;
     writer.write_all(bytes)?;
     Ok(())
 }
 
-/// Reads a text of at most `max` bytes.
+/// Reads a UTF-8 text of at most `max` bytes.
 #[binrw::parser(reader, endian)]
-pub(crate) fn text(max: usize) -> BinResult<CompactString> {
-    let raw = raw(reader, endian, max)?;
-    CompactString::from_utf8(raw).map_err(|_| bad(reader, "not UTF-8"))
+pub(crate) fn read_text(max: usize) -> BinResult<CompactString> {
+    let raw = read_raw(reader, endian, max)?;
+    CompactString::from_utf8(raw).map_err(|_| invalid(reader, "not UTF-8"))
 }
 
 /// Writes a text of at most `max` bytes.
 #[binrw::writer(writer, endian)]
-pub(crate) fn put_text(value: &CompactString, max: usize) -> BinResult<()> {
-    put_raw(writer, endian, value.as_bytes(), max)
+pub(crate) fn write_text(value: &CompactString, max: usize) -> BinResult<()> {
+    write_raw(writer, endian, value.as_bytes(), max)
+}
+
+/// Reads a name (of a host, a route, a batch job, an item, a header, a machine or a zone).
+#[binrw::parser(reader, endian)]
+pub(crate) fn read_name() -> BinResult<CompactString> {
+    read_text(reader, endian, (MAX_NAME,))
+}
+
+/// Writes a name.
+#[binrw::writer(writer, endian)]
+pub(crate) fn write_name(value: &CompactString) -> BinResult<()> {
+    write_text(value, writer, endian, (MAX_NAME,))
 }
 
 /// Reads at most `max` bytes.
 #[binrw::parser(reader, endian)]
-pub(crate) fn bytes(max: usize) -> BinResult<Bytes> {
-    raw(reader, endian, max).map(Bytes::from)
+pub(crate) fn read_bytes(max: usize) -> BinResult<Bytes> {
+    read_raw(reader, endian, max).map(Bytes::from)
 }
 
 /// Writes at most `max` bytes.
 #[binrw::writer(writer, endian)]
-pub(crate) fn put_bytes(value: &Bytes, max: usize) -> BinResult<()> {
-    put_raw(writer, endian, value, max)
+pub(crate) fn write_bytes(value: &Bytes, max: usize) -> BinResult<()> {
+    write_raw(writer, endian, value, max)
 }
 
 /// Reads a list of at most `max` elements.
 #[binrw::parser(reader, endian)]
-pub(crate) fn list<T>(max: usize) -> BinResult<Vec<T>>
+pub(crate) fn read_list<T>(max: usize) -> BinResult<Vec<T>>
 where
     T: for<'a> BinRead<Args<'a> = ()>,
 {
     let count = u32::read_options(reader, endian, ())? as usize;
     if count > max {
-        return Err(bad(reader, "too many"));
+        return Err(invalid(reader, "too many"));
     }
-    let mut out = Vec::with_capacity(count.min(64));
+    let mut out = Vec::with_capacity(count.min(MAX_RESERVED_ELEMENTS));
     for _ in 0..count {
         out.push(T::read_options(reader, endian, ())?);
     }
@@ -134,13 +158,13 @@
 
 /// Writes a list of at most `max` elements.
 #[binrw::writer(writer, endian)]
-pub(crate) fn put_list<T>(value: &Vec<T>, max: usize) -> BinResult<()>
+pub(crate) fn write_list<T>(value: &Vec<T>, max: usize) -> BinResult<()>
 where
     T: for<'a> BinWrite<Args<'a> = ()>,
 {
     let count = match u32::try_from(value.len()) {
         Ok(count) if value.len() <= max => count,
-        _ => return Err(bad(writer, "too many")),
+        _ => return Err(invalid(writer, "too many")),
     };
     count.write_options(writer, endian, ())?;
     for element in value {
@@ -149,25 +173,24 @@
     Ok(())
 }
 
-/// Reads an address.
+/// Reads an address: the IP version (4 or 6), its octets, the port.
 #[binrw::parser(reader, endian)]
-pub(crate) fn socket_address() -> BinResult<SocketAddr> {
-    let kind = u8::read_options(reader, endian, ())?;
-    let ip = match kind {
+pub(crate) fn read_address() -> BinResult<SocketAddr> {
+    let ip = match u8::read_options(reader, endian, ())? {
         4 => IpAddr::V4(Ipv4Addr::from(<[u8; 4]>::read_options(reader, endian, ())?)),
         6 => IpAddr::V6(Ipv6Addr::from(<[u8; 16]>::read_options(
             reader,
             endian,
             (),
         )?)),
-        _ => return Err(bad(reader, "no address")),
+        _ => return Err(invalid(reader, "no address")),
     };
     Ok(SocketAddr::new(ip, u16::read_options(reader, endian, ())?))
 }
 
 /// Writes an address.
 #[binrw::writer(writer, endian)]
-pub(crate) fn put_address(value: &SocketAddr) -> BinResult<()> {
+pub(crate) fn write_address(value: &SocketAddr) -> BinResult<()> {
     match value.ip() {
         IpAddr::V4(ip) => {
             4u8.write_options(writer, endian, ())?;
@@ -180,3 +203,13 @@
     }
     value.port().write_options(writer, endian, ())
 }
+
+/// Reads a flag: any byte but 0 is true.
+pub(crate) fn flag(byte: u8) -> bool {
+    byte != 0
+}
+
+/// Writes a flag as 0 or 1.
+pub(crate) fn flag_byte(flag: &bool) -> u8 {
+    u8::from(*flag)
+}
--- a/crates/batch/batch/src/codes.rs
+++ b/crates/batch/batch/src/codes.rs
@@ -1,4 +1,4 @@
-//! Why a batch job is refused for good: numbers that stay, for the log and for tests.
+//! Why a batch job is rejected for good: result codes for the log and for tests. They never change.
 
 /// The body can't be read as the JSON of a batch job.
 pub const UNREADABLE: u16 = 701;
@@ -22,62 +22,81 @@
 pub const BAD_HEADER_VALUE: u16 = 710;
 /// A body is not base64, or too long.
 pub const BAD_BODY: u16 = 711;
-/// A batch job with this id is kept, and it has another content.
+/// There is a batch job with this id and another content.
 pub const OTHER_CONTENT: u16 = 712;
-/// The whole is larger than a batch job may be.
+/// The batch job is larger than one may be.
 pub const TOO_LARGE: u16 = 713;
 
-/// All codes with their short names and what they mean.
-pub const CODES: &[(u16, &str, &str)] = &[
-    (
+/// A result code and what it means.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct ResultCode {
+    /// The number.
+    pub number: u16,
+    /// The short name.
+    pub name: &'static str,
+    /// What it means.
+    pub description: &'static str,
+}
+
+const fn code(number: u16, name: &'static str, description: &'static str) -> ResultCode {
+    ResultCode {
+        number,
+        name,
+        description,
+    }
+}
+
+/// All codes.
+pub const CODES: &[ResultCode] = &[
+    code(
         UNREADABLE,
         "unreadable",
         "the body is not the JSON of a batch job",
     ),
-    (NO_ITEMS, "no-items", "the batch job has no items"),
-    (
+    code(NO_ITEMS, "no-items", "the batch job has no items"),
+    code(
         TOO_MANY_ITEMS,
         "too-many-items",
         "the batch job has more than 200 items",
     ),
-    (
+    code(
         BAD_BATCH_JOB_ID,
         "bad-job-id",
         "the batch job's id is missing or can't stand in a header",
     ),
-    (
+    code(
         BAD_ITEM_ID,
         "bad-item-id",
         "an item's id is missing or can't stand in a header",
     ),
-    (SAME_ITEM_ID, "same-item-id", "two items have the same id"),
-    (
+    code(SAME_ITEM_ID, "same-item-id", "two items have the same id"),
+    code(
         BAD_PATH,
         "bad-path",
         "an item's path can't stand in a request line",
     ),
-    (
+    code(
         TOO_MANY_HEADERS,
         "too-many-headers",
         "an item has too many headers",
     ),
-    (
+    code(
         BAD_HEADER_NAME,
         "bad-header-name",
         "a header's name is not a token",
     ),
-    (
+    code(
         BAD_HEADER_VALUE,
         "bad-header-value",
         "a header's value has control characters or is too long",
     ),
-    (BAD_BODY, "bad-body", "a body is not base64 or is too long"),
-    (
+    code(BAD_BODY, "bad-body", "a body is not base64 or is too long"),
+    code(
         OTHER_CONTENT,
         "other-content",
         "a lot of this id is kept with another content",
     ),
-    (
+    code(
         TOO_LARGE,
         "too-large",
         "the batch job is larger than one may be",
--- a/crates/batch/batch/src/command.rs
+++ b/crates/batch/batch/src/command.rs
@@ -1,12 +1,14 @@
-//! What a partition's head puts into its chain: each command is applied by every store of the chain alike.
+//! The commands that the head of a partition puts into its chain: every store of the chain applies
+//! them to its table in the same order.
 //!
-//! No time of day is in them. The head counts a *clock* of its own in milliseconds, from where the table's clock
-//! stands when it becomes head; each command carries it, and the table keeps the highest. It never runs ahead of
-//! true time, whatever the machines' clocks do, so nothing that must not come early (giving up an item,
-//! forgetting a batch job) comes early; it falls behind by the time in which there was no head.
+//! No time of day is in them. The head counts a *clock* of its own in milliseconds, from where the
+//! table's clock stands when it becomes head. Each command carries it, and the table keeps the
+//! highest. It never runs ahead of true time, whatever the machines' clocks do, so nothing that must
+//! not happen early (giving up an item, deleting a batch job) happens early; it falls behind by the
+//! time in which there was no head.
 
-use crate::codec::{bytes as bytes_of, list, put_bytes, put_list, put_text, text};
-use crate::wire::{Item, RemainingTokens, ResultStatus, MAX_BODY, MAX_ITEMS, MAX_LEASES, MAX_NAME};
+use crate::codec::{read_bytes, read_list, read_name, write_bytes, write_list, write_name};
+use crate::wire::{Item, JobKey, RemainingTokens, ResultStatus, MAX_BODY, MAX_ITEMS, MAX_LEASES};
 use binrw::binrw;
 use bytes::Bytes;
 use compact_str::CompactString;
@@ -17,37 +19,37 @@
 #[br(return_unexpected_error)]
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// A batch job is taken.
+    /// A batch job is accepted.
     #[brw(magic = 1u8)]
-    Accept(Take),
+    Accept(AcceptedJob),
     /// Items end, each at the next position of its batch job.
     #[brw(magic = 2u8)]
     RecordResults {
         /// The head's clock.
         clock: u64,
         /// The results, in the order of their positions.
-        #[br(parse_with = list, args(MAX_LEASES))]
-        #[bw(write_with = put_list, args(MAX_LEASES))]
+        #[br(parse_with = read_list, args(MAX_LEASES))]
+        #[bw(write_with = write_list, args(MAX_LEASES))]
         results: Vec<ItemResult>,
     },
-    /// A batch job is ended: what is listed stays, the rest is never run.
+    /// A batch job is ended by its client: its results stay, its other items are never run.
     #[brw(magic = 3u8)]
     End {
         /// The head's clock.
         clock: u64,
         /// The batch job's id.
-        #[br(parse_with = text, args(MAX_NAME))]
-        #[bw(write_with = put_text, args(MAX_NAME))]
+        #[br(parse_with = read_name)]
+        #[bw(write_with = write_name)]
         batch_job: CompactString,
     },
-    /// A batch job is forgotten.
+    /// A batch job is deleted.
     #[brw(magic = 4u8)]
     Delete {
         /// The head's clock.
         clock: u64,
         /// The batch job's id.
-        #[br(parse_with = text, args(MAX_NAME))]
-        #[bw(write_with = put_text, args(MAX_NAME))]
+        #[br(parse_with = read_name)]
+        #[bw(write_with = write_name)]
         batch_job: CompactString,
     },
     /// Tokens of a route are reserved for a batch job, in the host's home partition.
@@ -55,34 +57,24 @@
     Reserve {
         /// The head's clock.
         clock: u64,
-        /// The route's host.
-        #[br(parse_with = text, args(MAX_NAME))]
-        #[bw(write_with = put_text, args(MAX_NAME))]
-        host: CompactString,
-        /// The route's name.
-        #[br(parse_with = text, args(MAX_NAME))]
-        #[bw(write_with = put_text, args(MAX_NAME))]
-        route: CompactString,
-        /// The batch job's id.
-        #[br(parse_with = text, args(MAX_NAME))]
-        #[bw(write_with = put_text, args(MAX_NAME))]
-        batch_job: CompactString,
-        /// The partition that is to keep the batch job.
+        /// The batch job.
+        job: JobKey,
+        /// The partition that is to hold the batch job.
         partition: u16,
         /// How many tokens; never fewer than are reserved for it already.
         tokens: u64,
     },
-    /// So many tokens of reservations are still waiting, as the heads of their partitions said.
+    /// So many tokens of reservations are still queued, as the heads of their partitions reported.
     #[brw(magic = 7u8)]
     UpdateReservations {
         /// The head's clock.
         clock: u64,
-        /// The batch jobs; one without tokens is reserved no more.
-        #[br(parse_with = list, args(MAX_LEASES))]
-        #[bw(write_with = put_list, args(MAX_LEASES))]
-        batch_jobs: Vec<RemainingTokens>,
+        /// The batch jobs; the reservation of one without tokens is removed.
+        #[br(parse_with = read_list, args(MAX_LEASES))]
+        #[bw(write_with = write_list, args(MAX_LEASES))]
+        jobs: Vec<RemainingTokens>,
     },
-    /// Only the clock goes on.
+    /// Only the clock advances.
     #[brw(magic = 5u8)]
     AdvanceClock {
         /// The head's clock.
@@ -90,26 +82,42 @@
     },
 }
 
+impl Command {
+    /// The head's clock when it made the command.
+    pub fn clock(&self) -> u64 {
+        match self {
+            Command::Accept(AcceptedJob { clock, .. })
+            | Command::RecordResults { clock, .. }
+            | Command::End { clock, .. }
+            | Command::Delete { clock, .. }
+            | Command::Reserve { clock, .. }
+            | Command::UpdateReservations { clock, .. }
+            | Command::AdvanceClock { clock } => *clock,
+        }
+    }
+}
+
 /// A batch job with all that its head needs to know of it.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Take {
+pub struct AcceptedJob {
     /// The head's clock.
     pub clock: u64,
     /// The batch job's id.
-    #[br(parse_with = text, args(MAX_NAME))]
-    #[bw(write_with = put_text, args(MAX_NAME))]
+    #[br(parse_with = read_name)]
+    #[bw(write_with = write_name)]
     pub batch_job: CompactString,
     /// The route's host.
-    #[br(parse_with = text, args(MAX_NAME))]
-    #[bw(write_with = put_text, args(MAX_NAME))]
+    #[br(parse_with = read_name)]
+    #[bw(write_with = write_name)]
     pub host: CompactString,
     /// The route's name.
-    #[br(parse_with = text, args(MAX_NAME))]
-    #[bw(write_with = put_text, args(MAX_NAME))]
+    #[br(parse_with = read_name)]
+    #[bw(write_with = write_name)]
     pub route: CompactString,
-    /// Digest of its content, to know the same batch job sent again.
+    /// [`content_digest`](crate::content_digest) of the job, by which it is recognised when it is
+    /// submitted again.
     pub content: u64,
     /// When it was sent, by the head's clock.
     pub sent: u64,
@@ -117,11 +125,11 @@
     pub due_ms: u64,
     /// How long after the sending an item may be given up (0: never).
     pub retain_ms: u64,
-    /// After how many 500s an item is given up.
+    /// After how many responses with status 500 an item is given up.
     pub tries: u32,
     /// The items.
-    #[br(parse_with = list, args(MAX_ITEMS))]
-    #[bw(write_with = put_list, args(MAX_ITEMS))]
+    #[br(parse_with = read_list, args(MAX_ITEMS))]
+    #[bw(write_with = write_list, args(MAX_ITEMS))]
     pub items: Vec<Item>,
 }
 
@@ -131,58 +139,15 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ItemResult {
     /// The batch job's id.
-    #[br(parse_with = text, args(MAX_NAME))]
-    #[bw(write_with = put_text, args(MAX_NAME))]
+    #[br(parse_with = read_name)]
+    #[bw(write_with = write_name)]
     pub batch_job: CompactString,
     /// Which item of the batch job.
     pub index: u32,
     /// How it ended.
-    pub state: ResultStatus,
+    pub status: ResultStatus,
     /// Its text.
-    #[br(parse_with = bytes_of, args(MAX_BODY))]
-    #[bw(write_with = put_bytes, args(MAX_BODY))]
+    #[br(parse_with = read_bytes, args(MAX_BODY))]
+    #[bw(write_with = write_bytes, args(MAX_BODY))]
     pub text: Bytes,
 }
-
-/// A digest of a batch job's content: what must be the same when it is sent again (its terms may change between).
-pub fn content(host: &str, items: &[Item]) -> u64 {
-    let mut digest = Digest(0x9e37_79b9_7f4a_7c15);
-    digest.part(host.as_bytes());
-    for item in items {
-        digest.part(item.id.as_bytes());
-        digest.part(item.path.as_bytes());
-        digest.word(item.headers.len() as u64);
-        for header in &item.headers {
-            digest.part(header.name.as_bytes());
-            digest.part(header.value.as_bytes());
-        }
-        digest.part(&item.body);
-        digest.word(item.tokens);
-    }
-    digest.0
-}
-
-/// Eight bytes at a time: an error in transit or in a client shows; it need not withstand an attack.
-struct Digest(u64);
-
-impl Digest {
-    fn word(&mut self, word: u64) {
-        let mixed = (self.0 ^ word).wrapping_mul(0xff51_afd7_ed55_8ccd);
-        self.0 = mixed ^ (mixed >> 29);
-    }
-
-    fn part(&mut self, bytes: &[u8]) {
-        self.word(bytes.len() as u64);
-        let mut words = bytes.chunks_exact(8);
-        for chunk in &mut words {
-            let mut word = [0u8; 8];
-            word.copy_from_slice(chunk);
-            self.word(u64::from_le_bytes(word));
-        }
-        let mut last = [0u8; 8];
-        for (to, from) in last.iter_mut().zip(words.remainder()) {
-            *to = *from;
-        }
-        self.word(u64::from_le_bytes(last));
-    }
-}
--- a/crates/batch/batch/src/json.rs
+++ b/crates/batch/batch/src/json.rs
@@ -1,4 +1,8 @@
-//! The JSON of a batch job's calls: reading what a client submits, writing what a read answers.
+//! The JSON of clients' calls about batch jobs: reads what a client submits, writes the response to
+//! a read.
+//!
+//! What a client submits is checked here so far that an item can be sent to a runner as it is: ids,
+//! paths, header names and values, bodies. Unknown keys are ignored.
 
 use crate::codes;
 use crate::wire::{
@@ -15,10 +19,10 @@
 use std::collections::HashSet;
 use std::fmt;
 
-/// Why a batch job is refused for good.
+/// Why a batch job is rejected for good.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("{code}: {text}{}", place(.item))]
-pub struct BadBatchJob {
+#[error("{code}: {text}{}", position(.item))]
+pub struct InvalidBatchJob {
     /// One of [`codes::CODES`].
     pub code: u16,
     /// What that means.
@@ -27,30 +31,29 @@
     pub item: Option<usize>,
 }
 
-fn place(item: &Option<usize>) -> String {
+fn position(item: &Option<usize>) -> String {
     item.map(|index| format!(" (item {index})"))
         .unwrap_or_default()
 }
 
-impl BadBatchJob {
-    /// The error of a code.
+impl InvalidBatchJob {
+    /// The error with one of [`codes::CODES`], at an item if it is the fault of one.
     pub fn new(code: u16, item: Option<usize>) -> Self {
-        let text = codes::CODES
-            .iter()
-            .find(|c| c.0 == code)
-            .map_or("refused", |c| c.2);
+        let found = codes::CODES.iter().find(|known| known.number == code);
+        let text = found.map_or("refused", |found| found.description);
         Self { code, text, item }
     }
 }
 
-/// Padding may be left out: both are in use, and the bytes are the same.
+/// Clients leave padding out or not; the bytes are the same.
 const BASE64: GeneralPurpose = GeneralPurpose::new(
     &alphabet::STANDARD,
     GeneralPurposeConfig::new().with_decode_padding_mode(DecodePaddingMode::Indifferent),
 );
 
-/// Headers that concern one connection, or that the system itself sets at a runner: they are left out.
-const LEFT_OUT: &[&str] = &[
+/// Headers of an item that are dropped: they concern one connection (RFC 9110, 7.6.1), or the tier
+/// itself sets them in its request to a runner.
+const DROPPED_HEADERS: &[&str] = &[
     "connection",
     "content-length",
     "expect",
@@ -87,7 +90,7 @@
     tokens: u64,
 }
 
-/// Names and values in their order; a map would lose it.
+/// Names and values in the client's order, which a map would lose.
 #[derive(Default)]
 struct RawHeaders<'a>(Vec<(Cow<'a, str>, Cow<'a, str>)>);
 
@@ -101,14 +104,14 @@
             type Value = RawHeaders<'de>;
 
             fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
-                f.write_str("names of headers and their values")
+                f.write_str("an object of header names and values")
             }
 
             fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<Self::Value, A::Error> {
                 let mut pairs = Vec::new();
                 while let Some((name, value)) = map.next_entry::<RawText<'de>, RawText<'de>>()? {
-                    // One more than is allowed is enough to refuse the item.
-                    if pairs.len() <= MAX_HEADERS + LEFT_OUT.len() {
+                    // One more than is allowed is enough to reject the item.
+                    if pairs.len() <= MAX_HEADERS + DROPPED_HEADERS.len() {
                         pairs.push((name.0, value.0));
                     }
                 }
@@ -119,7 +122,8 @@
     }
 }
 
-/// Whether a text may stand as a batch job's or an item's id: visible ASCII, for it becomes a header and part of a path.
+/// Whether a text may be the id of a batch job or an item: visible ASCII, since it becomes the value
+/// of a header and part of a path.
 fn is_id(id: &str) -> bool {
     !id.is_empty()
         && id.len() <= MAX_NAME
@@ -146,87 +150,94 @@
         && path.bytes().all(|b| b.is_ascii_graphic() && b != b'#')
 }
 
-/// Whether a client's name for a batch job can be kept: [`codes::BAD_BATCH_JOB_ID`] if not.
-pub fn check_batch_job_id(id: &str) -> Result<(), BadBatchJob> {
+/// Checks a client's id for a batch job.
+///
+/// # Errors
+/// [`codes::BAD_BATCH_JOB_ID`].
+pub fn check_batch_job_id(id: &str) -> Result<(), InvalidBatchJob> {
     if is_id(id) {
         Ok(())
     } else {
-        Err(BadBatchJob::new(codes::BAD_BATCH_JOB_ID, None))
+        Err(InvalidBatchJob::new(codes::BAD_BATCH_JOB_ID, None))
     }
 }
 
-/// Reads the body of a submit: all of its items, or why none is taken.
-pub fn read_submit(body: &[u8]) -> Result<Vec<Item>, BadBatchJob> {
+/// Reads the body of a submission: all of its items.
+///
+/// # Errors
+/// One of [`codes::CODES`]: then none of the items is accepted.
+pub fn read_submit(body: &[u8]) -> Result<Vec<Item>, InvalidBatchJob> {
     let raw: RawBatchJob =
-        serde_json::from_slice(body).map_err(|_| BadBatchJob::new(codes::UNREADABLE, None))?;
+        serde_json::from_slice(body).map_err(|_| InvalidBatchJob::new(codes::UNREADABLE, None))?;
     if raw.requests.is_empty() {
-        return Err(BadBatchJob::new(codes::NO_ITEMS, None));
+        return Err(InvalidBatchJob::new(codes::NO_ITEMS, None));
     }
     if raw.requests.len() > MAX_ITEMS {
-        return Err(BadBatchJob::new(codes::TOO_MANY_ITEMS, None));
+        return Err(InvalidBatchJob::new(codes::TOO_MANY_ITEMS, None));
     }
     let mut items = Vec::with_capacity(raw.requests.len());
     for (index, item) in raw.requests.into_iter().enumerate() {
-        items.push(read_item(item).map_err(|code| BadBatchJob::new(code, Some(index)))?);
+        items.push(read_item(index, item)?);
     }
     let mut ids = HashSet::with_capacity(items.len());
     for (index, item) in items.iter().enumerate() {
         if !ids.insert(item.id.as_str()) {
-            return Err(BadBatchJob::new(codes::SAME_ITEM_ID, Some(index)));
+            return Err(InvalidBatchJob::new(codes::SAME_ITEM_ID, Some(index)));
         }
     }
     Ok(items)
 }
 
-fn read_item(raw: RawItem) -> Result<Item, u16> {
+fn read_item(index: usize, raw: RawItem) -> Result<Item, InvalidBatchJob> {
+    let invalid = |code| InvalidBatchJob::new(code, Some(index));
     if !is_id(&raw.id) {
-        return Err(codes::BAD_ITEM_ID);
+        return Err(invalid(codes::BAD_ITEM_ID));
     }
     if !is_path(&raw.path) {
-        return Err(codes::BAD_PATH);
+        return Err(invalid(codes::BAD_PATH));
     }
     let mut headers = Vec::with_capacity(raw.headers.0.len());
     for (name, value) in raw.headers.0 {
         if !is_token(&name) {
-            return Err(codes::BAD_HEADER_NAME);
+            return Err(invalid(codes::BAD_HEADER_NAME));
         }
         if !is_value(&value) {
-            return Err(codes::BAD_HEADER_VALUE);
+            return Err(invalid(codes::BAD_HEADER_VALUE));
         }
-        if LEFT_OUT
+        if DROPPED_HEADERS
             .iter()
-            .any(|left_out| name.eq_ignore_ascii_case(left_out))
+            .any(|dropped| name.eq_ignore_ascii_case(dropped))
         {
             continue;
         }
         if headers.len() >= MAX_HEADERS {
-            return Err(codes::TOO_MANY_HEADERS);
+            return Err(invalid(codes::TOO_MANY_HEADERS));
         }
         headers.push(Header {
             name: CompactString::from(name),
             value: CompactString::from(value),
         });
     }
-    // A body too long for an item isn't decoded first.
-    if raw.body.len() / 4 > MAX_BODY / 3 {
-        return Err(codes::BAD_BODY);
-    }
-    let body = BASE64
-        .decode(raw.body.as_bytes())
-        .map_err(|_| codes::BAD_BODY)?;
-    if body.len() > MAX_BODY {
-        return Err(codes::BAD_BODY);
-    }
     Ok(Item {
         id: CompactString::from(raw.id),
         path: CompactString::from(raw.path),
         headers,
-        body: Bytes::from(body),
+        body: read_body(&raw.body).ok_or_else(|| invalid(codes::BAD_BODY))?,
         tokens: raw.tokens,
     })
 }
 
-/// Writes the answer to a read.
+fn read_body(text: &str) -> Option<Bytes> {
+    // Base64 that is too long for a body is rejected before it is decoded.
+    if text.len() / 4 > MAX_BODY / 3 {
+        return None;
+    }
+    let body = BASE64.decode(text.as_bytes()).ok()?;
+    (body.len() <= MAX_BODY).then(|| Bytes::from(body))
+}
+
+/// Writes the response to a read: `total` items in the job, the position `next` after the last of
+/// `results`.
 pub fn write_read(total: u32, next: u32, results: &[ResultEntry]) -> Vec<u8> {
     let size = results
         .iter()
@@ -240,7 +251,7 @@
         out.extend_from_slice(if at == 0 { b"{\"Id\":" } else { b",{\"Id\":" });
         put_string(&mut out, result.id.as_bytes());
         out.extend_from_slice(b",\"State\":\"");
-        out.extend_from_slice(result.state.name().as_bytes());
+        out.extend_from_slice(result.status.name().as_bytes());
         out.extend_from_slice(b"\",\"Message\":");
         put_string(&mut out, &result.text);
         out.push(b'}');
@@ -249,7 +260,7 @@
     out
 }
 
-/// How many bytes a text has as a JSON string, without its quotes.
+/// The length of a text as a JSON string, without its quotes, in bytes.
 pub fn escaped_len(text: &[u8]) -> usize {
     text.iter().fold(0, |sum, byte| {
         sum + match byte {
@@ -261,7 +272,7 @@
 }
 
 fn put_string(out: &mut Vec<u8>, text: &[u8]) {
-    // Bytes that are no UTF-8 never come from a store; a reader of the answer would choke on them.
+    // A store never sends bytes that are no UTF-8; in a response they would make the JSON invalid.
     match std::str::from_utf8(text) {
         Ok(text) => put_utf8(out, text.as_bytes()),
         Err(_) => put_utf8(out, String::from_utf8_lossy(text).as_bytes()),
--- a/crates/batch/batch/src/lib.rs
+++ b/crates/batch/batch/src/lib.rs
@@ -1,29 +1,34 @@
-//! Batch jobs: items, positions of results, leases, quota; no I/O.
+//! Batch jobs: items, positions of results, leases, quota. State machines without I/O, clock or
+//! randomness.
 //!
-//! - [`wire`]: what gateways, stores and controllers say to each other about batch jobs.
+//! - [`wire`]: the messages of gateways, stores and controllers about batch jobs.
 //! - [`json`]: what clients submit and read.
-//! - [`BatchJobTable`]: the table that a partition's chain of stores replicates, changed by [`command::Command`]s alone.
-//! - [`Reservations`]: the tokens of a route that are promised to batch jobs on other partitions, and [`QuotaLeader`], which grants them.
-//! - [`PartitionLeader`]: what only the head of a chain knows: who holds which item, and what time brings.
-
-#![expect(clippy::missing_errors_doc, reason = "not revised yet")]
+//! - [`BatchJobTable`]: the table that a partition's chain of stores replicates, changed by
+//!   [`command::Command`]s alone.
+//! - [`PartitionLeader`]: what only the head of a chain knows: which gateway leases which item, and
+//!   when something is to be given up or deleted.
+//! - [`Reservations`]: the tokens of a route that are reserved for batch jobs on other partitions,
+//!   and [`QuotaLeader`], which grants them.
 
 mod codec;
 pub mod codes;
 pub mod command;
+mod content_digest;
 pub mod json;
-mod leases;
-mod owner;
-mod quota;
+mod lease_table;
+mod partition_leader;
+mod quota_leader;
 mod reservations;
 mod route_queue;
 mod table;
 pub mod wire;
 
-pub use owner::{
-    max_queued_tokens, EndDecision, PartitionLeader, QuotaState, SubmitDecision, TAKEOVER_GRACE_MS,
+pub use content_digest::content_digest;
+pub use partition_leader::{
+    max_queued_tokens, Admission, EndDecision, Fetch, PartitionLeader, QuotaState, SubmitDecision,
+    TAKEOVER_GRACE_MS,
 };
-pub use quota::{QuotaLeader, ReserveDecision};
+pub use quota_leader::{QuotaLeader, ReserveDecision};
 pub use reservations::{Reservation, Reservations};
 pub use route_queue::Urgency;
-pub use table::{BatchItem, BatchJob, BatchJobTable, Found, ItemState};
+pub use table::{BatchItem, BatchJob, BatchJobTable, ItemState, ResultPage};
--- a/crates/batch/batch/src/reservations.rs
+++ b/crates/batch/batch/src/reservations.rs
@@ -1,20 +1,23 @@
-//! Tokens of a route that are promised to batch jobs on any partition: the replicated part of a quota, kept in the table of the
-//! host's home partition, so that a new head of it knows each promise that was ever said.
-
-use crate::codec::{put_text, text};
-use crate::wire::MAX_NAME;
+//! Tokens of a route that are reserved for batch jobs on any partition: the replicated part of a
+//! quota.
+//!
+//! It is part of the table of the host's home partition, so that a new head of it knows every grant
+//! that was ever sent.
+
+use crate::codec::{read_name, write_name};
+use crate::wire::JobKey;
 use binrw::io::{Read, Seek, Write};
 use binrw::{BinRead, BinResult, BinWrite, Endian};
 use compact_str::CompactString;
 use std::collections::BTreeMap;
 
-/// What a reservation costs in memory besides its names.
-const COST: usize = 160;
+/// What a reservation costs in memory beside its names, in bytes.
+const RESERVATION_COST: usize = 160;
 
-/// The tokens that are promised to one batch job.
+/// The tokens that are reserved for one batch job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reservation {
-    /// The partition that keeps the batch job, or was to keep it.
+    /// The partition that holds the batch job, or was to hold it.
     pub partition: u16,
     /// How many tokens.
     pub tokens: u64,
@@ -26,7 +29,7 @@
     batch_jobs: BTreeMap<CompactString, Reservation>,
 }
 
-/// All reservations of one home partition. A route's sum is exactly that of its batch jobs.
+/// All reservations of one home partition. Invariant: the sum of a route is that of its batch jobs.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Reservations {
     routes: BTreeMap<(CompactString, CompactString), Route>,
@@ -34,17 +37,17 @@
 }
 
 impl Reservations {
-    /// The tokens that are promised on a route.
+    /// The tokens that are reserved on a route.
     pub fn sum(&self, host: &str, route: &str) -> u64 {
         self.route(host, route).map_or(0, |route| route.sum)
     }
 
-    /// The promise to one batch job.
+    /// The reservation of one batch job.
     pub fn of(&self, host: &str, route: &str, batch_job: &str) -> Option<Reservation> {
         self.route(host, route)?.batch_jobs.get(batch_job).copied()
     }
 
-    /// All promises on a route, by the batch jobs' ids.
+    /// All reservations on a route, in the order of the batch jobs' ids.
     pub fn on<'a>(
         &'a self,
         host: &str,
@@ -55,12 +58,12 @@
             .flat_map(|route| route.batch_jobs.iter())
     }
 
-    /// The routes on which something is promised: host and name.
+    /// The routes with reservations: host and name.
     pub fn routes(&self) -> impl Iterator<Item = (&CompactString, &CompactString)> {
         self.routes.keys().map(|(host, route)| (host, route))
     }
 
-    /// Whether nothing is promised.
+    /// Whether nothing is reserved.
     pub fn is_empty(&self) -> bool {
         self.routes.is_empty()
     }
@@ -74,56 +77,43 @@
         self.routes.get(&(host.into(), route.into()))
     }
 
-    /// Promises tokens to a batch job: at least as many as it has already.
-    pub(crate) fn reserve(
-        &mut self,
-        host: CompactString,
-        route: CompactString,
-        batch_job: CompactString,
-        new: Reservation,
-    ) {
-        let names = host.len() + route.len() + batch_job.len();
-        let found = self.routes.entry((host, route)).or_default();
-        match found.batch_jobs.get_mut(&batch_job) {
+    /// Reserves tokens for a batch job: at least as many as are reserved for it already.
+    pub(crate) fn reserve(&mut self, job: JobKey, new: Reservation) {
+        let names = names_len(&job);
+        let route = self.routes.entry((job.host, job.route)).or_default();
+        match route.batch_jobs.get_mut(&job.batch_job) {
             Some(old) => {
                 let more = new.tokens.saturating_sub(old.tokens);
                 old.tokens += more;
                 old.partition = new.partition;
-                found.sum = found.sum.saturating_add(more);
+                route.sum = route.sum.saturating_add(more);
             }
             None => {
-                self.bytes += COST + names;
-                found.sum = found.sum.saturating_add(new.tokens);
-                found.batch_jobs.insert(batch_job, new);
+                self.bytes += RESERVATION_COST + names;
+                route.sum = route.sum.saturating_add(new.tokens);
+                route.batch_jobs.insert(job.batch_job, new);
             }
         }
     }
 
-    /// So many tokens of a batch job still wait: never more than were promised. Without any it is promised nothing more.
-    pub(crate) fn left(
-        &mut self,
-        host: &CompactString,
-        route: &CompactString,
-        batch_job: &str,
-        tokens: u64,
-    ) {
-        let key = (host.clone(), route.clone());
-        let Some(found) = self.routes.get_mut(&key) else {
+    /// So many tokens of a batch job are still queued: its reservation becomes no larger than that,
+    /// and is removed without any.
+    pub(crate) fn shrink(&mut self, job: &JobKey, tokens: u64) {
+        let key = (job.host.clone(), job.route.clone());
+        let Some(route) = self.routes.get_mut(&key) else {
             return;
         };
-        let Some(old) = found.batch_jobs.get_mut(batch_job) else {
+        let Some(old) = route.batch_jobs.get_mut(&job.batch_job) else {
             return;
         };
-        let kept = old.tokens.min(tokens);
-        found.sum = found.sum.saturating_sub(old.tokens - kept);
-        old.tokens = kept;
-        if kept == 0 {
-            found.batch_jobs.remove(batch_job);
-            self.bytes = self
-                .bytes
-                .saturating_sub(COST + host.len() + route.len() + batch_job.len());
+        let left = old.tokens.min(tokens);
+        route.sum = route.sum.saturating_sub(old.tokens - left);
+        old.tokens = left;
+        if left == 0 {
+            route.batch_jobs.remove(&job.batch_job);
+            self.bytes = self.bytes.saturating_sub(RESERVATION_COST + names_len(job));
         }
-        if found.batch_jobs.is_empty() {
+        if route.batch_jobs.is_empty() {
             self.routes.remove(&key);
         }
     }
@@ -138,7 +128,7 @@
         for ((host, name), route) in &self.routes {
             for (batch_job, reservation) in &route.batch_jobs {
                 for name in [host, name, batch_job] {
-                    put_text(name, out, Endian::Little, (MAX_NAME,))?;
+                    write_name(name, out, Endian::Little, ())?;
                 }
                 reservation.partition.write_le(out)?;
                 reservation.tokens.write_le(out)?;
@@ -148,16 +138,24 @@
     }
 
     pub(crate) fn read<R: Read + Seek>(input: &mut R) -> BinResult<Self> {
-        let mut found = Reservations::default();
+        let mut reservations = Reservations::default();
         for _ in 0..u32::read_le(input)? {
-            let mut name = || text(input, Endian::Little, (MAX_NAME,));
-            let (host, route, batch_job) = (name()?, name()?, name()?);
+            let mut name = || read_name(input, Endian::Little, ());
+            let job = JobKey {
+                host: name()?,
+                route: name()?,
+                batch_job: name()?,
+            };
             let reservation = Reservation {
                 partition: u16::read_le(input)?,
                 tokens: u64::read_le(input)?,
             };
-            found.reserve(host, route, batch_job, reservation);
+            reservations.reserve(job, reservation);
         }
-        Ok(found)
+        Ok(reservations)
     }
 }
+
+fn names_len(job: &JobKey) -> usize {
+    job.host.len() + job.route.len() + job.batch_job.len()
+}
--- a/crates/batch/batch/tests/frame_bytes.rs
+++ b/crates/batch/batch/tests/frame_bytes.rs
@@ -4,9 +4,9 @@
 #![expect(clippy::unwrap_used, reason = "a test ends at the first surprise")]
 #![expect(clippy::too_many_lines, reason = "not revised yet")]
 
-use batch::command::{content, Command, ItemResult, Take};
+use batch::command::{AcceptedJob, Command, ItemResult};
 use batch::wire::*;
-use batch::{BatchJobTable, ItemState};
+use batch::{content_digest, BatchJobTable, ItemState};
 use bytes::Bytes;
 use chain_replication::{Member, ReplicaStatus, StateMachine, View};
 use std::collections::BTreeMap;
@@ -151,12 +151,12 @@
     let results = vec![
         ResultEntry {
             id: "a".into(),
-            state: ResultStatus::Complete,
+            status: ResultStatus::Complete,
             text: Bytes::from_static(b"x\ny"),
         },
         ResultEntry {
             id: "b".into(),
-            state: ResultStatus::Abandoned,
+            status: ResultStatus::Abandoned,
             text: Bytes::new(),
         },
     ];
@@ -210,16 +210,16 @@
 #[test]
 fn item_calls_and_their_answers_keep_their_bytes() {
     let mut recorded = Recorded::new();
-    let wants = vec![
+    let demands = vec![
         RouteDemand {
             host: "h".into(),
             route: "r".into(),
-            want: 3,
+            max_items: 3,
         },
         RouteDemand {
             host: "i".into(),
             route: "s".into(),
-            want: 0,
+            max_items: 0,
         },
     ];
     recorded.message(
@@ -227,15 +227,17 @@
         &FetchRequest {
             holder: 9,
             wait_ms: 500,
-            wants,
+            demands,
         },
     );
     let leased = LeasedItem {
         host: "h".into(),
         route: "r".into(),
-        batch_job: "l".into(),
-        index: 1,
-        lease: 0x0002_0000_0003,
+        key: LeaseKey {
+            batch_job: "l".into(),
+            index: 1,
+            lease: 0x0002_0000_0003,
+        },
         due_in_ms: 3,
         retain_in_ms: u64::MAX,
         tries_left: 5,
@@ -255,13 +257,15 @@
         "items fetch answer",
         &FetchResponse {
             items: vec![leased],
-            elsewhere,
+            redirects: elsewhere,
         },
     );
     let result = |outcome| Completion {
-        batch_job: "l".into(),
-        index: 1,
-        lease: 2,
+        key: LeaseKey {
+            batch_job: "l".into(),
+            index: 1,
+            lease: 2,
+        },
         outcome,
     };
     let results = vec![
@@ -286,7 +290,7 @@
         "items done answer moved",
         &CompleteResponse::Redirect { to: v4() },
     );
-    let held = vec![LeaseRef {
+    let held = vec![LeaseKey {
         batch_job: "l".into(),
         index: 1,
         lease: 2,
@@ -294,29 +298,35 @@
     let parts = vec![
         PartitionLeases {
             partition: 2,
-            held: held.clone(),
+            leases: held.clone(),
         },
         PartitionLeases {
             partition: 3,
-            held: Vec::new(),
+            leases: Vec::new(),
         },
     ];
-    recorded.message("items hold call", &RenewRequest { holder: 1, parts });
+    recorded.message(
+        "items hold call",
+        &RenewRequest {
+            holder: 1,
+            partitions: parts,
+        },
+    );
     let parts = vec![
         PartitionRenewal {
             partition: 1,
-            answer: RenewOutcome::Revoke { leases: held },
+            outcome: RenewOutcome::Revoke { leases: held },
         },
         PartitionRenewal {
             partition: 2,
-            answer: RenewOutcome::Unavailable,
+            outcome: RenewOutcome::Unavailable,
         },
         PartitionRenewal {
             partition: 3,
-            answer: RenewOutcome::Redirect { to: v6() },
+            outcome: RenewOutcome::Redirect { to: v6() },
         },
     ];
-    recorded.message("items hold answer", &RenewResponse { parts });
+    recorded.message("items hold answer", &RenewResponse { partitions: parts });
     recorded.finish("items ");
 }
 
@@ -324,15 +334,17 @@
 fn quota_messages_keep_their_bytes() {
     let mut recorded = Recorded::new();
     let call = ReserveRequest {
-        host: "h".into(),
-        route: "r".into(),
-        batch_job: "l".into(),
+        job: JobKey {
+            host: "h".into(),
+            route: "r".into(),
+            batch_job: "l".into(),
+        },
         partition: 3,
         reply_to: v4(),
         incarnation: 4,
         nonce: 5,
         tokens: 6,
-        most: u64::MAX,
+        max_tokens: u64::MAX,
     };
     recorded.message("quota reserve", &call);
     for (label, soon) in [
@@ -340,25 +352,29 @@
         ("quota reserve note late", false),
     ] {
         let note = ReserveProgress {
-            partition: 3,
-            batch_job: "l".into(),
-            incarnation: 4,
-            nonce: 5,
+            attempt: ReserveAttempt {
+                partition: 3,
+                batch_job: "l".into(),
+                incarnation: 4,
+                nonce: 5,
+            },
             soon,
         };
         recorded.message(label, &note);
     }
     for (label, granted) in [("quota granted", true), ("quota refused", false)] {
         let word = ReserveResponse {
-            partition: 3,
-            batch_job: "l".into(),
-            incarnation: 4,
-            nonce: 5,
+            attempt: ReserveAttempt {
+                partition: 3,
+                batch_job: "l".into(),
+                incarnation: 4,
+                nonce: 5,
+            },
             granted,
         };
         recorded.message(label, &word);
     }
-    let batch_jobs = vec![AuditedJob {
+    let batch_jobs = vec![JobKey {
         host: "h".into(),
         route: "r".into(),
         batch_job: "l".into(),
@@ -369,20 +385,24 @@
         reply_to: v6(),
         incarnation: 3,
         audit: 4,
-        batch_jobs,
+        jobs: batch_jobs,
     };
     recorded.message("quota audit", &audit);
     let batch_jobs = vec![
         RemainingTokens {
-            host: "h".into(),
-            route: "r".into(),
-            batch_job: "l".into(),
+            job: JobKey {
+                host: "h".into(),
+                route: "r".into(),
+                batch_job: "l".into(),
+            },
             tokens: 9,
         },
         RemainingTokens {
-            host: "h".into(),
-            route: "r".into(),
-            batch_job: "m".into(),
+            job: JobKey {
+                host: "h".into(),
+                route: "r".into(),
+                batch_job: "m".into(),
+            },
             tokens: 0,
         },
     ];
@@ -391,7 +411,7 @@
         partition: 2,
         incarnation: 3,
         audit: 4,
-        batch_jobs,
+        jobs: batch_jobs,
     };
     recorded.message("quota left", &left);
     recorded.finish("quota ");
@@ -494,8 +514,8 @@
     recorded.finish("stores ");
 }
 
-fn take() -> Take {
-    Take {
+fn take() -> AcceptedJob {
+    AcceptedJob {
         clock: 0x0a0b,
         batch_job: "job-1".into(),
         host: "h.example".into(),
@@ -518,9 +538,11 @@
     let (host, route) = ("h.example".into(), "r".into());
     Command::Reserve {
         clock: 12,
-        host,
-        route,
-        batch_job: batch_job.into(),
+        job: JobKey {
+            host,
+            route,
+            batch_job: batch_job.into(),
+        },
         partition,
         tokens,
     }
@@ -530,7 +552,7 @@
     ItemResult {
         batch_job: "job-1".into(),
         index,
-        state,
+        status: state,
         text: Bytes::from_static(text),
     }
 }
@@ -566,9 +588,11 @@
     let left = |batch_job: &str, tokens| {
         let (host, route) = ("h.example".into(), "r".into());
         RemainingTokens {
-            host,
-            route,
-            batch_job: batch_job.into(),
+            job: JobKey {
+                host,
+                route,
+                batch_job: batch_job.into(),
+            },
             tokens,
         }
     };
@@ -577,7 +601,7 @@
         "command left",
         &Command::UpdateReservations {
             clock: 11,
-            batch_jobs,
+            jobs: batch_jobs,
         },
     );
     recorded.finish("command ");
@@ -592,7 +616,7 @@
         result(2, ResultStatus::Complete, b"out\nput"),
         result(0, ResultStatus::Abandoned, b""),
     ];
-    let ended = Take {
+    let ended = AcceptedJob {
         batch_job: "job-2".into(),
         ..take()
     };
@@ -630,7 +654,7 @@
         matches!(&job.items[1].state, ItemState::Pending { path, .. } if path == "/v1/complete?x=1")
     );
     let listed = ItemState::Finished {
-        state: ResultStatus::Complete,
+        status: ResultStatus::Complete,
         text: Bytes::from_static(b"out\nput"),
     };
     assert_eq!(job.items[2].state, listed);
@@ -660,13 +684,13 @@
 /// Kept in the table: a job that is submitted again after an upgrade must be known as the same.
 #[test]
 fn the_digest_of_a_job_keeps_its_value() {
-    assert_eq!(content("h.example", &[]), 0xa0f5_8aa7_19d1_daa6);
+    assert_eq!(content_digest("h.example", &[]), 0xa0f5_8aa7_19d1_daa6);
     assert_eq!(
-        content("h.example", &[item("a", b"body")]),
+        content_digest("h.example", &[item("a", b"body")]),
         0xb81f_b933_dc92_1ec5
     );
     assert_eq!(
-        content("h.example", &[item("a", b"body"), item("b", b"")]),
+        content_digest("h.example", &[item("a", b"body"), item("b", b"")]),
         0x9a8d_231f_961d_eb4c
     );
 }
--- a/crates/batch/batch/tests/json.rs
+++ b/crates/batch/batch/tests/json.rs
@@ -144,8 +144,8 @@
 #[test]
 fn all_codes_stay() {
     let mut said = String::new();
-    for (code, name, text) in codes::CODES {
-        writeln!(said, "{code} {name}: {text}").unwrap();
+    for code in codes::CODES {
+        writeln!(said, "{} {}: {}", code.number, code.name, code.description).unwrap();
     }
     insta::assert_snapshot!(said, @r#"
     701 unreadable: the body is not the JSON of a batch job
@@ -180,12 +180,12 @@
     let results = vec![
         ResultEntry {
             id: "a".into(),
-            state: ResultStatus::Complete,
+            status: ResultStatus::Complete,
             text: Bytes::from(text.clone()),
         },
         ResultEntry {
             id: "b".into(),
-            state: ResultStatus::Abandoned,
+            status: ResultStatus::Abandoned,
             text: Bytes::new(),
         },
     ];
@@ -232,12 +232,12 @@
 
     #[test]
     fn every_text_comes_through(text in any::<String>(), id in any::<String>()) {
-        let listed = ResultEntry { id: id.clone().into(), state: ResultStatus::Complete, text: Bytes::from(text.clone()) };
+        let listed = ResultEntry { id: id.clone().into(), status: ResultStatus::Complete, text: Bytes::from(text.clone()) };
         let json = write_read(1, 1, &[listed]);
         let value: serde_json::Value = serde_json::from_slice(&json).unwrap();
         prop_assert_eq!(value["Results"][0]["Message"].as_str(), Some(text.as_str()));
         prop_assert_eq!(value["Results"][0]["Id"].as_str(), Some(id.as_str()));
-        let around = write_read(1, 1, &[ResultEntry { id: "".into(), state: ResultStatus::Complete, text: Bytes::new() }]).len();
+        let around = write_read(1, 1, &[ResultEntry { id: "".into(), status: ResultStatus::Complete, text: Bytes::new() }]).len();
         prop_assert_eq!(json.len(), around + escaped_len(text.as_bytes()) + escaped_len(id.as_bytes()));
     }
 }
--- a/crates/batch/batch/tests/owner.rs
+++ b/crates/batch/batch/tests/partition_leader.rs
@@ -6,8 +6,8 @@
 use batch::command::Command;
 use batch::wire::*;
 use batch::{
-    BatchJobTable, EndDecision, ItemState, PartitionLeader, QuotaState, SubmitDecision,
-    TAKEOVER_GRACE_MS,
+    Admission, BatchJobTable, EndDecision, Fetch, ItemState, PartitionLeader, QuotaState,
+    SubmitDecision, TAKEOVER_GRACE_MS,
 };
 use bytes::Bytes;
 use chain_replication::StateMachine;
@@ -16,6 +16,22 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 const POLL: u64 = 120_000;
+const LOCAL: Admission = Admission {
+    has_capacity: true,
+    quota: QuotaState::Local,
+};
+const FULL: Admission = Admission {
+    has_capacity: false,
+    ..LOCAL
+};
+
+fn fetch(holder: u64, demands: &[RouteDemand]) -> Fetch<'_> {
+    Fetch {
+        holder,
+        demands,
+        max_per_route: usize::MAX,
+    }
+}
 
 fn item(id: &str, tokens: u64) -> Item {
     Item {
@@ -44,112 +60,96 @@
     }
 }
 
-fn wants(want: u32) -> Vec<RouteDemand> {
+fn demands(max_items: u32) -> Vec<RouteDemand> {
     vec![RouteDemand {
         host: "h.example".into(),
         route: "r".into(),
-        want,
+        max_items,
     }]
 }
 
 /// One head on its own: what it proposes is committed at once.
 struct Alone {
-    batch_jobs: BatchJobTable,
-    owner: PartitionLeader,
+    table: BatchJobTable,
+    leader: PartitionLeader,
     number: u64,
 }
 
 impl Alone {
     fn new(now: u64) -> Self {
-        let batch_jobs = BatchJobTable::new();
-        let owner = PartitionLeader::new(now, 1, &batch_jobs, POLL);
+        let table = BatchJobTable::new();
+        let leader = PartitionLeader::new(now, 1, &table, POLL);
         Self {
-            batch_jobs,
-            owner,
+            table,
+            leader,
             number: 0,
         }
     }
 
     fn apply(&mut self, command: &Bytes) {
         self.number += 1;
-        self.batch_jobs.apply(self.number, command);
+        self.table.apply(self.number, command);
     }
 
     fn submit(&mut self, now: u64, call: SubmitRequest) -> Option<SubmitResponse> {
         let batch_job = call.batch_job.clone();
-        match self
-            .owner
-            .submit(now, &self.batch_jobs, call, true, QuotaState::Local)
-        {
+        match self.leader.submit(now, &self.table, call, LOCAL) {
             SubmitDecision::Answer(answer) => Some(answer),
             SubmitDecision::Known => Some(SubmitResponse::Accepted),
             SubmitDecision::Reserve(..) => panic!("the quota is held here"),
             SubmitDecision::Propose(command) => {
                 self.apply(&command);
-                self.owner.taken(&self.batch_jobs, &batch_job);
+                self.leader.accepted(&self.table, &batch_job);
                 None
             }
         }
     }
 
-    fn fetch(&mut self, now: u64, holder: u64, want: u32) -> Vec<LeasedItem> {
-        self.owner
-            .fetch(now, &self.batch_jobs, holder, &wants(want), usize::MAX)
+    fn fetch(&mut self, now: u64, holder: u64, max_items: u32) -> Vec<LeasedItem> {
+        self.leader
+            .fetch(now, &self.table, fetch(holder, &demands(max_items)))
     }
 
-    fn done(&mut self, now: u64, holder: u64, of: &LeasedItem, outcome: Outcome) {
+    fn complete(&mut self, now: u64, holder: u64, of: &LeasedItem, outcome: Outcome) {
         let done = Completion {
-            batch_job: of.batch_job.clone(),
-            index: of.index,
-            lease: of.lease,
+            key: of.key.clone(),
             outcome,
         };
-        for command in self.owner.done(now, holder, vec![done]) {
+        for command in self.leader.complete(now, holder, vec![done]) {
             self.apply(&command);
         }
     }
 
     fn end(&mut self, now: u64, batch_job: &str) -> bool {
-        match self
-            .owner
-            .end(now, &self.batch_jobs, "h.example", batch_job)
-        {
+        match self.leader.end(now, &self.table, "h.example", batch_job) {
             EndDecision::Propose(command) => {
                 self.apply(&command);
                 true
             }
             EndDecision::Known => true,
-            EndDecision::Unknown => false,
+            EndDecision::NotFound => false,
         }
     }
 
     fn tick(&mut self, now: u64) {
-        for command in self.owner.tick(now, &self.batch_jobs) {
+        for command in self.leader.tick(now, &self.table) {
             self.apply(&command);
         }
     }
 
     fn read(&self, batch_job: &str) -> Vec<(String, ResultStatus)> {
         let found = self
-            .batch_jobs
+            .table
             .read("h.example", batch_job, 0, MAX_READ_BYTES)
             .unwrap();
         found
             .results
             .into_iter()
-            .map(|l| (l.id.to_string(), l.state))
+            .map(|l| (l.id.to_string(), l.status))
             .collect()
     }
 }
 
-fn held(of: &LeasedItem) -> LeaseRef {
-    LeaseRef {
-        batch_job: of.batch_job.clone(),
-        index: of.index,
-        lease: of.lease,
-    }
-}
-
 fn complete(text: &str) -> Outcome {
     Outcome::Complete {
         text: Bytes::copy_from_slice(text.as_bytes()),
@@ -172,9 +172,7 @@
         "also after its end"
     );
     assert_eq!(head.submit(4, call("a", 3)), bad);
-    let busy = head
-        .owner
-        .submit(4, &head.batch_jobs, call("b", 1), false, QuotaState::Local);
+    let busy = head.leader.submit(4, &head.table, call("b", 1), FULL);
     assert_eq!(busy, SubmitDecision::Answer(SubmitResponse::Unavailable));
 }
 
@@ -225,7 +223,7 @@
         Some(SubmitResponse::QuotaExceeded),
         "a held one still waits"
     );
-    head.done(700, 1, &leased[0], complete("x"));
+    head.complete(700, 1, &leased[0], complete("x"));
     assert_eq!(
         head.submit(700, of("d", 1, 100)),
         Some(SubmitResponse::QuotaExceeded)
@@ -242,7 +240,7 @@
     );
     assert_eq!(head.submit(700, of("e", 100, 0)), None, "0 is no limit");
     assert_eq!(
-        head.batch_jobs.waiting("h.example", "r"),
+        head.table.queued_tokens("h.example", "r"),
         50 + 10 + 40 + 1000
     );
 }
@@ -281,7 +279,7 @@
     let order: Vec<_> = head
         .fetch(1_000, 1, 9)
         .into_iter()
-        .map(|l| (l.batch_job.to_string(), l.due_in_ms))
+        .map(|l| (l.key.batch_job.to_string(), l.due_in_ms))
         .collect();
     let expected = [
         ("soon", 1_010),
@@ -306,23 +304,22 @@
             ..call("b", 20)
         },
     );
-    let want = |route: &str, want| RouteDemand {
+    let want = |route: &str, max_items| RouteDemand {
         host: "h.example".into(),
         route: route.into(),
-        want,
+        max_items,
     };
-    let got = head.owner.fetch(
-        700,
-        &head.batch_jobs,
-        1,
-        &[want("r", 9), want("q", 9), want("none", 9)],
-        4,
-    );
+    let demands = [want("r", 9), want("q", 9), want("none", 9)];
+    let limited = Fetch {
+        max_per_route: 4,
+        ..fetch(1, &demands)
+    };
+    let got = head.leader.fetch(700, &head.table, limited);
     assert_eq!(got.iter().filter(|l| l.route == "r").count(), 4);
     assert_eq!(got.iter().filter(|l| l.route == "q").count(), 4);
     assert_ne!(got[0].route, got[1].route);
-    assert_eq!(head.owner.waiting(), 32);
-    assert_eq!(head.owner.waiting_of("h.example", "q"), 16);
+    assert_eq!(head.leader.queued(), 32);
+    assert_eq!(head.leader.queued_on("h.example", "q"), 16);
 }
 
 #[test]
@@ -350,18 +347,18 @@
     );
     let first = head.fetch(700, 1, 1).remove(0);
     assert_eq!(first.tries_left, 3);
-    head.done(701, 1, &first, Outcome::Failed);
-    head.done(702, 1, &first, Outcome::Failed);
+    head.complete(701, 1, &first, Outcome::Failed);
+    head.complete(702, 1, &first, Outcome::Failed);
     let second = head.fetch(703, 2, 1).remove(0);
     assert_eq!(second.tries_left, 2, "told twice, counted once");
-    head.done(704, 1, &first, Outcome::Failed);
-    head.done(705, 2, &second, Outcome::Released);
+    head.complete(704, 1, &first, Outcome::Failed);
+    head.complete(705, 2, &second, Outcome::Released);
     let third = head.fetch(706, 1, 1).remove(0);
     assert_eq!(third.tries_left, 2, "a release is no failure");
-    head.done(707, 1, &third, Outcome::Failed);
+    head.complete(707, 1, &third, Outcome::Failed);
     let fourth = head.fetch(708, 1, 1).remove(0);
     assert_eq!(head.read("a"), []);
-    head.done(709, 1, &fourth, Outcome::Failed);
+    head.complete(709, 1, &fourth, Outcome::Failed);
     assert_eq!(
         head.read("a"),
         [("a-0".to_owned(), ResultStatus::Abandoned)]
@@ -374,18 +371,20 @@
     let mut head = Alone::new(0);
     head.submit(0, call("a", 1));
     let first = head.fetch(700, 1, 1).remove(0);
-    head.done(701, 1, &first, Outcome::Failed);
+    head.complete(701, 1, &first, Outcome::Failed);
     assert_eq!(
-        head.owner.hold(702, &head.batch_jobs, 1, &[held(&first)]),
-        [held(&first)]
+        head.leader
+            .renew(702, &head.table, 1, std::slice::from_ref(&first.key)),
+        std::slice::from_ref(&first.key)
     );
-    head.done(703, 1, &first, Outcome::Failed);
+    head.complete(703, 1, &first, Outcome::Failed);
     let second = head.fetch(704, 1, 1).remove(0);
     assert_eq!(second.tries_left, first.tries_left - 1);
-    head.done(705, 1, &second, Outcome::Released);
+    head.complete(705, 1, &second, Outcome::Released);
     assert_eq!(
-        head.owner.hold(706, &head.batch_jobs, 1, &[held(&second)]),
-        [held(&second)]
+        head.leader
+            .renew(706, &head.table, 1, std::slice::from_ref(&second.key)),
+        std::slice::from_ref(&second.key)
     );
     assert_eq!(head.read("a"), []);
 }
@@ -395,9 +394,9 @@
     let mut head = Alone::new(0);
     head.submit(0, call("a", 2));
     let leased = head.fetch(700, 1, 2);
-    head.done(701, 1, &leased[0], Outcome::Unprocessable);
-    head.done(702, 1, &leased[0], complete("too late"));
-    head.done(703, 1, &leased[1], complete("text"));
+    head.complete(701, 1, &leased[0], Outcome::Unprocessable);
+    head.complete(702, 1, &leased[0], complete("too late"));
+    head.complete(703, 1, &leased[1], complete("text"));
     let expected = [
         ("a-0", ResultStatus::Abandoned),
         ("a-1", ResultStatus::Complete),
@@ -416,34 +415,34 @@
     for now in [1_500, 2_000, 2_500, 3_000] {
         head.tick(now);
         assert_eq!(
-            head.owner
-                .hold(now, &head.batch_jobs, 1, &[held(&leased[0])]),
+            head.leader
+                .renew(now, &head.table, 1, &[leased[0].key.clone()]),
             []
         );
     }
     head.tick(3_500);
     assert_eq!(
-        head.owner.waiting(),
+        head.leader.queued(),
         1,
         "the one that was never told is given to another"
     );
     let other = head.fetch(3_600, 2, 2);
-    assert_eq!((other.len(), other[0].index), (1, leased[1].index));
+    assert_eq!((other.len(), other[0].key.index), (1, leased[1].key.index));
     assert_eq!(
-        head.owner
-            .hold(3_700, &head.batch_jobs, 1, &[held(&leased[1])]),
-        [held(&leased[1])]
+        head.leader
+            .renew(3_700, &head.table, 1, &[leased[1].key.clone()]),
+        [leased[1].key.clone()]
     );
-    head.done(3_800, 1, &leased[1], complete("early"));
+    head.complete(3_800, 1, &leased[1], complete("early"));
     assert_eq!(head.read("a").len(), 1);
     assert_eq!(
-        head.owner
-            .hold(3_900, &head.batch_jobs, 2, &[held(&other[0])]),
-        [held(&other[0])]
+        head.leader
+            .renew(3_900, &head.table, 2, &[other[0].key.clone()]),
+        [other[0].key.clone()]
     );
-    head.done(4_000, 2, &other[0], complete("again"));
+    head.complete(4_000, 2, &other[0], complete("again"));
     assert_eq!(head.read("a").len(), 1);
-    assert_eq!(head.owner.held(), 1);
+    assert_eq!(head.leader.leased(), 1);
 }
 
 #[test]
@@ -451,14 +450,14 @@
     let mut head = Alone::new(0);
     head.submit(0, call("a", 3));
     let leased = head.fetch(700, 1, 2);
-    head.done(701, 1, &leased[0], complete("x"));
+    head.complete(701, 1, &leased[0], complete("x"));
     head.end(702, "a");
     assert!(head.fetch(703, 2, 9).is_empty());
-    let all: Vec<_> = leased.iter().map(held).collect();
-    assert_eq!(head.owner.hold(704, &head.batch_jobs, 1, &all), all);
-    head.done(705, 1, &leased[1], complete("y"));
+    let all: Vec<_> = leased.iter().map(|leased| leased.key.clone()).collect();
+    assert_eq!(head.leader.renew(704, &head.table, 1, &all), all);
+    head.complete(705, 1, &leased[1], complete("y"));
     assert_eq!(head.read("a").len(), 1);
-    assert_eq!((head.owner.held(), head.owner.waiting()), (0, 0));
+    assert_eq!((head.leader.leased(), head.leader.queued()), (0, 0));
 }
 
 #[test]
@@ -473,7 +472,7 @@
         },
     );
     let leased = head.fetch(700, 1, 9);
-    head.done(800, 1, &leased[0], complete("x"));
+    head.complete(800, 1, &leased[0], complete("x"));
     head.tick(19_999);
     assert_eq!(head.read("a").len(), 1);
     head.tick(20_000);
@@ -481,25 +480,22 @@
     assert_eq!(head.read("b").len(), 0, "0 is never");
     head.tick(POLL + 60_000);
     assert!(
-        head.batch_jobs.batch_job("a").is_some(),
+        head.table.batch_job("a").is_some(),
         "its client has not ended it"
     );
     head.end(POLL + 60_001, "a");
     head.tick(POLL + 60_002);
-    assert!(head.batch_jobs.batch_job("a").is_none());
+    assert!(head.table.batch_job("a").is_none());
     head.end(POLL + 60_003, "b");
     head.tick(POLL + 60_004);
-    assert!(head.batch_jobs.is_empty() && head.owner.idle());
+    assert!(head.table.is_empty() && head.leader.is_idle());
     let mut head = Alone::new(0);
     head.submit(0, call("a", 1));
     head.end(5, "a");
     head.tick(POLL);
-    assert!(
-        head.batch_jobs.batch_job("a").is_some(),
-        "never before its time"
-    );
+    assert!(head.table.batch_job("a").is_some(), "never before its time");
     head.tick(POLL + 10_000);
-    assert!(head.batch_jobs.batch_job("a").is_none());
+    assert!(head.table.batch_job("a").is_none());
 }
 
 #[test]
@@ -507,13 +503,13 @@
     let mut head = Alone::new(1_000_000);
     head.submit(1_000_000, call("a", 1));
     head.tick(1_004_000);
-    assert_eq!(head.batch_jobs.clock(), 0, "nothing to say yet");
+    assert_eq!(head.table.clock(), 0, "nothing to say yet");
     head.tick(1_006_000);
-    assert_eq!(head.batch_jobs.clock(), 6_000);
+    assert_eq!(head.table.clock(), 6_000);
     // The next head's steady clock is its own.
-    let owner = PartitionLeader::new(77, 2, &head.batch_jobs, POLL);
-    assert_eq!(owner.clock(77 + 500), 6_500);
-    head.owner = owner;
+    let leader = PartitionLeader::new(77, 2, &head.table, POLL);
+    assert_eq!(leader.clock(77 + 500), 6_500);
+    head.leader = leader;
     head.tick(77 + 13_000);
     assert_eq!(head.read("a").len(), 0);
     head.tick(77 + 14_000);
@@ -525,24 +521,24 @@
     let mut head = Alone::new(0);
     head.submit(0, call("a", 4));
     let leased = head.fetch(1_000, 1, 2);
-    head.owner = PartitionLeader::new(50_000, 2, &head.batch_jobs, POLL);
+    head.leader = PartitionLeader::new(50_000, 2, &head.table, POLL);
     assert!(head.fetch(50_000 + TAKEOVER_GRACE_MS - 1, 2, 9).is_empty());
-    assert!(!head.owner.has_for(50_000, &wants(9)));
-    let all: Vec<_> = leased.iter().map(held).collect();
-    assert_eq!(head.owner.hold(50_400, &head.batch_jobs, 1, &all), []);
-    assert!(head.owner.has_for(50_600, &wants(9)));
+    assert!(!head.leader.has_items_for(50_000, &demands(9)));
+    let all: Vec<_> = leased.iter().map(|leased| leased.key.clone()).collect();
+    assert_eq!(head.leader.renew(50_400, &head.table, 1, &all), []);
+    assert!(head.leader.has_items_for(50_600, &demands(9)));
     let rest = head.fetch(50_600, 2, 9);
     assert_eq!(rest.len(), 2);
     assert!(rest.iter().all(|l| leased
         .iter()
-        .all(|old| old.index != l.index && old.lease != l.lease)));
+        .all(|old| old.key.index != l.key.index && old.key.lease != l.key.lease)));
     // A holder that comes too late for what is held by another drops it.
     assert_eq!(
-        head.owner
-            .hold(50_700, &head.batch_jobs, 3, &[held(&rest[0])]),
-        [held(&rest[0])]
+        head.leader
+            .renew(50_700, &head.table, 3, &[rest[0].key.clone()]),
+        [rest[0].key.clone()]
     );
-    head.done(50_800, 1, &leased[0], Outcome::Failed);
+    head.complete(50_800, 1, &leased[0], Outcome::Failed);
     assert_eq!(
         head.fetch(50_900, 2, 9).len(),
         1,
@@ -557,12 +553,12 @@
     let mut head = Alone::new(0);
     head.submit(0, call("a", 6));
     let leased = head.fetch(1_000, 1, 3);
-    head.owner = PartitionLeader::new(2_000, 1, &head.batch_jobs, POLL);
-    let all: Vec<_> = leased.iter().map(held).collect();
-    assert_eq!(head.owner.hold(2_100, &head.batch_jobs, 1, &all), []);
+    head.leader = PartitionLeader::new(2_000, 1, &head.table, POLL);
+    let all: Vec<_> = leased.iter().map(|leased| leased.key.clone()).collect();
+    assert_eq!(head.leader.renew(2_100, &head.table, 1, &all), []);
     let rest = head.fetch(2_000 + TAKEOVER_GRACE_MS, 1, 9);
     assert_eq!(rest.len(), 3);
-    let numbers: BTreeSet<u64> = leased.iter().chain(&rest).map(|of| of.lease).collect();
+    let numbers: BTreeSet<u64> = leased.iter().chain(&rest).map(|of| of.key.lease).collect();
     assert_eq!(numbers.len(), 6, "{numbers:?}");
 }
 
@@ -571,17 +567,20 @@
 fn a_lease_number_of_another_view_does_not_move_the_count() {
     let mut head = Alone::new(0);
     head.submit(0, call("a", 2));
-    let odd = LeaseRef {
+    let odd = LeaseKey {
         batch_job: "a".into(),
         index: 0,
         lease: u64::MAX,
     };
     assert_eq!(
-        head.owner
-            .hold(100, &head.batch_jobs, 1, std::slice::from_ref(&odd)),
+        head.leader
+            .renew(100, &head.table, 1, std::slice::from_ref(&odd)),
         []
     );
-    assert!(head.fetch(1_000, 2, 9).iter().all(|of| of.lease >> 32 == 1));
+    assert!(head
+        .fetch(1_000, 2, 9)
+        .iter()
+        .all(|of| of.key.lease >> 32 == 1));
 }
 
 #[test]
@@ -591,12 +590,16 @@
     let leased = head.fetch(700, 1, 6);
     let text = Bytes::from(vec![b'x'; 600_000]);
     let done = |l: &LeasedItem| Completion {
-        batch_job: l.batch_job.clone(),
-        index: l.index,
-        lease: l.lease,
+        key: LeaseKey {
+            batch_job: l.key.batch_job.clone(),
+            index: l.key.index,
+            lease: l.key.lease,
+        },
         outcome: Outcome::Complete { text: text.clone() },
     };
-    let commands = head.owner.done(701, 1, leased.iter().map(done).collect());
+    let commands = head
+        .leader
+        .complete(701, 1, leased.iter().map(done).collect());
     assert_eq!(commands.len(), 3);
     assert!(commands
         .iter()
@@ -623,14 +626,14 @@
     view: u64,
     committed: BatchJobTable,
     head: BatchJobTable,
-    owner: PartitionLeader,
+    leader: PartitionLeader,
     number: u64,
     /// Proposed and not committed: the command, and what its commit brings.
     proposed: Vec<(Bytes, Option<String>)>,
     /// Holder, what it holds, and results that it has not handed over.
     holders: BTreeMap<u64, BTreeMap<(String, u32), LeasedItem>>,
     /// Batch jobs that were answered with Taken, and ended ones.
-    taken: BTreeSet<String>,
+    accepted: BTreeSet<String>,
     ended: BTreeSet<String>,
     /// Failures that were told, and items that can't be done.
     fails: BTreeMap<(String, u32), u32>,
@@ -643,20 +646,20 @@
 
 impl Play {
     fn new(seed: u64) -> Self {
-        let batch_jobs = BatchJobTable::new();
-        let owner = PartitionLeader::new(1_000, 1, &batch_jobs, POLL);
+        let table = BatchJobTable::new();
+        let leader = PartitionLeader::new(1_000, 1, &table, POLL);
         Play {
             random: Pcg64::seed_from_u64(seed),
             time: 0,
             offset: 1_000,
             view: 1,
-            committed: batch_jobs.clone(),
-            head: batch_jobs,
-            owner,
+            committed: table.clone(),
+            head: table,
+            leader,
             number: 0,
             proposed: Vec::new(),
             holders: BTreeMap::new(),
-            taken: BTreeSet::new(),
+            accepted: BTreeSet::new(),
             ended: BTreeSet::new(),
             fails: BTreeMap::new(),
             impossible: BTreeSet::new(),
@@ -684,12 +687,12 @@
         for (command, batch_job) in self.proposed.drain(..count) {
             self.committed.apply(1, &command);
             if let Some(batch_job) = batch_job {
-                self.owner.taken(&self.head, &batch_job);
-                self.taken.insert(batch_job);
+                self.leader.accepted(&self.head, &batch_job);
+                self.accepted.insert(batch_job);
             }
         }
         // At every moment the quota holds for what was accepted.
-        assert!(self.committed.waiting("h.example", "r") <= QUOTA);
+        assert!(self.committed.queued_tokens("h.example", "r") <= QUOTA);
         self.check();
     }
 
@@ -723,7 +726,7 @@
         for (command, _) in &kept {
             self.head.apply(1, command);
         }
-        self.owner = PartitionLeader::new(self.now(), self.view, &self.head, POLL);
+        self.leader = PartitionLeader::new(self.now(), self.view, &self.head, POLL);
         // What it has is committed before it gives anything out.
         for (command, _) in &kept {
             self.committed.apply(1, command);
@@ -744,10 +747,7 @@
                     ..call(&name, items)
                 };
                 let fresh = self.head.batch_job(&name).is_none();
-                match self
-                    .owner
-                    .submit(now, &self.head, call, true, QuotaState::Local)
-                {
+                match self.leader.submit(now, &self.head, call, LOCAL) {
                     SubmitDecision::Propose(command) => {
                         assert!(fresh);
                         self.propose(command, Some(name));
@@ -761,21 +761,21 @@
             }
             10..=34 => {
                 let holder = self.below(3);
-                let want = 1 + self.below(6) as u32;
+                let max_items = 1 + self.below(6) as u32;
                 let got = self
-                    .owner
-                    .fetch(now, &self.head, holder, &wants(want), usize::MAX);
+                    .leader
+                    .fetch(now, &self.head, fetch(holder, &demands(max_items)));
                 let lost = self.below(10) == 0;
                 for leased in got {
-                    let key = (leased.batch_job.to_string(), leased.index);
+                    let key = (leased.key.batch_job.to_string(), leased.key.index);
                     assert!(
-                        self.committed.batch_job(&leased.batch_job).is_some(),
+                        self.committed.batch_job(&leased.key.batch_job).is_some(),
                         "given out before it was taken"
                     );
                     assert!(!self.ended.contains(&key.0), "given out after its end");
-                    let batch_job = self.head.batch_job(&leased.batch_job).unwrap();
+                    let batch_job = self.head.batch_job(&leased.key.batch_job).unwrap();
                     let waits = matches!(
-                        batch_job.items[leased.index as usize].state,
+                        batch_job.items[leased.key.index as usize].state,
                         ItemState::Pending { .. }
                     );
                     assert!(waits, "given out after its result");
@@ -791,7 +791,7 @@
                 let some: Vec<LeasedItem> = held.values().take(count).cloned().collect();
                 let mut results = Vec::new();
                 for leased in some {
-                    let key = (leased.batch_job.to_string(), leased.index);
+                    let key = (leased.key.batch_job.to_string(), leased.key.index);
                     let outcome = match self.below(10) {
                         0..=5 => complete(&format!("{}/{}", key.0, key.1)),
                         6..=7 => Outcome::Failed,
@@ -805,12 +805,17 @@
                         }
                         _ => {}
                     }
-                    let (batch_job, index, lease) =
-                        (leased.batch_job.clone(), leased.index, leased.lease);
+                    let (batch_job, index, lease) = (
+                        leased.key.batch_job.clone(),
+                        leased.key.index,
+                        leased.key.lease,
+                    );
                     results.push(Completion {
-                        batch_job,
-                        index,
-                        lease,
+                        key: LeaseKey {
+                            batch_job,
+                            index,
+                            lease,
+                        },
                         outcome,
                     });
                     // Sometimes the answer is lost, and the same is said again later.
@@ -818,20 +823,20 @@
                         self.holders.entry(holder).or_default().remove(&key);
                     }
                 }
-                for command in self.owner.done(now, holder, results) {
+                for command in self.leader.complete(now, holder, results) {
                     self.propose(command, None);
                 }
             }
             65..=74 => {
                 let holder = self.below(3);
-                let held: Vec<LeaseRef> = self
+                let held: Vec<LeaseKey> = self
                     .holders
                     .entry(holder)
                     .or_default()
                     .values()
-                    .map(held)
+                    .map(|leased| leased.key.clone())
                     .collect();
-                let drop = self.owner.hold(now, &self.head, holder, &held);
+                let drop = self.leader.renew(now, &self.head, holder, &held);
                 for one in drop {
                     let key = (one.batch_job.to_string(), one.index);
                     self.holders.entry(holder).or_default().remove(&key);
@@ -844,7 +849,7 @@
             75..=78 => {
                 let id = format!("lot{}", self.below(u64::from(self.next) + 1));
                 if let EndDecision::Propose(command) =
-                    self.owner.end(now, &self.head, "h.example", &id)
+                    self.leader.end(now, &self.head, "h.example", &id)
                 {
                     self.propose(command, None);
                     let all = self.proposed.len();
@@ -860,7 +865,7 @@
             _ => {
                 self.time += self.below(700);
                 let now = self.now();
-                for command in self.owner.tick(now, &self.head) {
+                for command in self.leader.tick(now, &self.head) {
                     self.propose(command, None);
                 }
             }
@@ -873,7 +878,7 @@
             for (item, index) in batch_job.items.iter().zip(0u32..) {
                 let key = (id.to_string(), index);
                 if let ItemState::Finished {
-                    state: ResultStatus::Abandoned,
+                    status: ResultStatus::Abandoned,
                     ..
                 } = item.state
                 {
@@ -888,7 +893,7 @@
                     );
                 }
                 if let ItemState::Finished {
-                    state: ResultStatus::Complete,
+                    status: ResultStatus::Complete,
                     text,
                 } = &item.state
                 {
@@ -896,7 +901,7 @@
                 }
             }
         }
-        for id in &self.taken {
+        for id in &self.accepted {
             assert!(
                 self.committed.batch_job(id).is_some(),
                 "{id} was taken and is gone"
@@ -924,14 +929,14 @@
         for _ in 0..60 {
             play.time += 1_000;
             let now = play.now();
-            for command in play.owner.tick(now, &play.head) {
+            for command in play.leader.tick(now, &play.head) {
                 play.propose(command, None);
             }
             let all = play.proposed.len();
             play.commit(all);
         }
-        assert_eq!(play.committed.waiting("h.example", "r"), 0);
-        assert_eq!((play.owner.waiting(), play.owner.held()), (0, 0));
+        assert_eq!(play.committed.queued_tokens("h.example", "r"), 0);
+        assert_eq!((play.leader.queued(), play.leader.leased()), (0, 0));
         play.reasons();
     }
     assert!(
@@ -945,10 +950,7 @@
     let mut head = Alone::new(0);
     let call = call("a", 2);
     let items = call.items.clone();
-    let SubmitDecision::Propose(command) =
-        head.owner
-            .submit(5, &head.batch_jobs, call, true, QuotaState::Local)
-    else {
+    let SubmitDecision::Propose(command) = head.leader.submit(5, &head.table, call, LOCAL) else {
         panic!("not taken")
     };
     let Ok(Command::Accept(take)) = Command::decode(&command) else {
--- a/crates/batch/batch/tests/quota.rs
+++ b/crates/batch/batch/tests/quota_leader.rs
@@ -1,6 +1,6 @@
-//! The owner of a quota whose batch jobs are on other partitions, word by word.
+//! The leader of a quota whose batch jobs are on other partitions, word by word.
 
-use batch::command::{Command, Take};
+use batch::command::{AcceptedJob, Command};
 use batch::wire::*;
 use batch::{BatchJobTable, PartitionLeader, QuotaLeader, ReserveDecision};
 use bytes::Bytes;
@@ -15,19 +15,19 @@
 
 /// The head of a home partition whose commands are committed at once.
 struct Home {
-    batch_jobs: BatchJobTable,
-    owner: PartitionLeader,
+    table: BatchJobTable,
+    leader: PartitionLeader,
     quota: QuotaLeader,
     number: u64,
 }
 
 impl Home {
     fn new() -> Home {
-        let batch_jobs = BatchJobTable::new();
-        let owner = PartitionLeader::new(0, 1, &batch_jobs, 120_000);
+        let table = BatchJobTable::new();
+        let leader = PartitionLeader::new(0, 1, &table, 120_000);
         Home {
-            batch_jobs,
-            owner,
+            table,
+            leader,
             quota: QuotaLeader::new(4, addr(), 9),
             number: 0,
         }
@@ -35,24 +35,26 @@
 
     fn apply(&mut self, command: &Bytes) {
         self.number += 1;
-        self.batch_jobs.apply(self.number, command);
+        self.table.apply(self.number, command);
     }
 
     fn ask(&mut self, now: u64, batch_job: &str, nonce: u64, tokens: u64) -> ReserveDecision {
         let call = ReserveRequest {
-            host: HOST.into(),
-            route: "r".into(),
-            batch_job: batch_job.into(),
+            job: JobKey {
+                host: HOST.into(),
+                route: "r".into(),
+                batch_job: batch_job.into(),
+            },
             partition: 7,
             reply_to: addr(),
             incarnation: 5,
             nonce,
             tokens,
-            most: 1_000,
+            max_tokens: 1_000,
         };
         let decision = self
             .quota
-            .reserve(now, &self.batch_jobs, &mut self.owner, &call);
+            .reserve(now, &self.table, &mut self.leader, &call);
         if let ReserveDecision::Propose(command) = &decision {
             self.apply(command);
         }
@@ -67,16 +69,18 @@
     }
 
     fn audit(&mut self, now: u64) -> AuditRequest {
-        let mut audits = self.quota.audits(now, &self.batch_jobs);
+        let mut audits = self.quota.audits(now, &self.table);
         assert_eq!(audits.len(), 1, "all is on one partition");
         audits.remove(0)
     }
 
     fn word(&mut self, now: u64, audit: &AuditRequest, left: &[(&str, u64)]) {
-        let batch_jobs = left.iter().map(|(batch_job, tokens)| RemainingTokens {
-            host: HOST.into(),
-            route: "r".into(),
-            batch_job: (*batch_job).into(),
+        let jobs = left.iter().map(|(batch_job, tokens)| RemainingTokens {
+            job: JobKey {
+                host: HOST.into(),
+                route: "r".into(),
+                batch_job: (*batch_job).into(),
+            },
             tokens: *tokens,
         });
         let AuditRequest {
@@ -91,18 +95,18 @@
             partition,
             incarnation,
             audit,
-            batch_jobs: batch_jobs.collect(),
+            jobs: jobs.collect(),
         };
         if let Some(command) = self
             .quota
-            .left(now, &self.batch_jobs, &mut self.owner, &word)
+            .audit_response(now, &self.table, &mut self.leader, &word)
         {
             self.apply(&command);
         }
     }
 
     fn sum(&self) -> u64 {
-        self.batch_jobs.reserved().sum(HOST, "r")
+        self.table.reserved().sum(HOST, "r")
     }
 }
 
@@ -122,10 +126,7 @@
         "nobody has said yet what is left"
     );
     let audit = home.audit(2);
-    assert_eq!(
-        (audit.home, audit.partition, audit.batch_jobs.len()),
-        (4, 7, 2)
-    );
+    assert_eq!((audit.home, audit.partition, audit.jobs.len()), (4, 7, 2));
     home.word(10, &audit, &[("a", 600), ("b", 400)]);
     assert_eq!(home.ask(11, "c", 4, 1), ReserveDecision::Rejected);
     assert_eq!(
@@ -159,7 +160,7 @@
     assert_eq!(home.sum(), 600, "a word that comes twice");
     home.word(202, &newer, &[("a", 0)]);
     assert_eq!(home.sum(), 0);
-    assert!(home.batch_jobs.reserved().is_empty());
+    assert!(home.table.reserved().is_empty());
 }
 
 #[test]
@@ -176,7 +177,7 @@
         &[("a", 0)],
     );
     assert_eq!(home.sum(), 600);
-    home.quota.begin();
+    home.quota.reset();
     home.word(3, &audit, &[("a", 0)]);
     assert_eq!(home.sum(), 600);
     assert_ne!(
@@ -203,7 +204,7 @@
         body: Bytes::new(),
         tokens: 3,
     };
-    let take = Take {
+    let take = AcceptedJob {
         clock: 5,
         batch_job: batch_job.into(),
         host: HOST.into(),
@@ -222,15 +223,15 @@
 fn a_snapshot_has_the_reservations_and_one_of_the_version_before_has_none() {
     let mut home = Home::new();
     home.apply(&take("l"));
-    let without = home.batch_jobs.snapshot();
+    let without = home.table.snapshot();
     assert!(home.is_granted(0, "a", 1, 600));
     assert!(home.is_granted(0, "b", 2, 300));
     let mut back = BatchJobTable::new();
-    back.restore(&home.batch_jobs.snapshot()).unwrap();
-    assert_eq!(back, home.batch_jobs);
+    back.restore(&home.table.snapshot()).unwrap();
+    assert_eq!(back, home.table);
     assert_eq!(
         (back.reserved().sum(HOST, "r"), back.bytes()),
-        (900, home.batch_jobs.bytes())
+        (900, home.table.bytes())
     );
     // Without reservations it is as the version before wrote it: another number in its first bytes, nothing behind its batch jobs.
     assert_eq!(without[..4], 0x4c4f_5401u32.to_le_bytes());
@@ -238,7 +239,7 @@
     read.restore(&without).unwrap();
     assert!(read.batch_job("l").is_some() && read.reserved().is_empty());
     // Not a mixture of both.
-    let mut longer = home.batch_jobs.snapshot();
+    let mut longer = home.table.snapshot();
     longer[..4].copy_from_slice(&0x4c4f_5401u32.to_le_bytes());
     assert!(BatchJobTable::new().restore(&longer).is_err());
     let mut shorter = without;
@@ -255,15 +256,15 @@
     assert!(!home.quota.is_blind(100), "an answer takes a commit");
     assert!(home.quota.is_blind(200));
     assert!(
-        home.quota.audits(200, &home.batch_jobs).is_empty(),
+        home.quota.audits(200, &home.table).is_empty(),
         "what is asked is not asked again yet"
     );
-    home.quota.ask_again(&[3]);
+    home.quota.retry_audits(&[3]);
     assert!(
-        home.quota.audits(210, &home.batch_jobs).is_empty(),
+        home.quota.audits(210, &home.table).is_empty(),
         "another partition's head has changed"
     );
-    home.quota.ask_again(&[7]);
+    home.quota.retry_audits(&[7]);
     let second = home.audit(220);
     assert!(second.audit > first.audit);
     let word = AuditResponse {
@@ -271,9 +272,9 @@
         partition: 7,
         incarnation: 9,
         audit: second.audit,
-        batch_jobs: vec![],
+        jobs: vec![],
     };
     home.quota
-        .left(260, &home.batch_jobs, &mut home.owner, &word);
+        .audit_response(260, &home.table, &mut home.leader, &word);
     assert!(!home.quota.is_blind(600));
 }
--- a/crates/batch/batch/tests/table.rs
+++ b/crates/batch/batch/tests/table.rs
@@ -3,7 +3,7 @@
 #![expect(clippy::unwrap_used, reason = "a test ends at the first surprise")]
 #![expect(clippy::too_many_lines, reason = "not revised yet")]
 
-use batch::command::{Command, ItemResult, Take};
+use batch::command::{AcceptedJob, Command, ItemResult};
 use batch::wire::{Item, Message, ResultEntry, ResultStatus, MAX_READ_BYTES};
 use batch::{BatchJobTable, ItemState};
 use bytes::Bytes;
@@ -25,7 +25,7 @@
         body: Bytes::from(vec![at; usize::from(at)]),
         tokens: u64::from(at) * 10,
     };
-    Command::Accept(Take {
+    Command::Accept(AcceptedJob {
         clock,
         batch_job: batch_job_id(n).into(),
         host: HOSTS[usize::from(n % 2)].into(),
@@ -50,7 +50,7 @@
                 let result = |(n, index, complete, text): (u8, u32, bool, u8)| ItemResult {
                     batch_job: batch_job_id(n).into(),
                     index,
-                    state: if complete {
+                    status: if complete {
                         ResultStatus::Complete
                     } else {
                         ResultStatus::Abandoned
@@ -74,27 +74,23 @@
     ]
 }
 
-fn read(batch_jobs: &BatchJobTable, id: &str) -> Option<Vec<ResultEntry>> {
-    let batch_job = batch_jobs.batch_job(id)?;
-    let found = batch_jobs
-        .read(&batch_job.host, id, 0, MAX_READ_BYTES)
-        .unwrap();
+fn read(table: &BatchJobTable, id: &str) -> Option<Vec<ResultEntry>> {
+    let batch_job = table.batch_job(id)?;
+    let found = table.read(&batch_job.host, id, 0, MAX_READ_BYTES).unwrap();
     assert_eq!(found.total as usize, batch_job.items.len());
     assert_eq!(found.next as usize, found.results.len());
     Some(found.results)
 }
 
-fn copy(batch_jobs: &BatchJobTable) -> BatchJobTable {
+fn copy(table: &BatchJobTable) -> BatchJobTable {
     let mut copy = BatchJobTable::new();
-    copy.restore(&batch_jobs.snapshot()).unwrap();
+    copy.restore(&table.snapshot()).unwrap();
     copy
 }
 
 /// The tokens that wait, counted anew.
-fn waiting(batch_jobs: &BatchJobTable, host: &str) -> u64 {
-    let of_host = batch_jobs
-        .iter()
-        .filter(|(_, batch_job)| batch_job.host == host);
+fn waiting(table: &BatchJobTable, host: &str) -> u64 {
+    let of_host = table.iter().filter(|(_, batch_job)| batch_job.host == host);
     let items = of_host.flat_map(|(_, batch_job)| &batch_job.items);
     items
         .filter(|i| matches!(i.state, ItemState::Pending { .. }))
@@ -107,23 +103,23 @@
 
     #[test]
     fn positions_never_change_and_copies_are_the_same(commands in prop::collection::vec(command(), 0..60), at in 0usize..60) {
-        let mut batch_jobs = BatchJobTable::new();
+        let mut table = BatchJobTable::new();
         let mut other = BatchJobTable::new();
         let mut seen: BTreeMap<String, Vec<ResultEntry>> = BTreeMap::new();
         for (number, command) in commands.iter().enumerate() {
             let bytes = command.encode();
             prop_assert!(!bytes.is_empty());
-            batch_jobs.apply(number as u64 + 1, &bytes);
+            table.apply(number as u64 + 1, &bytes);
             if number == at {
                 // One that took a snapshot midway is the same as one that took every command.
-                other = copy(&batch_jobs);
+                other = copy(&table);
             } else {
                 other.apply(number as u64 + 1, &bytes);
             }
-            prop_assert_eq!(&batch_jobs, &other);
+            prop_assert_eq!(&table, &other);
             for n in 0..5 {
                 let id = batch_job_id(n);
-                let now = read(&batch_jobs, &id);
+                let now = read(&table, &id);
                 let forgotten = matches!(command, Command::Delete { batch_job, .. } if *batch_job == id);
                 if forgotten {
                     prop_assert_eq!(now, None);
@@ -144,11 +140,11 @@
                 }
             }
             for host in HOSTS {
-                prop_assert_eq!(batch_jobs.waiting(host, "r"), waiting(&batch_jobs, host));
+                prop_assert_eq!(table.queued_tokens(host, "r"), waiting(&table, host));
             }
-            prop_assert_eq!(batch_jobs.bytes() == 0, batch_jobs.is_empty());
+            prop_assert_eq!(table.bytes() == 0, table.is_empty());
         }
-        prop_assert_eq!(copy(&batch_jobs), batch_jobs);
+        prop_assert_eq!(copy(&table), table);
     }
 
     #[test]
@@ -168,16 +164,16 @@
     fn a_snapshot_that_was_cut_or_changed_is_refused_or_sound(
         commands in prop::collection::vec(command(), 0..20), at in any::<prop::sample::Index>(), to in any::<u8>(),
     ) {
-        let mut batch_jobs = BatchJobTable::new();
+        let mut table = BatchJobTable::new();
         for (number, command) in commands.iter().enumerate() {
-            batch_jobs.apply(number as u64 + 1, &command.encode());
+            table.apply(number as u64 + 1, &command.encode());
         }
-        let whole = batch_jobs.snapshot();
+        let whole = table.snapshot();
         let mut changed = whole.clone();
         let at = at.index(changed.len());
         changed[at] = to;
-        let before = batch_jobs.clone();
-        let mut other = batch_jobs.clone();
+        let before = table.clone();
+        let mut other = table.clone();
         if other.restore(&changed).is_err() {
             prop_assert_eq!(&other, &before);
         } else {
@@ -186,32 +182,32 @@
             }
             prop_assert_eq!(copy(&other), other);
         }
-        prop_assert!(batch_jobs.restore(&whole[..at]).is_err());
-        prop_assert_eq!(batch_jobs, before);
+        prop_assert!(table.restore(&whole[..at]).is_err());
+        prop_assert_eq!(table, before);
     }
 }
 
 #[test]
 fn an_end_keeps_what_is_listed_and_takes_the_rest() {
-    let mut batch_jobs = BatchJobTable::new();
-    batch_jobs.apply(1, &take(0, 4, 5).encode());
-    assert_eq!(batch_jobs.waiting("a.example", "r"), 60);
+    let mut table = BatchJobTable::new();
+    table.apply(1, &take(0, 4, 5).encode());
+    assert_eq!(table.queued_tokens("a.example", "r"), 60);
     assert_eq!(
-        batch_jobs.body("a.example", "lot0", "0-3").unwrap().len(),
+        table.item_body("a.example", "lot0", "0-3").unwrap().len(),
         3
     );
     assert_eq!(
-        batch_jobs.body("b.example", "lot0", "0-3"),
+        table.item_body("b.example", "lot0", "0-3"),
         None,
         "another host's batch job"
     );
     let result = |index| ItemResult {
         batch_job: "lot0".into(),
         index,
-        state: ResultStatus::Complete,
+        status: ResultStatus::Complete,
         text: Bytes::from_static(b"out"),
     };
-    batch_jobs.apply(
+    table.apply(
         2,
         &Command::RecordResults {
             clock: 6,
@@ -219,13 +215,13 @@
         }
         .encode(),
     );
-    assert_eq!(batch_jobs.refused(), 1, "no such item");
+    assert_eq!(table.rejected(), 1, "no such item");
     assert_eq!(
-        batch_jobs.body("a.example", "lot0", "0-3"),
+        table.item_body("a.example", "lot0", "0-3"),
         None,
         "it is listed"
     );
-    batch_jobs.apply(
+    table.apply(
         3,
         &Command::End {
             clock: 7,
@@ -233,13 +229,13 @@
         }
         .encode(),
     );
-    assert_eq!(batch_jobs.waiting("a.example", "r"), 0);
+    assert_eq!(table.queued_tokens("a.example", "r"), 0);
     assert_eq!(
-        batch_jobs.body("a.example", "lot0", "0-0"),
+        table.item_body("a.example", "lot0", "0-0"),
         None,
         "it is ended"
     );
-    batch_jobs.apply(
+    table.apply(
         4,
         &Command::RecordResults {
             clock: 8,
@@ -247,29 +243,29 @@
         }
         .encode(),
     );
-    let ids: Vec<_> = read(&batch_jobs, "lot0")
+    let ids: Vec<_> = read(&table, "lot0")
         .unwrap()
         .into_iter()
         .map(|l| l.id)
         .collect();
     assert_eq!(ids, ["0-3", "0-1"]);
     // The same batch job sent again changes nothing.
-    batch_jobs.apply(5, &take(0, 4, 9).encode());
-    assert_eq!(read(&batch_jobs, "lot0").unwrap().len(), 2);
-    assert_eq!(batch_jobs.clock(), 9);
+    table.apply(5, &take(0, 4, 9).encode());
+    assert_eq!(read(&table, "lot0").unwrap().len(), 2);
+    assert_eq!(table.clock(), 9);
 }
 
 #[test]
 fn a_read_is_bounded_and_gives_one_at_least() {
-    let mut batch_jobs = BatchJobTable::new();
-    batch_jobs.apply(1, &take(0, 5, 5).encode());
+    let mut table = BatchJobTable::new();
+    table.apply(1, &take(0, 5, 5).encode());
     let result = |index| ItemResult {
         batch_job: "lot0".into(),
         index,
-        state: ResultStatus::Complete,
+        status: ResultStatus::Complete,
         text: Bytes::from(vec![b'\n'; 400_000]),
     };
-    batch_jobs.apply(
+    table.apply(
         2,
         &Command::RecordResults {
             clock: 6,
@@ -278,7 +274,7 @@
         .encode(),
     );
     let next = |start| {
-        batch_jobs
+        table
             .read("a.example", "lot0", start, MAX_READ_BYTES)
             .unwrap()
             .next
@@ -287,5 +283,5 @@
         (next(0), next(1), next(3), next(4), next(77)),
         (1, 2, 4, 4, 77)
     );
-    assert_eq!(batch_jobs.read("a.example", "lot1", 0, 1), None);
+    assert_eq!(table.read("a.example", "lot1", 0, 1), None);
 }
--- a/crates/batch/batch/tests/wire.rs
+++ b/crates/batch/batch/tests/wire.rs
@@ -78,12 +78,12 @@
     let results = vec![
         ResultEntry {
             id: "a".into(),
-            state: ResultStatus::Complete,
+            status: ResultStatus::Complete,
             text: Bytes::from_static(b"x\ny"),
         },
         ResultEntry {
             id: "b".into(),
-            state: ResultStatus::Abandoned,
+            status: ResultStatus::Abandoned,
             text: Bytes::new(),
         },
     ];
@@ -129,30 +129,34 @@
     back(FetchRequest {
         holder: 9,
         wait_ms: 500,
-        wants: vec![RouteDemand {
+        demands: vec![RouteDemand {
             host: "h".into(),
             route: "r".into(),
-            want: 3,
+            max_items: 3,
         }],
     });
     back(FetchResponse {
         items: vec![LeasedItem {
             host: "h".into(),
             route: "r".into(),
-            batch_job: "l".into(),
-            index: 1,
-            lease: 2,
+            key: LeaseKey {
+                batch_job: "l".into(),
+                index: 1,
+                lease: 2,
+            },
             due_in_ms: 3,
             retain_in_ms: 4,
             tries_left: 5,
             item: item("a", b"body"),
         }],
-        elsewhere: vec![PartitionRedirect { partition: 4, to }],
+        redirects: vec![PartitionRedirect { partition: 4, to }],
     });
     let done = |outcome| Completion {
-        batch_job: "l".into(),
-        index: 1,
-        lease: 2,
+        key: LeaseKey {
+            batch_job: "l".into(),
+            index: 1,
+            lease: 2,
+        },
         outcome,
     };
     back(CompleteRequest {
@@ -175,31 +179,37 @@
         back(answer);
     }
     back(ReserveRequest {
-        host: "h".into(),
-        route: "r".into(),
-        batch_job: "l".into(),
+        job: JobKey {
+            host: "h".into(),
+            route: "r".into(),
+            batch_job: "l".into(),
+        },
         partition: 3,
         reply_to: to,
         incarnation: 4,
         nonce: 5,
         tokens: 6,
-        most: 7,
+        max_tokens: 7,
     });
     back(ReserveProgress {
-        partition: 3,
-        batch_job: "l".into(),
-        incarnation: 4,
-        nonce: 5,
+        attempt: ReserveAttempt {
+            partition: 3,
+            batch_job: "l".into(),
+            incarnation: 4,
+            nonce: 5,
+        },
         soon: true,
     });
     back(ReserveResponse {
-        partition: 3,
-        batch_job: "l".into(),
-        incarnation: 4,
-        nonce: 5,
+        attempt: ReserveAttempt {
+            partition: 3,
+            batch_job: "l".into(),
+            incarnation: 4,
+            nonce: 5,
+        },
         granted: true,
     });
-    let batch_jobs = vec![AuditedJob {
+    let batch_jobs = vec![JobKey {
         host: "h".into(),
         route: "r".into(),
         batch_job: "l".into(),
@@ -210,12 +220,14 @@
         reply_to: v6,
         incarnation: 3,
         audit: 4,
-        batch_jobs,
+        jobs: batch_jobs,
     });
     let batch_jobs = vec![RemainingTokens {
-        host: "h".into(),
-        route: "r".into(),
-        batch_job: "l".into(),
+        job: JobKey {
+            host: "h".into(),
+            route: "r".into(),
+            batch_job: "l".into(),
+        },
         tokens: 9,
     }];
     back(AuditResponse {
@@ -223,26 +235,26 @@
         partition: 2,
         incarnation: 3,
         audit: 4,
-        batch_jobs,
+        jobs: batch_jobs,
     });
-    let held = vec![LeaseRef {
+    let held = vec![LeaseKey {
         batch_job: "l".into(),
         index: 1,
         lease: 2,
     }];
     back(RenewRequest {
         holder: 1,
-        parts: vec![PartitionLeases {
+        partitions: vec![PartitionLeases {
             partition: 2,
-            held: held.clone(),
+            leases: held.clone(),
         }],
     });
-    let part = |answer| PartitionRenewal {
+    let part = |outcome| PartitionRenewal {
         partition: 1,
-        answer,
+        outcome,
     };
     back(RenewResponse {
-        parts: vec![
+        partitions: vec![
             part(RenewOutcome::Revoke { leases: held }),
             part(RenewOutcome::Unavailable),
             part(RenewOutcome::Redirect { to }),
--- a/crates/gateway/gateway/src/items.rs
+++ b/crates/gateway/gateway/src/items.rs
@@ -17,10 +17,9 @@
 use crate::proxy::stream::{has_explicit_end, idle_timeout, EventSource, StreamEnd};
 use crate::selection::selector::{SelectedRunner, SelectionRequest};
 use batch::wire::{
-    Completion, LeaseRef, LeasedItem, Message, Outcome, PartitionLeases, RenewOutcome,
+    Completion, LeaseKey, LeasedItem, Message, Outcome, PartitionLeases, RenewOutcome,
     RenewRequest, RenewResponse, LEASE_RENEWAL_INTERVAL_MS, LEASE_TIMEOUT_MS, RENEW,
 };
-use compact_str::CompactString;
 use hyper::header::HeaderValue;
 use route_config::Kind;
 use std::cell::{Cell, RefCell};
@@ -47,9 +46,6 @@
 /// How long before the process ends the items that still run are handed back.
 const RELEASE_BEFORE_END_MS: u64 = 2_500;
 
-/// Which item, and under which lease.
-pub type Key = (CompactString, u32, u64);
-
 pub(crate) struct HeldItem {
     pub(crate) partition: u16,
     /// It was sent to a runner.
@@ -60,7 +56,7 @@
 /// The items that this process holds.
 #[derive(Default)]
 pub struct Items {
-    pub(crate) held: RefCell<HashMap<Key, Rc<HeldItem>>>,
+    pub(crate) held: RefCell<HashMap<LeaseKey, Rc<HeldItem>>>,
     /// Stores that are being asked for items.
     fetching: RefCell<HashSet<SocketAddr>>,
     /// Results that are not handed over yet, by partition, and the partitions for which someone does it.
@@ -84,7 +80,7 @@
         self.held.borrow().is_empty()
     }
 
-    pub(crate) fn is_held(&self, key: &Key) -> bool {
+    pub(crate) fn is_held(&self, key: &LeaseKey) -> bool {
         self.held.borrow().contains_key(key)
     }
 
@@ -106,7 +102,7 @@
             .is_some_and(|at| now < at + CONFIRMED_MS)
     }
 
-    pub(crate) fn drop_one(&self, key: &Key) {
+    pub(crate) fn drop_one(&self, key: &LeaseKey) {
         if let Some(held_item) = self.held.borrow_mut().remove(key) {
             if let Some(task) = held_item.task.borrow_mut().take() {
                 task.abort();
@@ -183,12 +179,12 @@
 /// The partition that keeps an item's job.
 pub(crate) fn partition_of(gateway: &Gateway, leased: &LeasedItem) -> Option<u16> {
     let map = gateway.map()?;
-    u16::try_from(map.partition_of(&leased.host, &leased.batch_job)).ok()
+    u16::try_from(map.partition_of(&leased.host, &leased.key.batch_job)).ok()
 }
 
 /// Runs an item that was leased.
 pub fn begin(gateway: &Rc<Gateway>, leased: LeasedItem) {
-    let key: Key = (leased.batch_job.clone(), leased.index, leased.lease);
+    let key = leased.key.clone();
     let Some(partition) = partition_of(gateway, &leased) else {
         return;
     };
@@ -396,17 +392,13 @@
 /// Says what is held, and drops what is to be dropped.
 fn hold(gateway: &Rc<Gateway>, now: u64) {
     let Some(map) = gateway.map() else { return };
-    let mut parts: BTreeMap<u16, Vec<LeaseRef>> = BTreeMap::new();
-    for ((batch_job, index, lease), held_item) in gateway.items.held.borrow().iter() {
-        let held = LeaseRef {
-            batch_job: batch_job.clone(),
-            index: *index,
-            lease: *lease,
-        };
-        parts.entry(held_item.partition).or_default().push(held);
+    let mut parts: BTreeMap<u16, Vec<LeaseKey>> = BTreeMap::new();
+    for (key, held_item) in gateway.items.held.borrow().iter() {
+        let leases = parts.entry(held_item.partition).or_default();
+        leases.push(key.clone());
     }
     let mut calls: BTreeMap<SocketAddr, Vec<PartitionLeases>> = BTreeMap::new();
-    for (partition, held) in parts {
+    for (partition, leases) in parts {
         let head = map
             .partitions
             .get(usize::from(partition))
@@ -415,7 +407,7 @@
             calls
                 .entry(head.addr)
                 .or_default()
-                .push(PartitionLeases { partition, held });
+                .push(PartitionLeases { partition, leases });
         }
     }
     for (head, parts) in calls {
@@ -423,7 +415,7 @@
         spawn_local(async move {
             let call = RenewRequest {
                 holder: gateway.id,
-                parts,
+                partitions: parts,
             }
             .encode();
             let Ok(answer) = gateway.links.call(head, RENEW, call, CALL_WITHIN).await else {
@@ -432,13 +424,11 @@
             let Ok(answer) = RenewResponse::decode(&answer) else {
                 return;
             };
-            for part in answer.parts {
-                if let RenewOutcome::Revoke { leases } = part.answer {
+            for part in answer.partitions {
+                if let RenewOutcome::Revoke { leases } = part.outcome {
                     gateway.items.confirm(part.partition, now);
-                    for held in leases {
-                        gateway
-                            .items
-                            .drop_one(&(held.batch_job, held.index, held.lease));
+                    for key in leases {
+                        gateway.items.drop_one(&key);
                     }
                 }
             }
--- a/crates/gateway/gateway/src/items/completion.rs
+++ b/crates/gateway/gateway/src/items/completion.rs
@@ -2,9 +2,10 @@
 
 use crate::counters::increment;
 use crate::gateway::Gateway;
-use crate::items::{Key, CALL_WITHIN};
+use crate::items::CALL_WITHIN;
 use batch::wire::{
-    CompleteRequest, CompleteResponse, Completion, Message, Outcome, PlacementMap, COMPLETE,
+    CompleteRequest, CompleteResponse, Completion, LeaseKey, Message, Outcome, PlacementMap,
+    COMPLETE,
 };
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -22,7 +23,7 @@
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 
 /// An item's outcome is handed over with others of its partition.
-pub fn finish(gateway: &Rc<Gateway>, key: &Key, outcome: Outcome) {
+pub fn finish(gateway: &Rc<Gateway>, key: &LeaseKey, outcome: Outcome) {
     let items = &gateway.items;
     let Some(partition) = items.held.borrow().get(key).map(|h| h.partition) else {
         return;
@@ -33,9 +34,7 @@
         &gateway.counts.done
     });
     let done = Completion {
-        batch_job: key.0.clone(),
-        index: key.1,
-        lease: key.2,
+        key: key.clone(),
         outcome,
     };
     items
@@ -67,7 +66,7 @@
             let mut all = items.results.borrow_mut();
             let waiting = all.entry(partition).or_default();
             // What was dropped meanwhile is the store's no more to hear.
-            waiting.retain(|d| items.is_held(&(d.batch_job.clone(), d.index, d.lease)));
+            waiting.retain(|d| items.is_held(&d.key));
             // A store that could not take the last ones is asked with one result: all gateways that send it all they have
             // would fill its link, and its chain could not go on.
             let count = if failures == 0 {
@@ -80,10 +79,7 @@
         if results.is_empty() {
             return;
         }
-        let keys: Vec<Key> = results
-            .iter()
-            .map(|d| (d.batch_job.clone(), d.index, d.lease))
-            .collect();
+        let keys: Vec<LeaseKey> = results.iter().map(|d| d.key.clone()).collect();
         let head = |map: &PlacementMap| {
             map.partitions
                 .get(usize::from(partition))?
@@ -112,7 +108,7 @@
             Some(CompleteResponse::Accepted) => {
                 failures = 0;
                 if let Some(waiting) = items.results.borrow_mut().get_mut(&partition) {
-                    waiting.retain(|d| !keys.contains(&(d.batch_job.clone(), d.index, d.lease)));
+                    waiting.retain(|d| !keys.contains(&d.key));
                 }
                 keys.iter().for_each(|key| items.drop_one(key));
             }
--- a/crates/gateway/gateway/src/items/fetch.rs
+++ b/crates/gateway/gateway/src/items/fetch.rs
@@ -59,7 +59,7 @@
                 all.entry(head).or_default().push(RouteDemand {
                     host: route.host.clone(),
                     route: route.name.clone(),
-                    want,
+                    max_items: want,
                 });
             }
         }
@@ -85,7 +85,7 @@
         let call = FetchRequest {
             holder: gateway.id,
             wait_ms: FETCH_WAIT_MS,
-            wants,
+            demands: wants,
         }
         .encode();
         let within = Duration::from_millis(FETCH_WAIT_MS.into()) + CALL_WITHIN;
@@ -99,7 +99,7 @@
         // A store that has nothing and doesn't wait either is asked again with the next tick; where there are more than are
         // asked at once, the turn is another's.
         let nothing = answer.items.is_empty();
-        if nothing && (others || !answer.elsewhere.is_empty() || asked.elapsed() < AT_ONCE) {
+        if nothing && (others || !answer.redirects.is_empty() || asked.elapsed() < AT_ONCE) {
             return;
         }
         for leased in answer.items {
--- a/crates/gateway/gateway/tests/batch_jobs.rs
+++ b/crates/gateway/gateway/tests/batch_jobs.rs
@@ -144,7 +144,7 @@
                     let text = "a\nb\"".into();
                     let results = vec![ResultEntry {
                         id: "item-1".into(),
-                        state: ResultStatus::Complete,
+                        status: ResultStatus::Complete,
                         text,
                     }];
                     ReadResponse::Found {
--- a/crates/gateway/gateway/tests/items.rs
+++ b/crates/gateway/gateway/tests/items.rs
@@ -6,8 +6,8 @@
 
 use batch::wire::{
     partition_of, CompleteRequest, CompleteResponse, Completion, FetchRequest, FetchResponse,
-    Header, Item, LeasedItem, Message, Outcome, PartitionRenewal, RenewOutcome, RenewRequest,
-    RenewResponse, COMPLETE, FETCH, RENEW,
+    Header, Item, LeaseKey, LeasedItem, Message, Outcome, PartitionRenewal, RenewOutcome,
+    RenewRequest, RenewResponse, COMPLETE, FETCH, RENEW,
 };
 use common::store::{map, tell_map, Say, Store, PARTITIONS};
 use common::*;
@@ -29,9 +29,11 @@
     LeasedItem {
         host: "h.example".into(),
         route: "bulk".into(),
-        batch_job: "lot-1".into(),
-        index,
-        lease: 100 + u64::from(index),
+        key: LeaseKey {
+            batch_job: "lot-1".into(),
+            index,
+            lease: 100 + u64::from(index),
+        },
         due_in_ms: 10_000,
         retain_in_ms: 60_000,
         tries_left: 2,
@@ -56,9 +58,9 @@
             FETCH => {
                 let call = FetchRequest::decode(body).unwrap();
                 assert!(call
-                    .wants
+                    .demands
                     .iter()
-                    .all(|want| want.route == "bulk" && want.want > 0));
+                    .all(|want| want.route == "bulk" && want.max_items > 0));
                 let items = items
                     .borrow_mut()
                     .pop_front()
@@ -69,7 +71,7 @@
                 }
                 FetchResponse {
                     items,
-                    elsewhere: vec![],
+                    redirects: vec![],
                 }
                 .encode()
             }
@@ -77,9 +79,12 @@
             RENEW => {
                 let call = RenewRequest::decode(body).unwrap();
                 let answer = drops(&call);
-                let partition = call.parts[0].partition;
+                let partition = call.partitions[0].partition;
                 RenewResponse {
-                    parts: vec![PartitionRenewal { partition, answer }],
+                    partitions: vec![PartitionRenewal {
+                        partition,
+                        outcome: answer,
+                    }],
                 }
                 .encode()
             }
@@ -140,7 +145,7 @@
         assert_eq!(seen.header("fordrelay-tokens"), Some("540,400"));
         assert_eq!(seen.header("fordrelay-deadline-ms"), None);
         for done in results(&store) {
-            assert_eq!(done.lease, 100 + u64::from(done.index));
+            assert_eq!(done.key.lease, 100 + u64::from(done.key.index));
             assert_eq!(text(&done.outcome), "piece 1\npiece 2");
         }
         while !rig.process.gateway.items.is_empty() {
@@ -257,7 +262,7 @@
         })
         .await;
         let store = store(vec![leased(0)], |call| RenewOutcome::Revoke {
-            leases: call.parts[0].held.clone(),
+            leases: call.partitions[0].leases.clone(),
         })
         .await;
         let rig = rig(&store, &[&runner]).await;
@@ -308,7 +313,7 @@
                 Say::This(
                     FetchResponse {
                         items,
-                        elsewhere: vec![],
+                        redirects: vec![],
                     }
                     .encode(),
                 )
@@ -348,7 +353,7 @@
                 Say::This(
                     FetchResponse {
                         items,
-                        elsewhere: vec![],
+                        redirects: vec![],
                     }
                     .encode(),
                 )
@@ -398,7 +403,7 @@
                 Say::This(
                     FetchResponse {
                         items,
-                        elsewhere: vec![],
+                        redirects: vec![],
                     }
                     .encode(),
                 )
--- a/crates/gateway/gateway/tests/public_answers.rs
+++ b/crates/gateway/gateway/tests/public_answers.rs
@@ -208,7 +208,7 @@
             let states = [ResultStatus::Complete, ResultStatus::Abandoned];
             let result = |state: ResultStatus| ResultEntry {
                 id: "item-1".into(),
-                state,
+                status: state,
                 text: "a\nb\"".into(),
             };
             Say::This(match kind {
