--- a/crates/control/chain-replication/tests/byte_layout.rs
+++ b/crates/control/chain-replication/tests/byte_layout.rs
@@ -88,7 +88,7 @@
 
 #[test]
 fn entries_and_an_empty_probe() {
-    let items = vec![
+    let entries = vec![
         Entry {
             view: 8,
             command: Bytes::from_static(b"abc"),
@@ -99,7 +99,7 @@
         },
     ];
     assert_message(
-        MessageBody::AppendEntries(AppendEntries { previous: 1, previous_view: 2, catch_up_target: 3, newest_synced: 4, committed: 5, entries: items }),
+        MessageBody::AppendEntries(AppendEntries { previous: 1, previous_view: 2, catch_up_target: 3, newest_synced: 4, committed: 5, entries }),
         "03 0000000000000001 0000000000000002 0000000000000003 0000000000000004 0000000000000005 00000002
          0000000000000008 00000003 616263
          0000000000000009 00000000",
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn numbers_of_messages_that_are_not_in_use_are_refused() {
+fn unused_message_numbers_are_rejected() {
     for unused in [0, 5, 6, 10, 255] {
         let mut bytes = unhex("0000000000000001 0000000000000002 0000000000000003");
         bytes.push(unused);
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn name_of_a_snapshot_holds_its_length_and_crc32() {
+fn identity_of_a_snapshot_holds_its_length_and_crc32() {
     let id = SnapshotId::of(1, 2, b"123456789");
     assert_eq!(
         (id.number, id.last_view, id.total_bytes, id.crc32),
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn state_that_a_member_publishes() {
+fn status_of_a_replica() {
     assert_layout(
         ReplicaStatus {
             id: 1,
--- a/crates/control/chain-replication/tests/catch_up.rs
+++ b/crates/control/chain-replication/tests/catch_up.rs
@@ -3,11 +3,6 @@
 //! `CATCH_UP_SEEDS` play others by hand.
 
 #![expect(clippy::unwrap_used, reason = "a test ends at the first surprise")]
-#![expect(
-    clippy::needless_pass_by_value,
-    clippy::struct_excessive_bools,
-    reason = "not revised yet"
-)]
 
 mod catch_up_world;
 
@@ -46,7 +41,7 @@
 }
 
 #[test]
-fn five_hundred_large_changes_with_members_away_for_any_part_of_them() {
+fn members_that_were_away_catch_up_with_five_hundred_large_changes() {
     let mut broken = Vec::new();
     let (from, seeds) = (number("CATCH_UP_FROM", 0), number("CATCH_UP_SEEDS", 4));
     for seed in from..from + seeds {
@@ -69,7 +64,7 @@
 }
 
 #[test]
-fn one_that_was_just_made_a_member_does_not_lead_before_it_holds_all() {
+fn new_member_does_not_lead_before_it_holds_everything() {
     for seed in 0..2 {
         let (what, figures) = play(seed, struck(seed), Faults::default());
         println!("seed {seed}: {figures:?} {}", what.as_deref().unwrap_or(""));
@@ -86,7 +81,7 @@
 }
 
 #[test]
-fn a_log_cut_short_before_a_lagging_member_without_a_snapshot_is_found() {
+fn detects_a_truncated_log_without_a_snapshot() {
     found(
         0,
         terms,
@@ -98,7 +93,7 @@
 }
 
 #[test]
-fn a_snapshot_that_begins_again_with_each_change_is_found() {
+fn detects_a_snapshot_that_restarts_with_each_change() {
     found(
         3,
         |_| terms(1),
@@ -110,7 +105,7 @@
 }
 
 #[test]
-fn a_member_that_leads_without_being_entitled_is_found() {
+fn detects_a_head_that_does_not_hold_everything() {
     found(
         0,
         struck,
@@ -122,7 +117,7 @@
 }
 
 #[test]
-fn being_in_sync_that_is_said_before_the_disk_holds_it_is_found() {
+fn detects_in_sync_reported_before_the_sync() {
     found(
         0,
         struck,
@@ -134,7 +129,7 @@
 }
 
 #[test]
-fn entries_and_parts_of_an_old_view_that_are_accepted_are_found() {
+fn detects_accepted_entries_and_chunks_of_an_old_view() {
     // Much that comes late and a second time.
     let terms = |seed| Terms {
         doubled: 50,
@@ -151,7 +146,7 @@
 }
 
 #[test]
-fn a_ring_that_is_never_written_anew_is_found() {
+fn detects_a_log_that_is_never_compacted() {
     found(
         0,
         terms,
@@ -176,7 +171,7 @@
 }
 
 #[test]
-fn five_hundred_large_changes_over_the_real_ring() {
+fn members_that_were_away_catch_up_on_the_write_ahead_log() {
     let (from, seeds) = (number("CATCH_UP_FROM", 0), number("CATCH_UP_RING_SEEDS", 2));
     for seed in from..from + seeds {
         let (what, figures) = play(seed, on_ring(seed), Faults::default());
@@ -186,7 +181,7 @@
 }
 
 #[test]
-fn one_that_was_just_made_a_member_over_the_real_ring_does_not_lead_before_it_holds_all() {
+fn new_member_on_the_write_ahead_log_does_not_lead_before_it_holds_everything() {
     let terms = Terms {
         real_ring: true,
         ..struck(0)
@@ -197,7 +192,7 @@
 }
 
 #[test]
-fn a_real_ring_that_is_never_written_anew_is_found() {
+fn detects_a_write_ahead_log_that_is_never_compacted() {
     found(
         0,
         on_ring,
@@ -209,7 +204,7 @@
 }
 
 #[test]
-fn a_real_ring_released_before_it_is_written_anew_is_found() {
+fn detects_a_write_ahead_log_released_before_compaction() {
     found(
         7,
         on_ring,
@@ -221,7 +216,7 @@
 }
 
 #[test]
-fn a_sync_of_the_real_ring_that_counts_though_it_failed_is_found() {
+fn detects_a_failed_sync_that_is_reported_as_done() {
     found(
         1,
         |seed| Terms {
--- a/crates/control/chain-replication/tests/catch_up_world/disk.rs
+++ b/crates/control/chain-replication/tests/catch_up_world/disk.rs
@@ -209,6 +209,6 @@
     }
 
     fn safe_table(&self) -> Table {
-        super::replayed(self.recovered(self.safe))
+        super::replayed(&self.recovered(self.safe))
     }
 }
--- a/crates/control/chain-replication/tests/catch_up_world/events.rs
+++ b/crates/control/chain-replication/tests/catch_up_world/events.rs
@@ -9,7 +9,7 @@
     Message {
         from: usize,
         to: usize,
-        msg: Message,
+        message: Message,
     },
     Synced {
         seat: usize,
--- a/crates/control/chain-replication/tests/catch_up_world/machines.rs
+++ b/crates/control/chain-replication/tests/catch_up_world/machines.rs
@@ -127,20 +127,17 @@
             let Some(process) = self.seats[seat].process.as_mut() else {
                 return;
             };
-            let outs = process.node.take_effects();
-            if outs.is_empty() {
+            let effects = process.node.take_effects();
+            if effects.is_empty() {
                 break;
             }
-            for out in outs {
-                match out {
-                    Effect::Send { to, message: msg } => self.send(seat, self.seat_of(to), msg),
-                    Effect::Write {
-                        ticket,
-                        record: write,
-                    } => {
+            for effect in effects {
+                match effect {
+                    Effect::Send { to, message } => self.send(seat, self.seat_of(to), message),
+                    Effect::Write { ticket, record } => {
                         let early = self.faults.synced_early;
                         let s = &mut self.seats[seat];
-                        s.disk.write(ticket, write);
+                        s.disk.write(ticket, record);
                         if let (true, Some(process)) = (early, s.process.as_mut()) {
                             process.node.handle_synced(now / MS, ticket);
                         }
@@ -155,21 +152,21 @@
         self.check_in_sync(seat);
     }
 
-    pub(super) fn send(&mut self, from: usize, to: usize, mut msg: Message) {
-        let bytes = size_of(&msg);
+    pub(super) fn send(&mut self, from: usize, to: usize, mut message: Message) {
+        let bytes = size_of(&message);
         self.figures.bytes += bytes;
         if std::env::var("CATCH_UP_TRACE").is_ok() {
             println!(
                 "{} {from}>{to} v{} {}",
                 self.now / MS,
-                msg.view,
-                kind_of(&msg.body)
+                message.view,
+                kind_of(&message.body)
             );
         }
         if let Some(joining) = self.seats[to].joining.as_mut() {
             joining.bytes += bytes;
         }
-        let part = matches!(msg.body, MessageBody::SnapshotChunk(_));
+        let part = matches!(message.body, MessageBody::SnapshotChunk(_));
         if self.cut(from) || self.cut(to) || part && self.faults.no_snapshots {
             return;
         }
@@ -184,7 +181,7 @@
             return;
         }
         if part && self.terms.spoilt > 0 && self.below(1_000) < self.terms.spoilt {
-            spoil(&mut msg);
+            spoil(&mut message);
         }
         let arrives = free + bytes / self.terms.link_rate;
         self.free_at.insert((from, to), arrives);
@@ -196,13 +193,13 @@
                 Event::Message {
                     from,
                     to,
-                    msg: msg.clone(),
+                    message: message.clone(),
                 },
             );
         }
         self.later(
             arrives + jitter - self.now,
-            Event::Message { from, to, msg },
+            Event::Message { from, to, message },
         );
     }
 }
--- a/crates/control/chain-replication/tests/catch_up_world/mod.rs
+++ b/crates/control/chain-replication/tests/catch_up_world/mod.rs
@@ -1,7 +1,6 @@
 //! Members in virtual time with large commands: links with a rate and a bounded queue, disks with slow syncs and a
 //! bounded ring, and the real chain, its rule for the next view included. Only the agreement on a view is stood in for:
 //! one instance decides, from what it last heard of each machine.
-#![allow(dead_code)]
 
 mod checks;
 pub mod disk;
@@ -173,7 +172,7 @@
             .push(Queued(self.now + after, self.serial, event));
     }
 
-    pub fn broke(&mut self, what: String) {
+    pub fn broke(&mut self, what: impl std::fmt::Display) {
         let at = self.now / MS;
         self.broken.get_or_insert(format!("at {at} ms: {what}"));
     }
@@ -237,20 +236,28 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Message { from, to, mut msg } => {
+            Event::Message {
+                from,
+                to,
+                mut message,
+            } => {
                 if self.cut(from) || self.cut(to) {
                     return;
                 }
                 let (now, addr) = (self.now / MS, self.seats[from].addr);
                 if let Some(process) = self.seats[to].process.as_mut() {
                     let carries = matches!(
-                        msg.body,
+                        message.body,
                         MessageBody::AppendEntries(_) | MessageBody::SnapshotChunk(_)
                     );
                     if self.faults.accepts_old_view && carries {
-                        msg.view = process.node.view().map_or(0, |v| v.number).max(msg.view);
+                        message.view = process
+                            .node
+                            .view()
+                            .map_or(0, |v| v.number)
+                            .max(message.view);
                     }
-                    process.node.handle_message(now, addr, msg);
+                    process.node.handle_message(now, addr, message);
                     self.drain(to);
                 }
             }
@@ -275,8 +282,8 @@
 }
 
 /// One bit of a part is another.
-fn spoil(msg: &mut Message) {
-    if let MessageBody::SnapshotChunk(SnapshotChunk { bytes, .. }) = &mut msg.body {
+fn spoil(message: &mut Message) {
+    if let MessageBody::SnapshotChunk(SnapshotChunk { bytes, .. }) = &mut message.body {
         let mut other = bytes.to_vec();
         if let Some(byte) = other.last_mut() {
             *byte ^= 1;
@@ -290,12 +297,12 @@
         MessageBody::LogPosition { number, last_view } => format!("Have({number} of {last_view})"),
         MessageBody::RequestPosition => "Ask".to_owned(),
         MessageBody::AppendEntries(AppendEntries {
-            previous: before,
-            previous_view: before_view,
-            entries: items,
+            previous,
+            previous_view,
+            entries,
             ..
         }) => {
-            format!("Entries({before} of {before_view} + {})", items.len())
+            format!("Entries({previous} of {previous_view} + {})", entries.len())
         }
         MessageBody::Acknowledge(Acknowledgement {
             synced,
@@ -308,18 +315,18 @@
         MessageBody::ChunkAcknowledgement(ChunkAcknowledgement {
             id,
             offset,
-            received_beyond: held,
-        }) => format!("PartAck({} {offset} {held:b})", id.number),
+            received_beyond,
+        }) => format!("PartAck({} {offset} {received_beyond:b})", id.number),
         MessageBody::ResumeSnapshot {
             number, id, offset, ..
         } => format!("Resume({number}: {} {offset})", id.number),
     }
 }
 
-fn size_of(msg: &Message) -> u64 {
-    let bytes = match &msg.body {
-        MessageBody::AppendEntries(AppendEntries { entries: items, .. }) => {
-            items.iter().map(|i| i.command.len() + 12).sum::<usize>() + 60
+fn size_of(message: &Message) -> u64 {
+    let bytes = match &message.body {
+        MessageBody::AppendEntries(AppendEntries { entries, .. }) => {
+            entries.iter().map(|i| i.command.len() + 12).sum::<usize>() + 60
         }
         MessageBody::SnapshotChunk(SnapshotChunk { bytes, .. }) => bytes.len() + 60,
         _ => 60,
@@ -328,7 +335,7 @@
 }
 
 /// A table that stands for the control state: its digests say which changes it took, its newest body weighs.
-pub fn replayed(recovered: chain_replication::RecoveredLog) -> Table {
+pub fn replayed(recovered: &chain_replication::RecoveredLog) -> Table {
     let mut table = Table::default();
     if let Some(snapshot) = &recovered.snapshot {
         table
--- a/crates/control/chain-replication/tests/catch_up_world/ring.rs
+++ b/crates/control/chain-replication/tests/catch_up_world/ring.rs
@@ -321,6 +321,6 @@
         let mut recovered = RecoveredLog::default();
         let safe = self.kept.iter().take_while(|(at, _)| *at <= self.said);
         safe.for_each(|(_, write)| recovered.replay(write.clone()));
-        super::replayed(recovered)
+        super::replayed(&recovered)
     }
 }
--- a/crates/control/chain-replication/tests/catch_up_world/terms.rs
+++ b/crates/control/chain-replication/tests/catch_up_world/terms.rs
@@ -3,6 +3,10 @@
 use super::{Us, MS};
 
 /// Faults planted in the harness, to see that the checker finds them.
+#[expect(
+    clippy::struct_excessive_bools,
+    reason = "each planted fault is a switch of its own"
+)]
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Faults {
     /// No snapshot ever arrives: whoever lags behind the log that is kept has no way back.
--- a/crates/control/chain-replication/tests/crash_points.rs
+++ b/crates/control/chain-replication/tests/crash_points.rs
@@ -1,9 +1,9 @@
 //! The table of docs/control-state.md: at each point all lose power, what their disks hold and what was said; and
 //! after it, with the first disk gone too, that nothing acknowledged is missing.
 
-mod common;
+mod support;
 
-use common::{member, view, Net};
+use support::{member, view, Net};
 
 /// Sends "x" through three members after "a", up to a point; then power goes everywhere.
 fn crash_at(point: usize) -> (Net, String) {
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn each_point_leaves_what_the_table_says() {
+fn each_crash_point_leaves_what_the_page_states() {
     let lines: Vec<String> = (0..=7).map(|point| crash_at(point).1).collect();
     insta::assert_snapshot!(lines.join("\n"), @r"
     0: disks - - - committed at the head: no
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn after_each_point_all_come_back_and_agree() {
+fn replicas_recover_and_agree_after_each_crash_point() {
     for point in 0..=7 {
         let (mut net, line) = crash_at(point);
         for n in 1..=3 {
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn after_each_point_any_one_disk_may_be_gone() {
+fn any_one_disk_may_be_lost_after_each_crash_point() {
     for point in 0..=7 {
         for gone in 1..=3u64 {
             let (mut net, line) = crash_at(point);
--- a/crates/control/chain-replication/tests/wire.rs
+++ b/crates/control/chain-replication/tests/decoding.rs
@@ -42,20 +42,20 @@
 
 fn body() -> impl Strategy<Value = MessageBody> {
     let item = (any::<u64>(), bytes()).prop_map(|(view, command)| Entry { view, command });
-    let items = proptest::collection::vec(item, 0..5);
+    let entries = proptest::collection::vec(item, 0..5);
     prop_oneof![
         (any::<u64>(), any::<u64>())
             .prop_map(|(number, last_view)| MessageBody::LogPosition { number, last_view }),
         Just(MessageBody::RequestPosition),
-        (any::<[u64; 5]>(), items).prop_map(
-            |([before, before_view, needed, newest, committed], items)| {
+        (any::<[u64; 5]>(), entries).prop_map(
+            |([previous, previous_view, catch_up_target, newest_synced, committed], entries)| {
                 MessageBody::AppendEntries(AppendEntries {
-                    previous: before,
-                    previous_view: before_view,
-                    catch_up_target: needed,
-                    newest_synced: newest,
+                    previous,
+                    previous_view,
+                    catch_up_target,
+                    newest_synced,
                     committed,
-                    entries: items,
+                    entries,
                 })
             }
         ),
@@ -68,11 +68,11 @@
         }),
         (snapshot_id(), any::<u32>(), bytes())
             .prop_map(|(id, offset, bytes)| MessageBody::snapshot_chunk(id, offset, bytes)),
-        (snapshot_id(), any::<u32>(), any::<u8>()).prop_map(|(id, offset, held)| {
+        (snapshot_id(), any::<u32>(), any::<u8>()).prop_map(|(id, offset, received_beyond)| {
             MessageBody::ChunkAcknowledgement(ChunkAcknowledgement {
                 id,
                 offset,
-                received_beyond: held,
+                received_beyond,
             })
         }),
         (any::<u64>(), any::<u64>(), snapshot_id(), any::<u32>()).prop_map(
@@ -86,7 +86,7 @@
     ]
 }
 
-fn msg() -> impl Strategy<Value = Message> {
+fn message() -> impl Strategy<Value = Message> {
     (any::<[u64; 3]>(), body()).prop_map(|([view, from, to], body)| Message {
         view,
         from,
@@ -113,35 +113,35 @@
 
 proptest! {
     #[test]
-    fn words_are_read_back(msg in msg()) {
-        prop_assert_eq!(Message::decode(&msg.encode()).unwrap(), msg);
+    fn messages_decode_to_what_was_encoded(message in message()) {
+        prop_assert_eq!(Message::decode(&message.encode()).unwrap(), message);
     }
 
     #[test]
-    fn records_are_read_back(write in write()) {
+    fn records_decode_to_what_was_encoded(write in write()) {
         prop_assert_eq!(LogRecord::decode(&write.encode()).unwrap(), write);
     }
 
     #[test]
-    fn any_bytes_are_borne(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
+    fn decoding_accepts_any_bytes_without_panic(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
         let _ = Message::decode(&bytes);
         let _ = LogRecord::decode(&bytes);
         let _ = ReplicaStatus::decode(&bytes);
     }
 
     #[test]
-    fn spoilt_words_are_borne(msg in msg(), at in any::<prop::sample::Index>(), byte in any::<u8>(), cut in any::<prop::sample::Index>()) {
-        let mut bytes = msg.encode().to_vec();
+    fn decoding_accepts_corrupt_messages_without_panic(message in message(), at in any::<prop::sample::Index>(), byte in any::<u8>(), cut in any::<prop::sample::Index>()) {
+        let mut bytes = message.encode().to_vec();
         let at = at.index(bytes.len());
         bytes[at] = byte;
         let _ = Message::decode(&bytes);
         let cut = cut.index(bytes.len());
-        prop_assert!(Message::decode(&msg.encode()[..cut]).is_err());
+        prop_assert!(Message::decode(&message.encode()[..cut]).is_err());
     }
 }
 
 #[test]
-fn what_is_wrong_is_named() {
+fn decode_errors_state_the_cause() {
     let status = ReplicaStatus {
         id: 1,
         view: 2,
--- a/crates/control/chain-replication/tests/strangers.rs
+++ b/crates/control/chain-replication/tests/ignored_messages.rs
@@ -1,15 +1,16 @@
 //! Words of strangers, of older views and for others: nothing of them is taken, whatever they say.
 
-mod common;
+#[expect(dead_code, reason = "each test file uses a part")]
+mod support;
 
 use bytes::Bytes;
 use chain_replication::{
     Acknowledgement, AppendEntries, ChunkAcknowledgement, Entry, LogRecord, Message, MessageBody,
     SnapshotChunk, SnapshotId,
 };
-use common::*;
 use proptest::prelude::*;
 use std::net::SocketAddr;
+use support::*;
 
 /// Three members in view 2 that hold three commands.
 fn chain_of_three() -> Net {
@@ -41,18 +42,18 @@
 /// A word for an identity that this member doesn't have says nothing about its view: the machine at this address was
 /// another one then, or will be.
 #[test]
-fn a_word_for_another_identity_deposes_no_head() {
+fn message_for_another_identity_deposes_no_head() {
     let mut net = chain_of_three();
     let before = stands(&mut net, 1);
     assert!(before.3, "the first is head");
-    let msg = Message {
+    let message = Message {
         view: u64::MAX,
         from: 9,
         to: 7,
         body: MessageBody::RequestPosition,
     };
     let now = net.now;
-    net.node(1).handle_message(now, member(9, 0).addr, msg);
+    net.node(1).handle_message(now, member(9, 0).addr, message);
     net.drain(1);
     assert_eq!(stands(&mut net, 1), before);
     assert!(net.propose(1, "d").is_some(), "it goes on as head");
@@ -71,24 +72,24 @@
 
 fn body() -> impl Strategy<Value = MessageBody> {
     let bytes = || proptest::collection::vec(any::<u8>(), 0..20).prop_map(Bytes::from);
-    let items = proptest::collection::vec((0u64..4, bytes()), 0..4);
+    let entries = proptest::collection::vec((0u64..4, bytes()), 0..4);
     prop_oneof![
         (0u64..6, 0u64..4)
             .prop_map(|(number, last_view)| MessageBody::LogPosition { number, last_view }),
         Just(MessageBody::RequestPosition),
-        ([0u64..6, 0..4, 0..6, 0..8, 0..8], items).prop_map(
-            |([before, before_view, needed, newest, committed], items)| {
-                let items = items
+        ([0u64..6, 0..4, 0..6, 0..8, 0..8], entries).prop_map(
+            |([previous, previous_view, catch_up_target, newest_synced, committed], entries)| {
+                let entries = entries
                     .into_iter()
                     .map(|(view, command)| Entry { view, command })
                     .collect();
                 MessageBody::AppendEntries(AppendEntries {
-                    previous: before,
-                    previous_view: before_view,
-                    catch_up_target: needed,
-                    newest_synced: newest,
+                    previous,
+                    previous_view,
+                    catch_up_target,
+                    newest_synced,
                     committed,
-                    entries: items,
+                    entries,
                 })
             }
         ),
@@ -109,11 +110,11 @@
                 bytes
             })
         ),
-        (snapshot_id(), 0u32..40, any::<u8>()).prop_map(|(id, offset, held)| {
+        (snapshot_id(), 0u32..40, any::<u8>()).prop_map(|(id, offset, received_beyond)| {
             MessageBody::ChunkAcknowledgement(ChunkAcknowledgement {
                 id,
                 offset,
-                received_beyond: held,
+                received_beyond,
             })
         }),
         (0u64..6, 0u64..4, snapshot_id(), 0u32..40).prop_map(|(number, last_view, id, offset)| {
@@ -133,13 +134,13 @@
     /// From an address or an identity that is not in the view, from an older view, or for somebody else: no answer, no
     /// write, and all stands as before.
     #[test]
-    fn words_of_strangers_and_of_older_views_change_nothing(n in 1u64..4, which in 0u8..4, body in body()) {
+    fn messages_of_strangers_and_of_older_views_change_nothing(n in 1u64..4, which in 0u8..4, body in body()) {
         let mut net = chain_of_three();
         let before = stands(&mut net, n);
         let neighbour = if n == 1 { 2 } else { n - 1 };
         let good = Message { view: 2, from: neighbour, to: n, body };
         let addr = member(neighbour, 0).addr;
-        let (from, msg) = match which {
+        let (from, message) = match which {
             0 => (addr, Message { view: 1, ..good }),
             1 => (addr, Message { from: 8, ..good }),
             2 => (SocketAddr::from(([10, 0, 0, 9], 7000)), good),
@@ -147,7 +148,7 @@
         };
         let now = net.now;
         let passed_over = net.node(n).ignored_messages();
-        net.node(n).handle_message(now, from, msg);
+        net.node(n).handle_message(now, from, message);
         prop_assert_eq!(net.node(n).ignored_messages(), passed_over + 1);
         prop_assert_eq!(net.node(n).take_effects(), vec![]);
         prop_assert_eq!(stands(&mut net, n), before);
--- a/crates/control/chain-replication/tests/lagging.rs
+++ b/crates/control/chain-replication/tests/lagging_members.rs
@@ -1,13 +1,14 @@
 //! Members that lag far behind: copies that were overtaken, parts that are old, doubled or unreadable, large entries.
 
-mod common;
+#[expect(dead_code, reason = "each test file uses a part")]
+mod support;
 
 use bytes::Bytes;
 use chain_replication::{
     AppendEntries, ChunkAcknowledgement, Message, MessageBody, SnapshotChunk, SnapshotId,
     MAX_COMMAND_BYTES,
 };
-use common::{member, view, Net};
+use support::{member, view, Net};
 
 /// Three members whose log has let its beginning go, and a machine that joins.
 fn late_joiner(changes: u32) -> Net {
@@ -56,14 +57,14 @@
     while !net
         .mail
         .iter()
-        .any(|(_, to, msg)| *to == 4 && matches!(msg.body, MessageBody::SnapshotChunk(_)))
+        .any(|(_, to, message)| *to == 4 && matches!(message.body, MessageBody::SnapshotChunk(_)))
     {
         assert!(net.step(), "no part was sent");
     }
 }
 
 #[test]
-fn a_joiner_whose_copy_was_overtaken_by_the_log_gets_a_new_one() {
+fn joiner_whose_snapshot_is_outdated_receives_a_new_one() {
     let mut net = late_joiner(60);
     // A long table: its snapshot comes in many parts.
     join(&mut net);
@@ -82,7 +83,7 @@
 }
 
 #[test]
-fn what_was_committed_during_a_copy_is_still_kept_when_the_copy_has_come() {
+fn entries_committed_during_a_snapshot_transfer_are_kept() {
     let mut net = late_joiner(60);
     join(&mut net);
     until_parts(&mut net);
@@ -107,7 +108,7 @@
 }
 
 #[test]
-fn a_snapshot_that_cannot_be_read_is_not_sent_again_without_pause() {
+fn unreadable_snapshot_is_not_resent_without_pause() {
     let mut net = late_joiner(60);
     join(&mut net);
     let mut parts = 0;
@@ -119,10 +120,10 @@
             net.drain(n);
         }
         let mut turns = 0;
-        while let Some((from, to, mut msg)) = net.mail.pop_front() {
+        while let Some((from, to, mut message)) = net.mail.pop_front() {
             if let MessageBody::SnapshotChunk(SnapshotChunk {
                 id, offset, bytes, ..
-            }) = &msg.body
+            }) = &message.body
             {
                 // Whole and of the right name, and yet no table.
                 assert!(
@@ -131,10 +132,10 @@
                 );
                 let bytes = Bytes::from(vec![0xFF; bytes.len()]);
                 let id = SnapshotId::of(id.number, id.last_view, &bytes);
-                msg.body = MessageBody::snapshot_chunk(id, *offset, bytes);
+                message.body = MessageBody::snapshot_chunk(id, *offset, bytes);
                 parts += 1;
             }
-            net.mail.push_front((from, to, msg));
+            net.mail.push_front((from, to, message));
             net.step();
             turns += 1;
             assert!(turns < 2_000, "the same snapshot goes round for ever");
@@ -152,7 +153,7 @@
 }
 
 #[test]
-fn a_member_whose_own_snapshot_cannot_be_read_neither_leads_nor_counts_as_in_sync() {
+fn member_with_an_unreadable_snapshot_neither_leads_nor_is_in_sync() {
     for n in [1, 2, 3] {
         let mut net = late_joiner(60);
         let writes = net.node(n).snapshot_records();
@@ -190,7 +191,7 @@
 }
 
 #[test]
-fn a_large_entry_is_not_sent_again_before_it_can_have_come() {
+fn large_entry_is_not_resent_while_it_may_be_in_flight() {
     let mut net = late_joiner(0);
     net.propose_bytes(1, Bytes::from(vec![b'x'; MAX_COMMAND_BYTES]));
     let sent = |net: &Net| {
@@ -220,7 +221,7 @@
 }
 
 #[test]
-fn a_joiner_that_lacks_many_large_entries_is_not_caught_up() {
+fn joiner_that_lacks_many_large_entries_has_not_caught_up() {
     let mut net = late_joiner(20);
     join(&mut net);
     net.settle();
@@ -264,7 +265,7 @@
 }
 
 #[test]
-fn a_copy_that_stood_still_begins_again_at_a_joiner_that_had_been_in_step() {
+fn stalled_snapshot_restarts_at_a_joiner_that_was_in_step() {
     let mut net = late_joiner(0);
     // Enough of them that a snapshot has several parts.
     for n in 0..9_000 {
@@ -302,7 +303,7 @@
         net.step();
         if part {
             net.mail
-                .retain(|(_, _, msg)| !matches!(msg.body, MessageBody::SnapshotChunk(_)));
+                .retain(|(_, _, message)| !matches!(message.body, MessageBody::SnapshotChunk(_)));
         }
         if taken > 0 {
             break;
@@ -321,7 +322,7 @@
 }
 
 #[test]
-fn parts_that_are_doubled_reordered_or_of_an_old_view_do_no_harm() {
+fn duplicate_reordered_and_stale_chunks_are_harmless() {
     let mut net = late_joiner(60);
     join(&mut net);
     let mut old = Vec::new();
@@ -357,7 +358,7 @@
 
 /// On a link that is full each copy of the same frames delays what would answer them.
 #[test]
-fn what_is_sent_again_in_vain_is_sent_ever_more_rarely() {
+fn resends_back_off() {
     let mut net = late_joiner(0);
     net.propose(1, "a");
     let frame = net.mail.pop_front().expect("a frame");
--- a/crates/control/chain-replication/tests/log_budget.rs
+++ b/crates/control/chain-replication/tests/log_budget.rs
@@ -51,10 +51,14 @@
 /// All that it wrote is on its disk.
 fn sync(node: &mut Replica<Nothing>) {
     loop {
-        let newest = node.take_effects().iter().rev().find_map(|out| match out {
-            Effect::Write { ticket, .. } => Some(*ticket),
-            _ => None,
-        });
+        let newest = node
+            .take_effects()
+            .iter()
+            .rev()
+            .find_map(|effect| match effect {
+                Effect::Write { ticket, .. } => Some(*ticket),
+                _ => None,
+            });
         let Some(ticket) = newest else { return };
         node.handle_synced(1, ticket);
     }
@@ -83,7 +87,7 @@
 }
 
 #[test]
-fn the_logs_of_many_members_stay_within_one_bound() {
+fn logs_of_many_replicas_share_one_bound() {
     for count in [16, 64] {
         let mut nodes = members(count);
         let most = play(&mut nodes, count, 100, true);
@@ -106,12 +110,12 @@
 }
 
 #[test]
-fn logs_without_a_common_bound_are_found() {
+fn detects_logs_without_a_common_bound() {
     assert!(play(&mut members(64), 64, 100, false) > 4 * TOGETHER);
 }
 
 #[test]
-fn few_busy_members_among_many_keep_all_that_one_alone_would() {
+fn few_busy_replicas_among_many_keep_their_full_log() {
     let mut nodes = members(64);
     play(&mut nodes, 4, 120, true);
     let alone = {
@@ -125,7 +129,7 @@
 
 proptest! {
     #[test]
-    fn a_limit_keeps_all_together_within_the_bound(held in proptest::collection::vec(0u64..40 * MIB, 0..80)) {
+    fn fair_log_limit_keeps_the_sum_within_the_bound(held in proptest::collection::vec(0u64..40 * MIB, 0..80)) {
         let limit = fair_log_limit(held.iter().copied());
         let after: u64 = held.iter().map(|bytes| limit.min(*bytes)).sum();
         prop_assert!(after <= TOGETHER.max(held.len() as u64 * LEAST));
--- a/crates/control/chain-replication/tests/next_view.rs
+++ b/crates/control/chain-replication/tests/next_view.rs
@@ -1,9 +1,10 @@
 //! The rule for the next view.
 
-mod common;
+#[expect(dead_code, reason = "each test file uses a part")]
+mod support;
 
 use chain_replication::{next_view, Observation, ReplicaStatus, View};
-use common::{member, view};
+use support::{member, view};
 
 fn seen(n: u64, now: &View) -> Observation {
     let in_view = now.members.iter().any(|m| m.id == n);
@@ -51,13 +52,13 @@
 }
 
 #[test]
-fn nothing_changes_while_all_are_there() {
+fn view_is_unchanged_while_all_are_alive() {
     let now = three();
     assert_eq!(told(next_view(&now, &all(&now, 4), 3, 2)), "none");
 }
 
 #[test]
-fn the_dead_are_dropped_and_a_spare_joins() {
+fn dead_members_are_dropped_and_a_spare_joins() {
     let now = three();
     let mut s = all(&now, 4);
     s[0].alive = false;
@@ -69,7 +70,7 @@
 }
 
 #[test]
-fn a_dead_head_is_followed_only_by_one_that_holds_all() {
+fn dead_head_is_succeeded_only_by_a_member_that_holds_everything() {
     let now = three();
     let mut s = all(&now, 3);
     s[0].alive = false;
@@ -92,7 +93,7 @@
 }
 
 #[test]
-fn a_machine_without_its_disk_is_a_newcomer() {
+fn machine_without_its_disk_is_a_newcomer() {
     let now = three();
     let mut s = all(&now, 3);
     s[1].member.id = 77;
@@ -107,7 +108,7 @@
 }
 
 #[test]
-fn a_joiner_becomes_the_tail_once_it_is_caught_up_in_this_view() {
+fn joiner_becomes_the_tail_once_caught_up_in_this_view() {
     let now = view(5, &[(1, 1), (2, 1)], &[4]);
     let mut s = all(&now, 4);
     assert_eq!(told(next_view(&now, &s, 3, 2)), "none");
@@ -125,7 +126,7 @@
 }
 
 #[test]
-fn joiners_of_other_zones_come_first_and_few_at_a_time() {
+fn joiners_of_other_zones_come_first_and_are_bounded() {
     let now = view(5, &[(1, 1)], &[]);
     let mut s = all(&now, 6);
     s[1].zone = 1;
@@ -138,7 +139,7 @@
 }
 
 #[test]
-fn who_is_leaving_goes_out_or_to_the_end() {
+fn draining_member_is_dropped_or_moved_to_the_end() {
     let now = three();
     let mut s = all(&now, 3);
     s[0].draining = true;
@@ -160,7 +161,7 @@
 }
 
 #[test]
-fn the_retired_goes_once_enough_others_hold_all() {
+fn retiring_member_is_dropped_once_enough_others_are_in_sync() {
     let now = three();
     let mut s = all(&now, 4);
     s[1].retiring = true;
@@ -187,7 +188,7 @@
 }
 
 #[test]
-fn a_chain_that_is_one_too_long_lets_its_last_go() {
+fn chain_that_is_one_too_long_drops_its_last_member() {
     let now = view(7, &[(1, 1), (2, 1), (3, 4), (4, 7)], &[]);
     let mut s = all(&now, 4);
     assert_eq!(told(next_view(&now, &s, 3, 2)), "8: 1@1 2@1 3@4 joining []");
@@ -200,7 +201,7 @@
 }
 
 #[test]
-fn a_head_that_says_that_it_lost_what_it_held_is_followed_by_one_that_holds_all() {
+fn head_that_reports_data_loss_is_succeeded_by_a_member_that_holds_everything() {
     let now = three();
     let mut s = all(&now, 3);
     s[0].status.as_mut().unwrap().in_sync_view = 0;
@@ -216,7 +217,7 @@
 }
 
 #[test]
-fn the_head_of_a_founding_view_has_nothing_to_hold() {
+fn head_of_a_bootstrap_view_has_nothing_to_hold() {
     let now = view(1, &[(1, 1), (2, 1), (3, 1)], &[]);
     let mut s = all(&now, 3);
     for seen in &mut s {
--- a/crates/control/chain-replication/tests/recovered.rs
+++ b/crates/control/chain-replication/tests/recovery.rs
@@ -1,11 +1,12 @@
 //! What comes back from a disk: folding older entries into the state changes nothing but what is in memory.
 
-mod common;
+#[expect(dead_code, reason = "each test file uses a part")]
+mod support;
 
 use bytes::Bytes;
 use chain_replication::{LogRecord, RecoveredLog, Replica, StateMachine as _, View};
-use common::{member, Words};
 use proptest::prelude::*;
+use support::{member, Words};
 
 /// Records as a member writes them: entries, a view, its state anew with what comes after it, another's state.
 fn history() -> impl Strategy<Value = Vec<LogRecord>> {
@@ -89,7 +90,7 @@
 
 proptest! {
     #[test]
-    fn folding_at_any_time_changes_nothing_but_what_is_in_memory(
+    fn compaction_at_any_time_changes_only_what_is_in_memory(
         writes in history(),
         keep in 0u64..200,
         every in 1usize..20,
@@ -113,7 +114,7 @@
 }
 
 #[test]
-fn a_state_that_cannot_be_read_is_left_as_it_is() {
+fn unreadable_state_is_left_unchanged() {
     let mut recovered = RecoveredLog::default();
     recovered.replay(LogRecord::Snapshot {
         view: 1,
--- a/crates/control/chain-replication/tests/chain.rs
+++ b/crates/control/chain-replication/tests/replication.rs
@@ -1,10 +1,10 @@
 //! Order, acknowledgement and repair among a few members.
 
-mod common;
+mod support;
 
 use bytes::Bytes;
 use chain_replication::{Message, MessageBody, MAX_COMMAND_BYTES};
-use common::{member, view, Net};
+use support::{member, view, Net};
 
 fn three() -> Net {
     let mut net = Net::new(4);
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_command_goes_down_once_and_its_commit_comes_back_up() {
+fn command_is_forwarded_once_and_its_commit_is_acknowledged_back() {
     let mut net = three();
     assert_eq!(net.propose(1, "a"), Some(1));
     net.settle();
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn what_the_heads_disk_does_not_hold_is_not_passed_on() {
+fn head_forwards_nothing_that_its_disk_does_not_hold() {
     let mut net = three();
     net.seat(1).syncs = false;
     net.propose(1, "a");
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn many_commands_of_one_sync_travel_in_one_frame() {
+fn commands_of_one_sync_are_batched_into_one_frame() {
     let mut net = three();
     net.seat(1).syncs = false;
     for n in 0..200 {
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn frames_are_bounded_and_many_are_on_their_way() {
+fn frames_are_bounded_and_pipelined() {
     let mut net = three();
     for n in 0..300u32 {
         let mut command = vec![b'x'; 10_000];
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn the_head_takes_no_more_than_may_wait() {
+fn head_bounds_uncommitted_commands() {
     let mut net = three();
     net.down(3);
     let command = Bytes::from(vec![b'x'; 100_000]);
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn lost_words_are_said_again() {
+fn lost_messages_are_resent() {
     for lost in 0..4 {
         let mut net = three();
         net.propose(1, "a");
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn a_gap_asks_at_once() {
+fn gap_is_reported_at_once() {
     let mut net = three();
     net.propose(1, "a");
     net.mail.clear();
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn each_member_may_lose_power_and_goes_on_in_the_same_view() {
+fn each_member_recovers_from_power_loss_in_the_same_view() {
     for n in 1..=3 {
         let mut net = three();
         net.propose(1, "a");
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn the_next_head_goes_on_with_all_that_was_acknowledged() {
+fn next_head_holds_every_acknowledged_entry() {
     let mut net = three();
     net.propose(1, "a");
     net.settle();
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn a_head_that_was_left_out_neither_commits_nor_keeps_what_nobody_else_has() {
+fn removed_head_neither_commits_nor_keeps_unacknowledged_entries() {
     let mut net = three();
     net.propose(1, "a");
     net.settle();
@@ -225,7 +225,7 @@
 }
 
 #[test]
-fn a_joiner_gets_the_log_and_is_not_waited_for() {
+fn joiner_receives_the_log_and_does_not_block_commits() {
     let mut net = three();
     net.propose(1, "a");
     net.settle();
@@ -271,7 +271,7 @@
 }
 
 #[test]
-fn a_late_joiner_gets_a_snapshot() {
+fn late_joiner_receives_a_snapshot() {
     let (mut net, next) = late_joiner();
     net.enter(&next);
     net.settle();
@@ -283,12 +283,12 @@
 }
 
 #[test]
-fn a_snapshots_lost_parts_and_its_takers_restart_are_borne() {
+fn snapshot_survives_lost_chunks_and_a_receiver_restart() {
     let (mut net, next) = late_joiner();
     net.enter(&next);
     let mut dropped = 0;
-    while let Some((_, _, msg)) = net.mail.front() {
-        if matches!(msg.body, MessageBody::SnapshotChunk(_)) && dropped < 1 {
+    while let Some((_, _, message)) = net.mail.front() {
+        if matches!(message.body, MessageBody::SnapshotChunk(_)) && dropped < 1 {
             net.mail.pop_front();
             dropped += 1;
             continue;
@@ -302,7 +302,7 @@
 }
 
 #[test]
-fn a_member_in_the_middle_that_lags_gets_all_before_it_speaks() {
+fn lagging_middle_member_catches_up_before_it_acknowledges() {
     let mut net = three();
     net.propose(1, "a");
     net.settle();
@@ -340,7 +340,7 @@
 }
 
 #[test]
-fn words_for_another_id_or_of_another_view_are_not_heeded() {
+fn messages_for_another_id_or_of_another_view_are_ignored() {
     let mut net = three();
     net.propose(1, "a");
     let frame = net.mail.pop_front().map(|m| m.2).expect("a frame");
@@ -370,7 +370,7 @@
 }
 
 #[test]
-fn a_file_begun_anew_holds_the_same() {
+fn snapshot_records_restore_the_same_state() {
     let mut net = three();
     for word in ["a", "b", "c"] {
         net.propose(1, word);
@@ -399,7 +399,7 @@
 }
 
 #[test]
-fn what_one_alone_committed_counts_for_two_only_once_two_have_it() {
+fn entries_committed_by_one_count_for_two_only_once_two_hold_them() {
     let mut net = Net::new(3);
     net.enter(&view(1, &[(1, 1)], &[2, 3]));
     net.settle();
--- a/crates/control/chain-replication/tests/copies.rs
+++ b/crates/control/chain-replication/tests/snapshot_transfer.rs
@@ -1,14 +1,15 @@
 //! A copy goes on from where it was: broken off at each part, over a restart of either end, in a new view, with words and
 //! parts that are lost, doubled, late, spoilt or of another snapshot.
 
-mod common;
+#[expect(dead_code, reason = "each test file uses a part")]
+mod support;
 
 use bytes::Bytes;
 use chain_replication::{
     ChunkAcknowledgement, Message, MessageBody, RecoveredLog, SnapshotChunk, StateSnapshot,
     CHUNKS_IN_FLIGHT, CHUNK_BYTES,
 };
-use common::{member, view, Net};
+use support::{member, view, Net};
 
 /// Words of the table that is copied, and bytes of each in a snapshot.
 const WORDS: u64 = 40_000;
@@ -58,8 +59,8 @@
     net.enter(&view(2, &[(1, 1), (2, 1), (3, 1)], &[JOINER]));
 }
 
-fn is_part(msg: &Message) -> bool {
-    matches!(msg.body, MessageBody::SnapshotChunk(_))
+fn is_part(message: &Message) -> bool {
+    matches!(message.body, MessageBody::SnapshotChunk(_))
 }
 
 /// Parts that members have sent to the joiner.
@@ -91,26 +92,25 @@
     }
 }
 
-fn spoil(msg: &mut Message, fault: Fault) {
-    match (&mut msg.body, fault) {
+fn spoil(message: &mut Message, fault: Fault) {
+    match (&mut message.body, fault) {
         (
             MessageBody::ResumeSnapshot {
                 number, last_view, ..
             },
             Fault::ForgetsParts,
         ) => {
-            msg.body = MessageBody::LogPosition {
+            message.body = MessageBody::LogPosition {
                 number: *number,
                 last_view: *last_view,
             };
         }
         (
             MessageBody::ChunkAcknowledgement(ChunkAcknowledgement {
-                received_beyond: held,
-                ..
+                received_beyond, ..
             }),
             Fault::HearsOfNoGap,
-        ) => *held = 0,
+        ) => *received_beyond = 0,
         _ => {}
     }
 }
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn a_copy_that_nothing_happens_to_is_sent_once() {
+fn undisturbed_snapshot_is_sent_once() {
     let mut net = three_with_a_long_table();
     join(&mut net);
     net.settle();
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn a_copy_that_is_broken_off_at_any_part_goes_on_from_there() {
+fn interrupted_snapshot_resumes_at_any_chunk() {
     for parts in 1..PARTS {
         let places = broken_off_after(parts, Fault::None);
         let lowest = places.iter().min().copied();
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn a_taker_that_was_restarted_takes_all_anew_and_nothing_twice() {
+fn restarted_receiver_starts_over_and_takes_nothing_twice() {
     for parts in [1, PARTS / 2, PARTS - 1] {
         let mut net = three_with_a_long_table();
         join(&mut net);
@@ -245,7 +245,7 @@
 }
 
 #[test]
-fn a_copy_that_the_log_goes_on_from_is_the_same_one_in_a_new_view() {
+fn snapshot_that_the_log_continues_is_kept_in_a_new_view() {
     let places = sent_in_a_new_view(Fault::None);
     assert_eq!(
         (places.len(), places.first()),
@@ -255,12 +255,12 @@
 }
 
 #[test]
-fn a_taker_that_forgets_its_parts_is_found() {
+fn detects_a_receiver_that_forgets_its_chunks() {
     assert!(sent_in_a_new_view(Fault::ForgetsParts).len() > PARTS - 6);
 }
 
 #[test]
-fn a_sender_that_was_restarted_goes_on_if_its_snapshot_is_the_same() {
+fn restarted_sender_resumes_the_same_snapshot() {
     for parts in 1..PARTS {
         let mut net = three_with_a_long_table();
         join(&mut net);
@@ -280,7 +280,7 @@
 }
 
 #[test]
-fn a_sender_that_has_another_snapshot_after_its_restart_begins_with_that() {
+fn restarted_sender_starts_over_with_another_snapshot() {
     for parts in [1, PARTS / 2, PARTS - 1] {
         let mut net = three_with_a_long_table();
         join(&mut net);
@@ -315,7 +315,7 @@
 }
 
 #[test]
-fn a_copy_goes_on_in_a_new_view_at_the_same_sender_and_at_another() {
+fn snapshot_resumes_in_a_new_view_with_the_same_and_another_sender() {
     for parts in 1..PARTS {
         for members in [
             vec![(1, 1), (2, 1), (3, 1)],
@@ -346,7 +346,7 @@
 }
 
 #[test]
-fn a_copy_is_dropped_by_whoever_has_no_part_in_it_any_more() {
+fn snapshot_is_dropped_by_a_process_that_left() {
     let mut net = three_with_a_long_table();
     join(&mut net);
     until_it_holds(&mut net, 6, Fault::None);
@@ -393,7 +393,7 @@
 }
 
 #[test]
-fn a_lost_part_is_sent_again_alone() {
+fn only_the_lost_chunk_is_resent() {
     for lost in 1..PARTS {
         assert_eq!(
             sent_with_one_lost(lost, Fault::None),
@@ -406,12 +406,12 @@
 }
 
 #[test]
-fn a_sender_that_does_not_hear_of_a_gap_is_found() {
+fn detects_a_sender_that_ignores_gaps() {
     assert!((1..PARTS).any(|lost| sent_with_one_lost(lost, Fault::HearsOfNoGap) > PARTS + 1));
 }
 
 #[test]
-fn words_and_parts_that_come_twice_and_late_begin_nothing_twice() {
+fn duplicate_and_late_messages_start_nothing_twice() {
     let mut net = three_with_a_long_table();
     join(&mut net);
     let mut late: Vec<(u64, u64, Message)> = Vec::new();
@@ -451,7 +451,7 @@
 }
 
 #[test]
-fn never_more_than_a_window_of_parts_is_on_its_way() {
+fn chunks_in_flight_stay_within_the_window() {
     let mut net = three_with_a_long_table();
     join(&mut net);
     let mut most = 0;
@@ -480,18 +480,18 @@
 }
 
 #[test]
-fn a_spoilt_part_is_as_good_as_lost() {
+fn corrupt_chunk_counts_as_lost() {
     let mut net = three_with_a_long_table();
     join(&mut net);
     let mut spoilt = 0;
     let mut turns = 0;
     while turns < 600 {
         turns += 1;
-        let Some((_, _, msg)) = net.mail.front_mut() else {
+        let Some((_, _, message)) = net.mail.front_mut() else {
             net.pass(50);
             continue;
         };
-        if let MessageBody::SnapshotChunk(SnapshotChunk { offset, bytes, .. }) = &mut msg.body {
+        if let MessageBody::SnapshotChunk(SnapshotChunk { offset, bytes, .. }) = &mut message.body {
             if *offset as usize / CHUNK_BYTES % 4 == 1 && spoilt < PARTS / 4 {
                 let mut other = bytes.to_vec();
                 other[100] ^= 1;
@@ -508,26 +508,26 @@
 
 /// A sender that names one snapshot and sends parts of another, each with a right checksum.
 #[test]
-fn parts_of_two_snapshots_are_never_put_together() {
+fn chunks_of_two_snapshots_are_never_combined() {
     let mut net = three_with_a_long_table();
     join(&mut net);
     let mut turns = 0;
     let mut changed = false;
     while turns < 400 {
         turns += 1;
-        let Some((_, _, msg)) = net.mail.front_mut() else {
+        let Some((_, _, message)) = net.mail.front_mut() else {
             net.pass(50);
             continue;
         };
         if let MessageBody::SnapshotChunk(SnapshotChunk {
             id, offset, bytes, ..
-        }) = &msg.body
+        }) = &message.body
         {
             if !changed && *offset as usize == 3 * CHUNK_BYTES {
                 changed = true;
                 let mut other = bytes.to_vec();
                 other[..WORD_BYTES].copy_from_slice(b"other\nother\nother");
-                msg.body = MessageBody::snapshot_chunk(*id, *offset, Bytes::from(other));
+                message.body = MessageBody::snapshot_chunk(*id, *offset, Bytes::from(other));
             }
         }
         net.step();
@@ -539,14 +539,19 @@
 
 /// Parts that no sender of ours sends: past the end, of another length, from the middle of a part.
 #[test]
-fn parts_that_do_not_fit_their_snapshot_are_dropped() {
+fn chunks_that_do_not_fit_their_snapshot_are_dropped() {
     let mut net = three_with_a_long_table();
     join(&mut net);
     until_it_holds(&mut net, 2, Fault::None);
-    let first = net.mail.iter().find_map(|(_, _, msg)| match &msg.body {
-        MessageBody::SnapshotChunk(SnapshotChunk { id, bytes, .. }) => Some((*id, bytes.clone())),
-        _ => None,
-    });
+    let first = net
+        .mail
+        .iter()
+        .find_map(|(_, _, message)| match &message.body {
+            MessageBody::SnapshotChunk(SnapshotChunk { id, bytes, .. }) => {
+                Some((*id, bytes.clone()))
+            }
+            _ => None,
+        });
     let (id, bytes) = first.expect("a part on its way");
     let held = net.words(JOINER);
     let all = u32::try_from(CHUNK_BYTES).expect("a part fits");
@@ -560,14 +565,14 @@
     ];
     for (offset, bytes) in odd {
         let now = net.now;
-        let msg = Message {
+        let message = Message {
             view: 2,
             from: TAIL,
             to: JOINER,
             body: MessageBody::snapshot_chunk(id, offset, bytes),
         };
         net.node(JOINER)
-            .handle_message(now, member(TAIL, 0).addr, msg);
+            .handle_message(now, member(TAIL, 0).addr, message);
         net.drain(JOINER);
     }
     assert_eq!(net.words(JOINER), held);
--- a/crates/control/chain-replication/tests/common/mod.rs
+++ b/crates/control/chain-replication/tests/support/mod.rs
@@ -1,5 +1,4 @@
 //! A few members joined by hand: words and syncs happen when a test lets them.
-#![allow(dead_code)]
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -88,10 +87,8 @@
         MessageBody::LogPosition { number, .. } => format!("Have({number})"),
         MessageBody::RequestPosition => "Ask".to_owned(),
         MessageBody::AppendEntries(AppendEntries {
-            previous: before,
-            entries: items,
-            ..
-        }) => format!("Entries({before}+{})", items.len()),
+            previous, entries, ..
+        }) => format!("Entries({previous}+{})", entries.len()),
         MessageBody::Acknowledge(Acknowledgement {
             synced, committed, ..
         }) => format!("Ack({synced},{committed})"),
@@ -145,29 +142,26 @@
 
     pub fn drain(&mut self, n: u64) {
         loop {
-            let outs = self.node(n).take_effects();
-            if outs.is_empty() {
+            let effects = self.node(n).take_effects();
+            if effects.is_empty() {
                 return;
             }
-            for out in outs {
-                match out {
-                    Effect::Send { to, message: msg } => {
-                        let bytes = msg.encode();
+            for effect in effects {
+                match effect {
+                    Effect::Send { to, message } => {
+                        let bytes = message.encode();
                         self.largest = self.largest.max(bytes.len());
                         self.said
-                            .push(format!("{n}>{} {}", n_of(to), kind(&msg.body)));
+                            .push(format!("{n}>{} {}", n_of(to), kind(&message.body)));
                         self.mail.push_back((
                             n,
                             n_of(to),
                             Message::decode(&bytes).expect("what was written"),
                         ));
                     }
-                    Effect::Write {
-                        ticket,
-                        record: write,
-                    } => {
-                        let write = LogRecord::decode(&write.encode()).expect("what was written");
-                        self.seat(n).unsynced.push((ticket, write));
+                    Effect::Write { ticket, record } => {
+                        let record = LogRecord::decode(&record.encode()).expect("what was written");
+                        self.seat(n).unsynced.push((ticket, record));
                     }
                     Effect::Committed { number } => self.seat(n).committed = number,
                     Effect::SnapshotInstalled => self.seat(n).resets += 1,
@@ -199,12 +193,13 @@
 
     /// Hands over one word.
     pub fn step(&mut self) -> bool {
-        let Some((from, to, msg)) = self.mail.pop_front() else {
+        let Some((from, to, message)) = self.mail.pop_front() else {
             return false;
         };
         if to >= 1 && to as usize <= self.seats.len() && self.seat(to).up {
             let now = self.now;
-            self.node(to).handle_message(now, member(from, 0).addr, msg);
+            self.node(to)
+                .handle_message(now, member(from, 0).addr, message);
             self.drain(to);
         }
         true
--- a/crates/control/view-agreement/tests/agreement.rs
+++ b/crates/control/view-agreement/tests/agreement.rs
@@ -23,7 +23,7 @@
     }
 }
 
-fn founding() -> ControllerView {
+fn bootstrap() -> ControllerView {
     let members: Vec<Member> = (0..3).map(member).collect();
     ControllerView {
         view: View {
@@ -64,7 +64,7 @@
                         ..member(n)
                     }
                 };
-                Agreement::new(me, (n < 3).then(founding), RecoveredAcceptor::default())
+                Agreement::new(me, (n < 3).then(bootstrap), RecoveredAcceptor::default())
             })
             .collect();
         Net {
@@ -79,15 +79,15 @@
     }
 
     fn drain(&mut self, n: usize) {
-        for out in self.controllers[n].take_effects() {
-            match out {
-                Effect::Send { to, message: msg } => {
+        for effect in self.controllers[n].take_effects() {
+            match effect {
+                Effect::Send { to, message } => {
                     let to = (0..self.controllers.len())
                         .find(|m| addr(*m) == to)
                         .expect("known");
-                    let msg = Message::decode(&msg.encode()).expect("what was written");
+                    let message = Message::decode(&message.encode()).expect("what was written");
                     if !self.cut.contains(&n) && !self.cut.contains(&to) {
-                        self.mail.push_back((n, to, msg));
+                        self.mail.push_back((n, to, message));
                     }
                 }
                 Effect::Write { ticket, record } => {
@@ -95,10 +95,9 @@
                     self.disks[n].push(record);
                 }
                 Effect::ViewChosen(_) => {}
-                Effect::ViewConfirmed {
-                    token,
-                    is_current: ok,
-                } => self.confirmed.push((n, token, ok)),
+                Effect::ViewConfirmed { token, is_current } => {
+                    self.confirmed.push((n, token, is_current))
+                }
             }
         }
     }
@@ -114,8 +113,8 @@
             for n in 0..self.controllers.len() {
                 self.sync(n);
             }
-            while let Some((from, to, msg)) = self.mail.pop_front() {
-                self.controllers[to].handle_message(self.now, addr(from), msg);
+            while let Some((from, to, message)) = self.mail.pop_front() {
+                self.controllers[to].handle_message(self.now, addr(from), message);
                 self.drain(to);
             }
         }
@@ -140,7 +139,7 @@
 }
 
 #[test]
-fn founders_write_first_and_then_know_the_view_without_a_word() {
+fn initial_members_write_the_bootstrap_view_and_install_it_without_messages() {
     let mut net = Net::new(3);
     for n in 0..3 {
         net.drain(n);
@@ -150,15 +149,15 @@
     net.sync(0);
     assert_eq!(net.numbers(), [1, 0, 0]);
     assert!(
-        matches!(Record::decode(&net.disks[0][0]), Ok(Record::Chosen { value }) if value == founding())
+        matches!(Record::decode(&net.disks[0][0]), Ok(Record::Chosen { value }) if value == bootstrap())
     );
 }
 
 #[test]
-fn a_view_is_chosen_and_told_to_all_and_those_who_come_later_ask() {
+fn chosen_view_reaches_all_and_late_processes_request_it() {
     let mut net = Net::new(4);
     net.settle();
-    net.controllers[1].propose(net.now, after(&founding(), 1));
+    net.controllers[1].propose(net.now, after(&bootstrap(), 1));
     net.settle();
     assert_eq!(net.numbers(), [2, 2, 2, 0]);
     net.controllers[3].request_view(net.now, addr(0));
@@ -167,15 +166,15 @@
 }
 
 #[test]
-fn a_minority_chooses_nothing_and_learns_the_newest_when_it_is_back() {
+fn minority_chooses_nothing_and_learns_the_newest_view_later() {
     let mut net = Net::new(3);
     net.settle();
     net.cut = vec![0];
-    net.controllers[0].propose(net.now, after(&founding(), 0));
+    net.controllers[0].propose(net.now, after(&bootstrap(), 0));
     net.pass(2_000);
     assert_eq!(net.numbers(), [1, 1, 1]);
     assert!(net.controllers[0].quorum_contact_age(net.now) > Some(1_500));
-    net.controllers[2].propose(net.now, after(&founding(), 2));
+    net.controllers[2].propose(net.now, after(&bootstrap(), 2));
     net.pass(500);
     assert_eq!(net.numbers(), [1, 2, 2]);
     let current = net.controllers[2].current_view().cloned().expect("one");
@@ -188,7 +187,7 @@
 }
 
 #[test]
-fn a_view_is_confirmed_by_a_majority_only() {
+fn view_is_confirmed_by_a_majority_only() {
     let mut net = Net::new(3);
     net.settle();
     let token = net.controllers[2].confirm_view(net.now);
@@ -205,19 +204,19 @@
 }
 
 #[test]
-fn a_view_is_not_confirmed_while_the_next_may_be_chosen() {
+fn view_is_not_confirmed_while_the_next_may_be_chosen() {
     let mut net = Net::new(3);
     net.settle();
     // 0 has had a next view accepted by 1, and is gone before anybody hears that it was chosen.
-    let ballot = ProposalNumber {
+    let proposal_number = ProposalNumber {
         round: 1,
         proposer_id: 0,
         proposer_addr: addr(0),
     };
-    let value = after(&founding(), 1);
+    let value = after(&bootstrap(), 1);
     net.cut = vec![0];
     let proposal = Proposal {
-        number: ballot,
+        number: proposal_number,
         value: value.clone(),
     };
     let now = net.now;
@@ -241,10 +240,10 @@
 }
 
 #[test]
-fn nothing_is_promised_before_the_sync_and_all_is_remembered_after_it() {
+fn promises_are_sent_after_the_sync_and_survive_a_restart() {
     let mut net = Net::new(3);
     net.settle();
-    let ballot = ProposalNumber {
+    let proposal_number = ProposalNumber {
         round: 5,
         proposer_id: 0,
         proposer_addr: addr(0),
@@ -254,7 +253,7 @@
         body: MessageBody::Prepare {
             proposal: ProposalId {
                 view_number: 2,
-                proposal_number: ballot,
+                proposal_number,
             },
         },
     };
@@ -271,7 +270,7 @@
         recovered.promised,
         Some(ProposalId {
             view_number: 2,
-            proposal_number: ballot
+            proposal_number
         })
     );
     let mut whole = RecoveredAcceptor::default();
@@ -294,7 +293,7 @@
             body: MessageBody::Prepare {
                 proposal: ProposalId {
                     view_number: 2,
-                    proposal_number: ballot,
+                    proposal_number,
                 },
             },
         },
@@ -305,19 +304,19 @@
 
 proptest! {
     #[test]
-    fn any_bytes_are_borne(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
+    fn decoding_accepts_any_bytes_without_panic(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
         let _ = Message::decode(&bytes);
         let _ = Record::decode(&bytes);
         let _ = ControllerView::decode(&bytes);
     }
 
     #[test]
-    fn spoilt_words_are_borne(at in any::<prop::sample::Index>(), byte in any::<u8>()) {
-        let ballot = ProposalNumber { round: 5, proposer_id: 0, proposer_addr: addr(0) };
-        let accepted = Some(Proposal { number: ballot, value: founding() });
-        let msg = Message { from: 1, body: MessageBody::Promise { promised: ProposalId { view_number: 2, proposal_number: ballot }, accepted } };
-        let mut bytes = msg.encode().to_vec();
-        prop_assert_eq!(Message::decode(&bytes).unwrap(), msg);
+    fn decoding_accepts_corrupt_messages_without_panic(at in any::<prop::sample::Index>(), byte in any::<u8>()) {
+        let proposal_number = ProposalNumber { round: 5, proposer_id: 0, proposer_addr: addr(0) };
+        let accepted = Some(Proposal { number: proposal_number, value: bootstrap() });
+        let message = Message { from: 1, body: MessageBody::Promise { promised: ProposalId { view_number: 2, proposal_number }, accepted } };
+        let mut bytes = message.encode().to_vec();
+        prop_assert_eq!(Message::decode(&bytes).unwrap(), message);
         let at = at.index(bytes.len());
         bytes[at] = byte;
         let _ = Message::decode(&bytes);
--- a/crates/control/view-agreement/tests/byte_layout.rs
+++ b/crates/control/view-agreement/tests/byte_layout.rs
@@ -60,7 +60,7 @@
     }
 }
 
-fn ballot() -> ProposalNumber {
+fn proposal_number() -> ProposalNumber {
     ProposalNumber {
         round: 3,
         proposer_id: 0xab,
@@ -68,7 +68,7 @@
     }
 }
 
-const BALLOT: &str = "0000000000000003 00000000000000ab 04 0a000009 1db0";
+const PROPOSAL_NUMBER: &str = "0000000000000003 00000000000000ab 04 0a000009 1db0";
 
 fn value() -> ControllerView {
     let view = View {
@@ -90,7 +90,7 @@
 
 fn accepted() -> Proposal {
     Proposal {
-        number: ballot(),
+        number: proposal_number(),
         value: value(),
     }
 }
@@ -111,30 +111,30 @@
         MessageBody::Prepare {
             proposal: ProposalId {
                 view_number: 6,
-                proposal_number: ballot(),
+                proposal_number: proposal_number(),
             },
         },
-        &format!("01 0000000000000006 {BALLOT}"),
+        &format!("01 0000000000000006 {PROPOSAL_NUMBER}"),
     );
     assert_message(
         MessageBody::Promise {
             promised: ProposalId {
                 view_number: 6,
-                proposal_number: ballot(),
+                proposal_number: proposal_number(),
             },
             accepted: None,
         },
-        &format!("02 0000000000000006 {BALLOT} 00"),
+        &format!("02 0000000000000006 {PROPOSAL_NUMBER} 00"),
     );
     assert_message(
         MessageBody::Promise {
             promised: ProposalId {
                 view_number: 6,
-                proposal_number: ballot(),
+                proposal_number: proposal_number(),
             },
             accepted: Some(accepted()),
         },
-        &format!("02 0000000000000006 {BALLOT} 01 {BALLOT} {VALUE}"),
+        &format!("02 0000000000000006 {PROPOSAL_NUMBER} 01 {PROPOSAL_NUMBER} {VALUE}"),
     );
 }
 
@@ -144,10 +144,10 @@
         MessageBody::Rejected {
             promised: ProposalId {
                 view_number: 6,
-                proposal_number: ballot(),
+                proposal_number: proposal_number(),
             },
         },
-        &format!("03 0000000000000006 {BALLOT}"),
+        &format!("03 0000000000000006 {PROPOSAL_NUMBER}"),
     );
 }
 
@@ -157,16 +157,16 @@
         MessageBody::Accept {
             proposal: accepted(),
         },
-        &format!("04 {BALLOT} {VALUE}"),
+        &format!("04 {PROPOSAL_NUMBER} {VALUE}"),
     );
     assert_message(
         MessageBody::Accepted {
             accepted: ProposalId {
                 view_number: 6,
-                proposal_number: ballot(),
+                proposal_number: proposal_number(),
             },
         },
-        &format!("05 0000000000000006 {BALLOT}"),
+        &format!("05 0000000000000006 {PROPOSAL_NUMBER}"),
     );
 }
 
@@ -216,21 +216,21 @@
         Record::Promised {
             promised: ProposalId {
                 view_number: 6,
-                proposal_number: ballot(),
+                proposal_number: proposal_number(),
             },
         },
-        &format!("02 0000000000000006 {BALLOT}"),
+        &format!("02 0000000000000006 {PROPOSAL_NUMBER}"),
     );
     assert_record(
         Record::Accepted {
             proposal: accepted(),
         },
-        &format!("03 {BALLOT} {VALUE}"),
+        &format!("03 {PROPOSAL_NUMBER} {VALUE}"),
     );
 }
 
 #[test]
-fn numbers_that_are_not_in_use_are_refused() {
+fn unused_numbers_are_rejected() {
     for unused in [0u8, 10, 255] {
         let mut message = unhex("0000000000000001");
         message.push(unused);
@@ -260,7 +260,7 @@
 fn errors_of_what_cannot_be_read_keep_their_codes() {
     let said = |bytes: &[u8]| Record::decode(bytes).unwrap_err().to_string();
     assert!(said(&[]).starts_with("1202: "));
-    let long = unhex(&format!("02 0000000000000006 {BALLOT} 00"));
+    let long = unhex(&format!("02 0000000000000006 {PROPOSAL_NUMBER} 00"));
     assert!(said(&long).starts_with("1203: "));
 }
 
@@ -270,8 +270,8 @@
     let newer = VALUE.replacen("0000000000000006", "0000000000000007", 1);
     let disk = [
         format!("01 {VALUE}"),
-        format!("02 0000000000000007 {BALLOT}"),
-        format!("03 {BALLOT} {newer}"),
+        format!("02 0000000000000007 {PROPOSAL_NUMBER}"),
+        format!("03 {PROPOSAL_NUMBER} {newer}"),
         "02 0000000000000007 0000000000000004 00000000000000cd 04 0a000009 1db0".to_owned(),
     ];
     let mut recovered = RecoveredAcceptor::default();
@@ -284,14 +284,14 @@
     assert_eq!(
         recovered.accepted,
         Some(Proposal {
-            number: ballot(),
+            number: proposal_number(),
             value: next
         })
     );
     let promised = ProposalNumber {
         round: 4,
         proposer_id: 0xcd,
-        ..ballot()
+        ..proposal_number()
     };
     assert_eq!(
         recovered.promised,
--- a/crates/control/view-agreement/tests/agree.rs
+++ b/crates/control/view-agreement/tests/concurrent_proposers.rs
@@ -31,7 +31,7 @@
 struct Sim {
     rng: Pcg64Mcg,
     fault: Fault,
-    founding: ControllerView,
+    bootstrap: ControllerView,
     controllers: Vec<Controller>,
     mail: Vec<(Millis, SocketAddr, SocketAddr, Message)>,
     chosen: BTreeMap<u64, ControllerView>,
@@ -56,12 +56,12 @@
             members: acceptors.clone(),
             joining: Vec::new(),
         };
-        let founding = ControllerView { view, acceptors };
+        let bootstrap = ControllerView { view, acceptors };
         let controllers = (0..count)
             .map(|n| Controller {
                 agreement: Agreement::new(
                     member(n, 0),
-                    Some(founding.clone()),
+                    Some(bootstrap.clone()),
                     RecoveredAcceptor::default(),
                 ),
                 records: Vec::new(),
@@ -73,7 +73,7 @@
         Sim {
             rng,
             fault,
-            founding,
+            bootstrap,
             controllers,
             mail: Vec::new(),
             chosen: BTreeMap::new(),
@@ -87,15 +87,15 @@
 
     fn drain(&mut self, now: Millis, n: usize) {
         loop {
-            let outs = self.controllers[n].agreement.take_effects();
-            if outs.is_empty() {
+            let effects = self.controllers[n].agreement.take_effects();
+            if effects.is_empty() {
                 return;
             }
-            for out in outs {
-                match out {
-                    Effect::Send { to, message: msg } => {
+            for effect in effects {
+                match effect {
+                    Effect::Send { to, message } => {
                         // Who has chosen is seldom heard, so that others go on proposing.
-                        let lost = if matches!(msg.body, MessageBody::Chosen { .. }) {
+                        let lost = if matches!(message.body, MessageBody::Chosen { .. }) {
                             85
                         } else {
                             10
@@ -106,8 +106,10 @@
                             } else {
                                 self.below(20)
                             };
-                            let msg = Message::decode(&msg.encode()).expect("what was sent");
-                            self.mail.push((now + 1 + late, to, member(n, 0).addr, msg));
+                            let message =
+                                Message::decode(&message.encode()).expect("what was sent");
+                            self.mail
+                                .push((now + 1 + late, to, member(n, 0).addr, message));
                         }
                     }
                     Effect::Write { ticket, record } => {
@@ -147,8 +149,11 @@
         }
         controller.safe = controller.records.len();
         controller.ticket = 0;
-        let founding = controller.records.is_empty().then(|| self.founding.clone());
-        controller.agreement = Agreement::new(member(n, 0), founding, recovered);
+        let bootstrap = controller
+            .records
+            .is_empty()
+            .then(|| self.bootstrap.clone());
+        controller.agreement = Agreement::new(member(n, 0), bootstrap, recovered);
     }
 
     /// Views that were chosen, and what broke.
@@ -233,7 +238,7 @@
 }
 
 #[test]
-fn one_view_is_chosen_for_a_number() {
+fn at_most_one_view_is_chosen_for_a_number() {
     let mut views = 0;
     for seed in 0..60 {
         let (newest, broken) = Sim::new(seed, Fault::None).play();
@@ -250,11 +255,11 @@
 }
 
 #[test]
-fn an_acceptor_that_forgets_is_found() {
+fn detects_an_acceptor_that_forgets() {
     println!("seed {}", found(Fault::Forgets));
 }
 
 #[test]
-fn words_before_the_sync_are_found() {
+fn detects_messages_sent_before_the_sync() {
     println!("seed {}", found(Fault::SyncedEarly));
 }
--- a/crates/control/view-agreement/tests/strangers.rs
+++ b/crates/control/view-agreement/tests/ignored_messages.rs
@@ -42,9 +42,9 @@
         .unwrap();
     let mut agreement = Agreement::new(member(1), None, recovered);
     agreement.propose(1_000, value(6));
-    let ballot = settle(&mut agreement)
+    let proposal_number = settle(&mut agreement)
         .into_iter()
-        .find_map(|out| match out {
+        .find_map(|effect| match effect {
             Effect::Send {
                 message:
                     Message {
@@ -55,49 +55,49 @@
             } => Some(proposal.proposal_number),
             _ => None,
         });
-    (agreement, ballot.expect("it asks for votes"))
+    (agreement, proposal_number.expect("it asks for votes"))
 }
 
 fn settle(agreement: &mut Agreement) -> Vec<Effect> {
     let mut all = Vec::new();
     loop {
-        let outs = agreement.take_effects();
-        if outs.is_empty() {
+        let effects = agreement.take_effects();
+        if effects.is_empty() {
             return all;
         }
-        for out in &outs {
-            if let Effect::Write { ticket, .. } = out {
+        for effect in &effects {
+            if let Effect::Write { ticket, .. } = effect {
                 agreement.handle_synced(1_000, *ticket);
             }
         }
-        all.extend(outs);
+        all.extend(effects);
     }
 }
 
 /// Votes for the try that is under way, as a word of somebody says it.
-fn vote(kind: u8, number: u64, ballot: ProposalNumber) -> MessageBody {
+fn vote(kind: u8, number: u64, proposal_number: ProposalNumber) -> MessageBody {
     match kind {
         0 => MessageBody::Promise {
             promised: ProposalId {
                 view_number: number,
-                proposal_number: ballot,
+                proposal_number,
             },
             accepted: None,
         },
         1 => MessageBody::Promise {
             promised: ProposalId {
                 view_number: number,
-                proposal_number: ballot,
+                proposal_number,
             },
             accepted: Some(Proposal {
-                number: ballot,
+                number: proposal_number,
                 value: value(6),
             }),
         },
         2 => MessageBody::Accepted {
             accepted: ProposalId {
                 view_number: number,
-                proposal_number: ballot,
+                proposal_number,
             },
         },
         _ => MessageBody::QuorumCheckReply {
@@ -115,7 +115,7 @@
     /// stays, nothing is written, nothing is confirmed.
     #[test]
     fn votes_of_strangers_decide_nothing(votes in prop::collection::vec((0u8..4, 0u8..3, 1u8..9), 0..20)) {
-        let (mut agreement, ballot) = proposer();
+        let (mut agreement, proposal_number) = proposer();
         let before = agreement.snapshot_records();
         // An acceptor's late word of an earlier view is no stranger's, and not counted.
         let many = votes.iter().filter(|(kind, how, _)| (*kind, *how) != (3, 2)).count() as u64;
@@ -125,25 +125,25 @@
                 1 => (addr(n), 77, 6),
                 _ => (addr(2), 2, u64::from(n % 5)),
             };
-            agreement.handle_message(1_010, from, Message { from: id, body: vote(kind, number, ballot) });
+            agreement.handle_message(1_010, from, Message { from: id, body: vote(kind, number, proposal_number) });
         }
         prop_assert_eq!(agreement.ignored_messages(), many);
-        let outs = settle(&mut agreement);
-        let decides = |out: &Effect| matches!(out, Effect::ViewChosen(_) | Effect::ViewConfirmed { .. } | Effect::Write { .. });
-        prop_assert!(!outs.iter().any(decides), "{outs:?}");
+        let effects = settle(&mut agreement);
+        let decides = |effect: &Effect| matches!(effect, Effect::ViewChosen(_) | Effect::ViewConfirmed { .. } | Effect::Write { .. });
+        prop_assert!(!effects.iter().any(decides), "{effects:?}");
         prop_assert_eq!(agreement.current_view().map(|v| v.view.number), Some(5));
         prop_assert_eq!(agreement.snapshot_records(), before);
     }
 
     /// Orders and choices of views that are over: said again, doubled, by anyone.
     #[test]
-    fn what_is_over_is_not_taken_again(number in 0u64..6, kind in 0u8..3, times in 1usize..4, n in 1u8..5) {
-        let (mut agreement, ballot) = proposer();
+    fn superseded_views_are_not_installed_again(number in 0u64..6, kind in 0u8..3, times in 1usize..4, n in 1u8..5) {
+        let (mut agreement, proposal_number) = proposer();
         let before = agreement.snapshot_records();
         let body = match kind {
             0 => MessageBody::Chosen { value: value(number) },
-            1 => MessageBody::Accept { proposal: Proposal { number: ballot, value: value(number) } },
-            _ => MessageBody::Prepare { proposal: ProposalId { view_number: number, proposal_number: ballot } },
+            1 => MessageBody::Accept { proposal: Proposal { number: proposal_number, value: value(number) } },
+            _ => MessageBody::Prepare { proposal: ProposalId { view_number: number, proposal_number } },
         };
         for _ in 0..times {
             agreement.handle_message(1_010, addr(n), Message { from: u64::from(n), body: body.clone() });
@@ -151,23 +151,23 @@
         // The view in force, told again, is no news and no fault.
         let many = if kind == 0 && number == 5 { 0 } else { times as u64 };
         prop_assert_eq!(agreement.ignored_messages(), many);
-        let outs = settle(&mut agreement);
-        let taken = |out: &Effect| matches!(out, Effect::ViewChosen(_) | Effect::Write { .. });
-        prop_assert!(!outs.iter().any(taken), "{outs:?}");
+        let effects = settle(&mut agreement);
+        let taken = |effect: &Effect| matches!(effect, Effect::ViewChosen(_) | Effect::Write { .. });
+        prop_assert!(!effects.iter().any(taken), "{effects:?}");
         prop_assert_eq!(agreement.snapshot_records(), before);
     }
 }
 
 /// Enough good votes do decide: the checks above would else hold of anything.
 #[test]
-fn votes_of_members_decide() {
-    let (mut agreement, ballot) = proposer();
+fn votes_of_acceptors_decide() {
+    let (mut agreement, proposal_number) = proposer();
     agreement.handle_message(
         1_010,
         addr(2),
         Message {
             from: 2,
-            body: vote(0, 6, ballot),
+            body: vote(0, 6, proposal_number),
         },
     );
     settle(&mut agreement);
@@ -176,7 +176,7 @@
         addr(2),
         Message {
             from: 2,
-            body: vote(2, 6, ballot),
+            body: vote(2, 6, proposal_number),
         },
     );
     settle(&mut agreement);
@@ -189,7 +189,7 @@
                 addr(n),
                 Message {
                     from: u64::from(n),
-                    body: vote(0, 6, ballot),
+                    body: vote(0, 6, proposal_number),
                 },
             );
             agreement.handle_message(
@@ -197,7 +197,7 @@
                 addr(n),
                 Message {
                     from: u64::from(n),
-                    body: vote(2, 6, ballot),
+                    body: vote(2, 6, proposal_number),
                 },
             );
             settle(&mut agreement);
--- a/crates/control/view-agreement/tests/next_controller.rs
+++ b/crates/control/view-agreement/tests/next_controller_view.rs
@@ -1,7 +1,5 @@
 //! The rule for the next view of the controllers, acceptors included.
 
-#![expect(clippy::too_many_lines, reason = "not revised yet")]
-
 use std::net::SocketAddr;
 
 use chain_replication::{
@@ -120,7 +118,7 @@
 }
 
 #[test]
-fn nothing_changes_while_all_are_there() {
+fn view_is_unchanged_while_all_are_alive() {
     assert_eq!(
         next(
             &current(),
@@ -132,7 +130,7 @@
 }
 
 #[test]
-fn a_chain_that_shrinks_keeps_its_acceptors() {
+fn shrinking_chain_keeps_its_acceptors() {
     let mut all = vec![seen(0, 1), seen(0, 2), seen(0, 3)];
     all[0].alive = false;
     all[1].alive = false;
@@ -143,7 +141,7 @@
 }
 
 #[test]
-fn a_machine_without_its_disk_takes_the_vote_at_once() {
+fn newcomer_at_an_acceptors_address_replaces_it_at_once() {
     let all = [seen(7, 1), seen(0, 2), seen(0, 3)];
     assert_eq!(
         next(&current(), &all, 0),
@@ -178,7 +176,7 @@
 }
 
 #[test]
-fn acceptors_grow_to_survive_the_losses_that_are_named() {
+fn acceptors_grow_to_tolerate_the_configured_faults() {
     // Founded by three, and two losses are to be survived: five, once five are there.
     let all: Vec<Observation> = (1..=5)
         .map(|place| seen(if place > 3 { 9 } else { 0 }, place))
@@ -202,7 +200,7 @@
 }
 
 #[test]
-fn a_spare_takes_the_vote_of_one_that_is_dead_for_long() {
+fn spare_replaces_an_acceptor_that_is_unreachable_for_long() {
     let mut all = vec![seen(0, 1), seen(0, 2), seen(0, 3), seen(9, 4)];
     all[1].alive = false;
     assert_eq!(
@@ -221,7 +219,7 @@
 }
 
 #[test]
-fn who_is_leaving_or_retired_hands_its_vote_on_where_a_spare_is_there() {
+fn draining_and_retiring_acceptors_are_replaced_by_spares() {
     let mut all = vec![seen(0, 1), seen(0, 2), seen(0, 3), seen(9, 4)];
     all[0].draining = true;
     assert_eq!(
@@ -241,7 +239,7 @@
 }
 
 #[test]
-fn an_acceptor_is_replaced_before_the_next_loss_may_come() {
+fn acceptor_is_replaced_before_the_next_fault_may_come() {
     for sync_ms in [1_000, 5_000, 6_000, 12_000, 60_000] {
         let after = Sizing::new(2, sync_ms).replace_after_ms;
         assert!((1_200..=3_000).contains(&after), "{after}");
@@ -254,7 +252,7 @@
 }
 
 #[test]
-fn an_even_number_grows_by_one() {
+fn even_number_of_acceptors_grows_by_one() {
     let mut now = current();
     now.acceptors.truncate(2);
     let all = vec![seen(0, 1), seen(0, 2), seen(0, 3)];
@@ -265,7 +263,7 @@
 }
 
 #[test]
-fn nobody_is_dropped_while_another_may_be_going_too() {
+fn no_member_is_dropped_while_another_may_be_failing() {
     let now = current().view;
     let next = View {
         number: 5,
@@ -327,7 +325,7 @@
 }
 
 #[test]
-fn acceptors_are_spread_so_that_the_loss_of_a_zone_leaves_a_majority() {
+fn acceptors_are_spread_so_that_a_zone_failure_leaves_a_majority() {
     // Two of three in one zone, and a spare in a third zone.
     let all = in_zones(&[1, 1, 2, 3], 3);
     let told = next_over_zones(1, 1, &current(), &all);
@@ -356,44 +354,53 @@
 }
 
 #[test]
-fn acceptors_that_grow_do_so_in_the_emptiest_zones() {
+fn acceptors_grow_in_the_emptiest_zones() {
     let all = in_zones(&[1, 2, 3, 1, 1, 4, 4], 3);
     let told = next_over_zones(2, 1, &current(), &all);
     assert!(told.ends_with("acceptors 1#0 2#0 3#0 6#9 4#9"), "{told}");
 }
 
+/// A view with its own members as acceptors.
+fn view_of(number: u64, members: Vec<Member>, joining: Vec<Member>) -> ControllerView {
+    ControllerView {
+        acceptors: members.clone(),
+        view: View {
+            number,
+            members,
+            joining,
+        },
+    }
+}
+
+fn status(view: u64, in_sync_view: u64, caught_up: bool) -> ReplicaStatus {
+    ReplicaStatus {
+        id: 0,
+        view,
+        in_sync_view,
+        last_received: 1,
+        caught_up,
+    }
+}
+
 #[test]
-fn a_chain_in_too_few_zones_takes_in_another_zone_and_lets_a_double_one_go() {
+fn chain_in_too_few_zones_admits_another_zone_and_drops_a_doubled_one() {
     let mut all = in_zones(&[1, 1, 1, 2], 3);
     // The acceptors are spread at the same time; the chain waits until the newcomer has all.
     let told = next_over_zones(1, 1, &current(), &all);
     assert!(told.starts_with("5: 1#0 2#0 3#0 joining [4#9]"), "{told}");
+    let now = view_of(5, current().view.members, vec![member(9, 4)]);
     let now = ControllerView {
-        view: View {
-            number: 5,
-            members: current().view.members,
-            joining: vec![member(9, 4)],
-        },
         acceptors: current().acceptors,
+        ..now
     };
-    let status = |at: usize, in_sync_view: u64, caught_up: bool, all: &mut Vec<Observation>| {
-        let status = ReplicaStatus {
-            id: 0,
-            view: 5,
-            in_sync_view,
-            last_received: 1,
-            caught_up,
-        };
-        all[at].status = Some(status);
-    };
-    (0..3).for_each(|at| status(at, 5, false, &mut all));
-    status(3, 0, false, &mut all);
+    (0..3).for_each(|at| all[at].status = Some(status(5, 5, false)));
+    all[3].status = Some(status(5, 0, false));
     let told = next_over_zones(1, 1, &now, &all);
     assert!(
         told == "none" || told.contains("1#0 2#0 3#0 joining [4#9]"),
         "it is still catching up: {told}"
     );
-    status(3, 0, true, &mut all);
+    all[3].status = Some(status(5, 0, true));
     let told = next_over_zones(1, 1, &now, &all);
     assert!(told.starts_with("6: 1#0 2#0 3#0 4#9 joining []"), "{told}");
     // Now it holds all: one of the three goes, not the newcomer.
@@ -403,45 +410,26 @@
         ..member(9, 4)
     });
     let now = ControllerView {
-        view: View {
-            number: 6,
-            members,
-            joining: Vec::new(),
-        },
-        ..now
+        acceptors: now.acceptors,
+        ..view_of(6, members, Vec::new())
     };
     for seen in &mut all {
-        seen.status = Some(ReplicaStatus {
-            id: 0,
-            view: 6,
-            in_sync_view: 6,
-            last_received: 1,
-            caught_up: false,
-        });
+        seen.status = Some(status(6, 6, false));
     }
     let told = next_over_zones(1, 1, &now, &all);
     assert!(told.starts_with("7: 1#0 2#0 4#9 joining []"), "{told}");
     // Then it rests, as far as the chain goes.
-    let members: Vec<Member> = now
-        .view
-        .members
-        .iter()
-        .filter(|m| m.addr != member(0, 3).addr)
-        .cloned()
-        .collect();
+    let mut members = now.view.members;
+    members.retain(|m| m.addr != member(0, 3).addr);
     let now = ControllerView {
-        view: View {
-            number: 6,
-            members,
-            joining: Vec::new(),
-        },
         acceptors: vec![member(0, 1), member(0, 2), member(9, 4)],
+        ..view_of(6, members, Vec::new())
     };
     assert_eq!(next_over_zones(1, 1, &now, &all), "none");
 }
 
 #[test]
-fn so_many_zones_are_survived_by_acceptors_in_these() {
+fn zone_failures_tolerated_by_acceptors() {
     let cases: [(&[u64], usize); 6] = [
         (&[1, 2, 3], 1),
         (&[1, 1, 2], 0),
--- a/crates/control/view-agreement/tests/sim.rs
+++ b/crates/control/view-agreement/tests/simulation.rs
@@ -2,12 +2,6 @@
 //! lost in a row, one or two at once, the next as soon as the platform may take them. `SIM_FROM` and `SIM_SEEDS` play other
 //! days by hand.
 
-#![expect(
-    clippy::struct_excessive_bools,
-    clippy::too_many_lines,
-    reason = "not revised yet"
-)]
-
 mod support;
 
 use support::world::World;
@@ -46,17 +40,17 @@
 // Nothing acknowledged is lost, and the system goes on: 300 days, in three tests that run side by side.
 
 #[test]
-fn nothing_acknowledged_is_lost_on_the_first_hundred_days() {
+fn no_acknowledged_entry_is_lost_on_the_first_hundred_days() {
     play(number("SIM_FROM", 0), number("SIM_SEEDS", 100));
 }
 
 #[test]
-fn nothing_acknowledged_is_lost_on_the_second_hundred_days() {
+fn no_acknowledged_entry_is_lost_on_the_second_hundred_days() {
     play(100, 100);
 }
 
 #[test]
-fn nothing_acknowledged_is_lost_on_the_third_hundred_days() {
+fn no_acknowledged_entry_is_lost_on_the_third_hundred_days() {
     play(200, 100);
 }
 
@@ -69,7 +63,7 @@
 }
 
 #[test]
-fn records_that_count_as_synced_too_early_are_found() {
+fn detects_records_reported_as_synced_too_early() {
     println!(
         "seed {}",
         found(
@@ -83,7 +77,7 @@
 }
 
 #[test]
-fn a_false_claim_to_be_in_sync_is_found() {
+fn detects_a_false_report_of_being_in_sync() {
     println!(
         "seed {}",
         found(
@@ -97,7 +91,7 @@
 }
 
 #[test]
-fn a_machine_without_its_disk_under_its_old_id_is_found() {
+fn detects_a_lost_disk_under_the_old_id() {
     println!(
         "seed {}",
         found(
@@ -111,7 +105,7 @@
 }
 
 #[test]
-fn a_word_to_the_client_before_the_commit_is_found() {
+fn detects_an_acknowledgement_before_the_commit() {
     println!(
         "seed {}",
         found(
@@ -125,7 +119,7 @@
 }
 
 #[test]
-fn reads_at_a_tail_that_was_left_behind_are_found() {
+fn detects_stale_reads_at_a_removed_tail() {
     println!(
         "seed {}",
         found(
@@ -139,7 +133,7 @@
 }
 
 #[test]
-fn a_record_of_being_in_sync_that_is_not_written_is_found() {
+fn detects_a_missing_in_sync_record() {
     println!(
         "seed {}",
         found(
@@ -153,7 +147,7 @@
 }
 
 #[test]
-fn a_copy_that_does_not_hold_all_and_counts_as_in_sync_is_found() {
+fn detects_an_incomplete_replica_that_counts_as_in_sync() {
     println!(
         "seed {}",
         found(
@@ -168,7 +162,7 @@
 }
 
 #[test]
-fn losses_in_a_row_lose_nothing_and_service_comes_back() {
+fn successive_losses_lose_nothing_and_service_resumes() {
     let (from, seeds) = (number("SIM_FROM", 0), number("SIM_SEEDS", 24));
     let (mut acked, mut views, mut wipes) = (0, 0, 0);
     let mut broken = Vec::new();
@@ -195,7 +189,7 @@
 }
 
 #[test]
-fn an_acceptor_that_is_replaced_after_the_next_loss_is_found() {
+fn detects_an_acceptor_replaced_too_late() {
     println!(
         "seed {}",
         found_by_losses(
@@ -209,7 +203,7 @@
 }
 
 #[test]
-fn a_machine_that_leaves_with_its_vote_is_found() {
+fn detects_a_drained_machine_that_keeps_its_vote() {
     println!(
         "seed {}",
         found_by_losses(
@@ -223,7 +217,7 @@
 }
 
 #[test]
-fn three_acceptors_where_two_losses_are_to_be_survived_are_found() {
+fn detects_too_few_acceptors_for_two_losses() {
     println!(
         "seed {}",
         found_by_losses(
@@ -237,7 +231,7 @@
 }
 
 #[test]
-fn an_old_id_without_its_disk_is_found_by_losses() {
+fn detects_a_lost_disk_under_the_old_id_by_losses() {
     println!(
         "seed {}",
         found_by_losses(
--- a/crates/control/view-agreement/tests/support/controller.rs
+++ b/crates/control/view-agreement/tests/support/controller.rs
@@ -93,17 +93,19 @@
     pub slow_until: Millis,
 }
 
-impl Controller {
-    /// Starts the process with what the disk holds. `founding` only on the first start of a founder.
-    pub fn start(&mut self, now: Millis, founding: Option<ControllerView>, dice: &mut Dice) {
-        // The owner syncs what it reads.
-        self.disk.safe = self.disk.records.len();
-        self.disk.syncing = None;
-        self.disk.tickets.clear();
+impl Disk {
+    /// What the records hold.
+    fn recover(
+        &self,
+    ) -> (
+        Option<u64>,
+        view_agreement::RecoveredAcceptor,
+        chain_replication::RecoveredLog,
+    ) {
         let mut id = None;
         let mut agreed = view_agreement::RecoveredAcceptor::default();
         let mut chain = chain_replication::RecoveredLog::default();
-        for record in &self.disk.records {
+        for record in &self.records {
             match record {
                 Record::Id(own) => id = Some(*own),
                 Record::View(bytes) => {
@@ -114,8 +116,31 @@
                 }
             }
         }
+        (id, agreed, chain)
+    }
+
+    /// All that is known, in a file begun anew.
+    fn compact(&mut self, id: u64, agreement: &Agreement, node: &Replica<History>) {
+        self.records = vec![Record::Id(id)];
+        let views = agreement.snapshot_records();
+        self.records.extend(views.into_iter().map(Record::View));
+        let chain = node.snapshot_records();
+        self.records
+            .extend(chain.iter().map(|record| Record::Chain(record.encode())));
+        self.safe = self.records.len();
+    }
+}
+
+impl Controller {
+    /// Starts the process with what the disk holds. `bootstrap` only on the first start of a founder.
+    pub fn start(&mut self, now: Millis, bootstrap: Option<ControllerView>, dice: &mut Dice) {
+        // The owner syncs what it reads.
+        self.disk.safe = self.disk.records.len();
+        self.disk.syncing = None;
+        self.disk.tickets.clear();
+        let (id, agreed, chain) = self.disk.recover();
         let id = id.unwrap_or_else(|| {
-            let id = if founding.is_some() {
+            let id = if bootstrap.is_some() {
                 0
             } else {
                 1 + dice.below(1 << 40)
@@ -141,19 +166,9 @@
             },
             chain,
         );
-        let agreement = Agreement::new(me.clone(), founding, agreed);
+        let agreement = Agreement::new(me.clone(), bootstrap, agreed);
         if dice.permille(400) {
-            // The disk is compacted: all that is known, in a file begun anew.
-            self.disk.records = vec![Record::Id(id)];
-            self.disk
-                .records
-                .extend(agreement.snapshot_records().into_iter().map(Record::View));
-            self.disk.records.extend(
-                node.snapshot_records()
-                    .iter()
-                    .map(|w| Record::Chain(w.encode())),
-            );
-            self.disk.safe = self.disk.records.len();
+            self.disk.compact(id, &agreement, &node);
         }
         self.process = Some(Process {
             me,
@@ -240,63 +255,78 @@
             if agreed.is_empty() && chain.is_empty() {
                 break;
             }
-            for out in agreed {
-                let Some(process) = self.process.as_mut() else {
-                    return send;
-                };
-                match out {
-                    view_agreement::Effect::Send { to, message: msg } => {
-                        send.push((to, Wire::View(msg.encode())))
-                    }
-                    view_agreement::Effect::Write { ticket, record } => {
-                        self.record(Record::View(record), false, ticket)
-                    }
-                    view_agreement::Effect::ViewChosen(value) => {
-                        checker.views = checker.views.max(value.number());
-                        process.node.install_view(now, value.view);
-                        process.need_since = None;
-                    }
-                    view_agreement::Effect::ViewConfirmed {
-                        token,
-                        is_current: ok,
-                    } => process.answer_read(token, ok, checker),
+            self.carry_out_agreement(now, agreed, checker, &mut send);
+            self.carry_out_chain(chain, checker, faults, &mut send);
+            if faults.synced_early {
+                self.tell_synced(now, usize::MAX);
+            }
+        }
+        send
+    }
+
+    fn carry_out_agreement(
+        &mut self,
+        now: Millis,
+        effects: Vec<view_agreement::Effect>,
+        checker: &mut Checker,
+        send: &mut Vec<(SocketAddr, Wire)>,
+    ) {
+        for effect in effects {
+            let Some(process) = self.process.as_mut() else {
+                return;
+            };
+            match effect {
+                view_agreement::Effect::Send { to, message } => {
+                    send.push((to, Wire::View(message.encode())))
+                }
+                view_agreement::Effect::Write { ticket, record } => {
+                    self.record(Record::View(record), false, ticket)
+                }
+                view_agreement::Effect::ViewChosen(value) => {
+                    checker.views = checker.views.max(value.number());
+                    process.node.install_view(now, value.view);
+                    process.need_since = None;
+                }
+                view_agreement::Effect::ViewConfirmed { token, is_current } => {
+                    process.answer_read(token, is_current, checker)
                 }
             }
-            for out in chain {
-                let Some(process) = self.process.as_mut() else {
-                    return send;
-                };
-                match out {
-                    chain_replication::Effect::Send { to, message: msg } => {
-                        send.push((to, Wire::Chain(msg.encode())))
-                    }
-                    chain_replication::Effect::Write {
-                        ticket,
-                        record: write,
-                    } => {
-                        let drop =
-                            faults.drops_in_sync && matches!(write, LogRecord::InSync { .. });
-                        if drop {
-                            self.disk
-                                .tickets
-                                .push_back((self.disk.records.len(), true, ticket));
-                        } else {
-                            self.record(Record::Chain(write.encode()), true, ticket);
-                        }
-                    }
-                    chain_replication::Effect::Committed { .. } => process.committed(checker),
-                    chain_replication::Effect::SnapshotInstalled => {
-                        checker.restored += 1;
-                        process.waiting.clear();
-                        process.checked = 0;
+        }
+    }
+
+    fn carry_out_chain(
+        &mut self,
+        effects: Vec<chain_replication::Effect>,
+        checker: &mut Checker,
+        faults: Faults,
+        send: &mut Vec<(SocketAddr, Wire)>,
+    ) {
+        for effect in effects {
+            let Some(process) = self.process.as_mut() else {
+                return;
+            };
+            match effect {
+                chain_replication::Effect::Send { to, message } => {
+                    send.push((to, Wire::Chain(message.encode())))
+                }
+                chain_replication::Effect::Write { ticket, record } => {
+                    let drop = faults.drops_in_sync && matches!(record, LogRecord::InSync { .. });
+                    if drop {
+                        self.disk
+                            .tickets
+                            .push_back((self.disk.records.len(), true, ticket));
+                    } else {
+                        self.record(Record::Chain(record.encode()), true, ticket);
                     }
                 }
-            }
-            if faults.synced_early {
-                self.tell_synced(now, usize::MAX);
+                chain_replication::Effect::Committed { .. } => process.committed(checker),
+                chain_replication::Effect::SnapshotInstalled => {
+                    checker.restored += 1;
+                    process.waiting.clear();
+                    process.checked = 0;
+                }
             }
         }
-        send
     }
 
     fn tell_synced(&mut self, now: Millis, upto: usize) {
--- a/crates/control/view-agreement/tests/support/losses.rs
+++ b/crates/control/view-agreement/tests/support/losses.rs
@@ -6,7 +6,7 @@
 use super::controller::Disk;
 use super::world::{World, SYNC_MS};
 
-/// The founding, and the growth of the acceptors to their number, are over by then.
+/// The bootstrap, and the growth of the acceptors to their number, are over by then.
 const FIRST_LOSS_MS: Millis = 9_000;
 /// A process that is told to stop is killed after so long at the latest.
 const GRACE_MS: Millis = 4_000;
--- a/crates/control/view-agreement/tests/support/mod.rs
+++ b/crates/control/view-agreement/tests/support/mod.rs
@@ -32,6 +32,10 @@
 }
 
 /// Faults planted in the harness, to see that the checker finds them.
+#[expect(
+    clippy::struct_excessive_bools,
+    reason = "each planted fault is a switch of its own"
+)]
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Faults {
     /// Records count as synced as soon as they are given to the disk.
--- a/crates/control/view-agreement/tests/support/world.rs
+++ b/crates/control/view-agreement/tests/support/world.rs
@@ -18,7 +18,7 @@
 /// Within the day, trouble and calm take turns.
 const TURN_MS: Millis = 9_000;
 const TROUBLE_MS: Millis = 1_800;
-/// The founding records are on disk by then: the platform harms nothing while it starts a system.
+/// The bootstrap records are on disk by then: the platform harms nothing while it starts a system.
 const FOUNDED_MS: Millis = 1_200;
 const LONGEST_MS: Millis = 1_800;
 /// A machine counts as lost for so long after it is back; only then may a disk go.
@@ -135,7 +135,7 @@
 
     /// Plays the day; gives what was broken.
     pub fn play(&mut self) -> Option<String> {
-        let founders: Vec<Member> = self
+        let initial_members: Vec<Member> = self
             .addrs
             .iter()
             .take(3)
@@ -145,20 +145,20 @@
                 since: 1,
             })
             .collect();
-        let founding = ControllerView {
+        let bootstrap = ControllerView {
             view: View {
                 number: 1,
-                members: founders.clone(),
+                members: initial_members.clone(),
                 joining: Vec::new(),
             },
-            acceptors: founders,
+            acceptors: initial_members,
         };
         let running = self
             .losses
             .as_ref()
             .map_or(self.controllers.len(), |l| l.running.len());
         for (n, controller) in self.controllers.iter_mut().enumerate().take(running) {
-            controller.start(self.now, (n < 3).then(|| founding.clone()), &mut self.dice);
+            controller.start(self.now, (n < 3).then(|| bootstrap.clone()), &mut self.dice);
         }
         let end = self.now
             + if self.losses.is_some() {
@@ -325,7 +325,8 @@
         up && self.leaving.is_none() && self.now >= ends + SYNC_MS
     }
 
-    fn trouble(&mut self) {
+    /// A machine that drains stops when its time is over.
+    fn stop_drained(&mut self) {
         let now = self.now;
         if let Some((n, _)) = self.leaving.filter(|l| l.1 <= now) {
             self.leaving = None;
@@ -338,6 +339,11 @@
                 self.controllers[n].starts_at = Some(now + self.dice.between(100, 2_500));
             }
         }
+    }
+
+    fn trouble(&mut self) {
+        let now = self.now;
+        self.stop_drained();
         let trouble = now > FOUNDED_MS && now % TURN_MS < TROUBLE_MS;
         if !self.dice.permille(if trouble { 10 } else { 2 }) {
             return;
