--- a/crates/batch/batch-store/src/process.rs
+++ b/crates/batch/batch-store/src/process.rs
@@ -19,7 +19,7 @@
 use std::process::ExitCode;
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-use structured_log::Seldom;
+use structured_log::LogLimiter;
 use tier_settings::{FaultBudget, PeerRole, Settings};
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::signal::unix::{signal, SignalKind};
@@ -112,10 +112,10 @@
 
 /// Logs which connections with other processes were refused.
 fn connection_events(log: Logger) -> impl Fn(ConnectionEvent) + 'static {
-    let rate_limiter = Seldom::default();
+    let rate_limiter = LogLimiter::default();
     move |event| {
         if event.is_rejection() {
-            rate_limiter.line("connection", |left_out| {
+            rate_limiter.log("connection", |left_out| {
                 warn!(log, "connection rejected"; "code" => 2212, "why" => %event,
                     "left_out" => left_out);
             });
--- a/crates/batch/batch-store/src/process/driver.rs
+++ b/crates/batch/batch-store/src/process/driver.rs
@@ -13,7 +13,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Instant;
-use structured_log::Rarely;
+use structured_log::RateLimiter;
 use tier_settings::{Reread, Settings};
 
 /// The entry of the control state with the placement map.
@@ -42,7 +42,7 @@
     pub state_table: RefCell<StateTable>,
     pub transport: Rc<Transport>,
     pub controllers: RefCell<Controllers>,
-    pub rate_limiter: RefCell<Rarely>,
+    pub rate_limiter: RefCell<RateLimiter>,
     /// As last logged.
     pub ignored: Cell<IgnoredMessages>,
     pub started: Instant,
@@ -135,7 +135,7 @@
             return;
         }
         let mut rate_limiter = self.rate_limiter.borrow_mut();
-        if rate_limiter.now(now, "ignored messages").is_some() {
+        if rate_limiter.check(now, "ignored messages").is_some() {
             self.ignored.set(ignored);
             info!(self.log, "stale messages ignored"; "code" => 2213,
                 "chains" => ignored.chains, "relay" => ignored.relay);
@@ -206,7 +206,7 @@
 
     fn log_rejected_frame(&self, from: &Peer, kind: u16, why: &dyn std::fmt::Display) {
         let mut rate_limiter = self.rate_limiter.borrow_mut();
-        if let Some(left_out) = rate_limiter.now(self.now(), "rejected frame") {
+        if let Some(left_out) = rate_limiter.check(self.now(), "rejected frame") {
             warn!(self.log, "frame rejected"; "code" => 2205, "from" => %from.addr,
                 "kind" => kind, "why" => %why, "left_out" => left_out);
         }
--- a/crates/batch/batch-store/src/store.rs
+++ b/crates/batch/batch-store/src/store.rs
@@ -29,7 +29,7 @@
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
-use structured_log::Rarely;
+use structured_log::RateLimiter;
 use write_ahead_log::DiskHealth;
 
 pub use disk::DiskUsage;
@@ -129,7 +129,7 @@
     health: DiskHealth,
     lifecycle: Lifecycle,
     effects: Vec<Effect>,
-    rate_limiter: Rarely,
+    rate_limiter: RateLimiter,
     log: Logger,
 }
 
@@ -170,7 +170,7 @@
             health: DiskHealth::default(),
             lifecycle: Lifecycle::Running,
             effects: Vec::new(),
-            rate_limiter: Rarely::default(),
+            rate_limiter: RateLimiter::default(),
             log,
         }
     }
--- a/crates/batch/batch-store/src/store/disk.rs
+++ b/crates/batch/batch-store/src/store/disk.rs
@@ -112,19 +112,19 @@
             None
         };
         if disk.sync_ms >= SLOW_SYNC_MS {
-            if let Some(left_out) = self.rate_limiter.now(now, "slow") {
+            if let Some(left_out) = self.rate_limiter.check(now, "slow") {
                 warn!(self.log, "disk slow"; "code" => 2201, "sync_ms" => disk.sync_ms,
                     "left_out" => left_out);
             }
         }
         if disk.is_full() {
-            if let Some(left_out) = self.rate_limiter.now(now, "full") {
+            if let Some(left_out) = self.rate_limiter.check(now, "full") {
                 warn!(self.log, "disk full, batch jobs rejected"; "code" => 2202,
                     "used" => disk.used, "size" => disk.size, "left_out" => left_out);
             }
         }
         if self.is_behind(now) {
-            if let Some(left_out) = self.rate_limiter.now(now, "behind") {
+            if let Some(left_out) = self.rate_limiter.check(now, "behind") {
                 warn!(self.log, "disk behind, batch jobs rejected"; "code" => 2207,
                     "left_out" => left_out);
             }
--- a/crates/common/structured-log/src/line.rs
+++ b/crates/common/structured-log/src/line.rs
@@ -1,20 +1,20 @@
-//! How a line is written.
+//! The form of a line.
 
 use slog::{Key, Level, OwnedKVList, Record, Serializer, KV};
 use std::fmt::{self, Write};
 use std::time::Duration;
 
-/// Bytes of a line at most, its end included; what is over is left out, and two dots say so. Fits what an event
-/// needs (a few names, addresses and counts) and keeps a storm of long ones cheap.
-pub const MAX_LINE: usize = 1_024;
-/// Kept for the two dots and the line's end.
-const TAIL: usize = 4;
+/// Most bytes of a line, its end included; a longer one is truncated, and two dots say so. Fits
+/// what an event needs (a few names, addresses and counts) and keeps a storm of long ones cheap.
+pub const MAX_LINE_BYTES: usize = 1_024;
+/// Reserved for the two dots and the line's end.
+const TAIL_BYTES: usize = 4;
 
-/// A whole line, its end included.
+/// A complete line, its end included.
 pub(crate) fn line(since_start: Duration, record: &Record<'_>, values: &OwnedKVList) -> String {
     let mut text = Bounded {
         text: String::with_capacity(256),
-        cut: false,
+        truncated: false,
     };
     let _ = write!(
         text,
@@ -22,7 +22,7 @@
         since_start.as_secs_f64(),
         level(record.level())
     );
-    // slog hands the pairs over last first; they are read as they were written.
+    // slog hands the pairs over last first; a reader expects them as they were written.
     let mut pairs = Pairs::default();
     let _ = values.serialize(record, &mut pairs);
     pairs.write_to(&mut text);
@@ -31,8 +31,11 @@
     pairs.clear();
     let _ = record.kv().serialize(record, &mut pairs);
     pairs.write_to(&mut text);
-    let Bounded { mut text, cut } = text;
-    text.push_str(if cut { "..\n" } else { "\n" });
+    let Bounded {
+        mut text,
+        truncated,
+    } = text;
+    text.push_str(if truncated { "..\n" } else { "\n" });
     text
 }
 
@@ -47,18 +50,18 @@
     }
 }
 
-/// Writes a value: in quotes, with what would end it escaped, if it is no single plain word.
+/// Writes a value: in quotes, with what would end it escaped, unless it is a single plain word.
 ///
 /// # Errors
 /// Those of what it is written to.
 pub fn write_value(to: &mut dyn Write, value: &fmt::Arguments<'_>) -> fmt::Result {
-    let mut whole = Bounded {
+    let mut bounded = Bounded {
         text: String::new(),
-        cut: false,
+        truncated: false,
     };
-    // What is over the length of a line is never read.
-    let _ = whole.write_fmt(*value);
-    let text = whole.text;
+    // What is beyond the length of a line is never read.
+    let _ = bounded.write_fmt(*value);
+    let text = bounded.text;
     let plain = |c: char| !c.is_whitespace() && !c.is_control() && !matches!(c, '"' | '=' | '\\');
     if !text.is_empty() && text.chars().all(plain) {
         return to.write_str(&text);
@@ -81,25 +84,25 @@
 /// Text that takes no more than a line holds.
 struct Bounded {
     text: String,
-    cut: bool,
+    truncated: bool,
 }
 
 impl Write for Bounded {
     fn write_str(&mut self, part: &str) -> fmt::Result {
-        if self.cut {
+        if self.truncated {
             return Err(fmt::Error);
         }
-        let room = (MAX_LINE - TAIL).saturating_sub(self.text.len());
-        if part.len() <= room {
+        let left = (MAX_LINE_BYTES - TAIL_BYTES).saturating_sub(self.text.len());
+        if part.len() <= left {
             self.text.push_str(part);
             return Ok(());
         }
-        let fits = (0..=room)
+        let fits = (0..=left)
             .rev()
             .find(|&at| part.is_char_boundary(at))
             .unwrap_or(0);
         self.text.push_str(part.get(..fits).unwrap_or(""));
-        self.cut = true;
+        self.truncated = true;
         Err(fmt::Error)
     }
 }
@@ -117,6 +120,7 @@
         self.ends.clear();
     }
 
+    /// Writes the pairs, the last first.
     fn write_to(&self, to: &mut Bounded) {
         let mut end = self.text.len();
         for start in self
@@ -135,7 +139,7 @@
 
 impl Serializer for Pairs {
     fn emit_arguments(&mut self, key: Key, value: &fmt::Arguments<'_>) -> slog::Result {
-        if self.text.len() < MAX_LINE {
+        if self.text.len() < MAX_LINE_BYTES {
             let _ = write!(self.text, " {key}=");
             let _ = write_value(&mut self.text, value);
             self.ends.push(self.text.len());
--- a/crates/common/structured-log/tests/escapes.rs
+++ b/crates/common/structured-log/tests/escapes.rs
@@ -1,11 +1,11 @@
-//! The form of a line with all its escapes, byte for byte: what reads it elsewhere goes by it.
+//! The form of a line with all its escapes, byte for byte: other programs parse it.
 
 #![expect(clippy::unwrap_used, reason = "a test ends at the first surprise")]
 
 use std::io::Write;
 use std::sync::{Arc, Mutex};
 use structured_log::slog::{crit, debug, error, info, o, trace, warn, Level, Logger};
-use structured_log::{logger_to, write_value, MAX_LINE};
+use structured_log::{logger_to, write_value, MAX_LINE_BYTES};
 
 #[derive(Clone, Default)]
 struct Buffer(Arc<Mutex<Vec<u8>>>);
@@ -101,15 +101,17 @@
     assert_eq!(rest, "lvl=info node=n role=r msg=m\n");
 }
 
-/// A line that would be too long is cut between characters, and two dots before its end say so.
+/// A line that would be too long is truncated between characters, and two dots before its end say
+/// so.
 #[test]
-fn a_line_that_is_cut_ends_in_two_dots() {
-    let long = "\u{e9}".repeat(MAX_LINE);
+fn a_truncated_line_ends_in_two_dots() {
+    let long = "\u{e9}".repeat(MAX_LINE_BYTES);
     let text = logged(|log| info!(log, "{}", long; "k" => 1));
     assert!(text.starts_with("lvl=info node=\"edge a-1\" role=batch-store msg=\u{e9}\u{e9}"));
     assert!(text.ends_with("\u{e9}..\n") && !text.contains("k=1"));
-    assert_eq!((MAX_LINE, text.len()), (1_024, CUT));
+    assert_eq!((MAX_LINE_BYTES, text.len()), (1_024, TRUNCATED_BYTES));
 }
 
-/// Bytes without the time: eight less than the whole line, which the next character of two bytes would have made too long.
-const CUT: usize = 1_015;
+/// Bytes without the time: eight less than the whole line, which the next character of two bytes
+/// would have made too long.
+const TRUNCATED_BYTES: usize = 1_015;
--- a/crates/control/controller/src/core/calls/runners.rs
+++ b/crates/control/controller/src/core/calls/runners.rs
@@ -18,7 +18,7 @@
         let accepted = match self.registry.heartbeat(now, id, body) {
             Ok(accepted) => accepted,
             Err(error) => {
-                if let Some(left_out) = self.rejections.log_limit.now(now, "heartbeat") {
+                if let Some(left_out) = self.rejections.log_limit.check(now, "heartbeat") {
                     warn!(self.log, "runner heartbeat rejected"; "code" => 1320, "runner" => id,
                         "why" => %error, "left_out" => left_out);
                 }
--- a/crates/control/controller/src/core/frames.rs
+++ b/crates/control/controller/src/core/frames.rs
@@ -115,7 +115,7 @@
 
     fn reject_frame(&mut self, now: Millis, from: &Peer, kind: u16, error: &dyn Display) {
         self.rejections.frames += 1;
-        if let Some(left_out) = self.rejections.log_limit.now(now, "frame") {
+        if let Some(left_out) = self.rejections.log_limit.check(now, "frame") {
             warn!(self.log, "frame rejected"; "code" => 1401, "from" => %from.addr, "kind" => kind,
                 "why" => %error, "left_out" => left_out);
         }
@@ -137,7 +137,7 @@
             && self
                 .rejections
                 .log_limit
-                .now(now, "stale messages")
+                .check(now, "stale messages")
                 .is_some()
         {
             self.rejections.logged_stale = stale;
--- a/crates/control/controller/src/program.rs
+++ b/crates/control/controller/src/program.rs
@@ -15,7 +15,7 @@
 use std::process::ExitCode;
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-use structured_log::Seldom;
+use structured_log::LogLimiter;
 use tier_settings::{PeerRole, Settings, SettingsError};
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::sync::{mpsc, watch};
@@ -85,7 +85,7 @@
 struct FrameReceiver {
     inputs: mpsc::Sender<Input>,
     dropped: Rc<Cell<u64>>,
-    log_limit: Seldom,
+    log_limit: LogLimiter,
     log: Logger,
 }
 
@@ -101,7 +101,7 @@
             .is_err()
         {
             self.dropped.set(self.dropped.get().saturating_add(1));
-            self.log_limit.line("dropped", |left_out| {
+            self.log_limit.log("dropped", |left_out| {
                 warn!(self.log, "frame dropped, queue full"; "code" => 1402, "kind" => kind,
                     "left_out" => left_out);
             });
@@ -252,7 +252,7 @@
     let receiver = Rc::new(FrameReceiver {
         inputs: inputs.clone(),
         dropped: core.dropped_frames(),
-        log_limit: Seldom::default(),
+        log_limit: LogLimiter::default(),
         log: log.clone(),
     });
     tokio::task::spawn_local(Rc::clone(&transport).serve(peers, receiver));
@@ -271,10 +271,10 @@
 
 /// Logs which connections of other processes were rejected.
 fn log_rejected_connections(log: Logger) -> impl Fn(ConnectionEvent) + 'static {
-    let log_limit = Seldom::default();
+    let log_limit = LogLimiter::default();
     move |event| {
         if event.is_rejection() {
-            log_limit.line("connection", |left_out| {
+            log_limit.log("connection", |left_out| {
                 warn!(log, "connection rejected"; "code" => 1408, "why" => %event,
                     "left_out" => left_out);
             });
--- a/crates/control/controller/src/rejections.rs
+++ b/crates/control/controller/src/rejections.rs
@@ -2,7 +2,7 @@
 
 use std::cell::Cell;
 use std::rc::Rc;
-use structured_log::Rarely;
+use structured_log::RateLimiter;
 
 /// What was rejected.
 #[derive(Debug, Default)]
@@ -19,7 +19,7 @@
     /// Stale messages as of the last log line about them.
     pub logged_stale: StaleMessages,
     /// Limits log lines that would repeat.
-    pub log_limit: Rarely,
+    pub log_limit: RateLimiter,
 }
 
 /// Messages that are valid and were ignored: of views that are over, of strangers, for others. Usual
--- a/crates/gateway/gateway/src/gateway.rs
+++ b/crates/gateway/gateway/src/gateway.rs
@@ -18,7 +18,7 @@
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
-use structured_log::Rarely;
+use structured_log::RateLimiter;
 use tier_settings::Settings;
 use tokio::sync::{watch, Notify};
 use tokio::time::{Duration, Instant};
@@ -86,7 +86,7 @@
     /// It has a settings file, to be looked at again.
     pub reads_settings: Cell<bool>,
     /// Lines that would repeat.
-    pub rarely: RefCell<Rarely<&'static str>>,
+    pub rarely: RefCell<RateLimiter<&'static str>>,
 }
 
 impl Gateway {
@@ -166,7 +166,7 @@
 
     /// A line about something that may repeat.
     pub fn seldom(&self, what: &'static str, write: impl FnOnce(u64)) {
-        if let Some(left_out) = self.rarely.borrow_mut().now(self.clock.now(), what) {
+        if let Some(left_out) = self.rarely.borrow_mut().check(self.clock.now(), what) {
             write(left_out);
         }
     }
--- a/crates/gateway/gateway/src/process.rs
+++ b/crates/gateway/gateway/src/process.rs
@@ -20,7 +20,7 @@
 use std::net::SocketAddr;
 use std::process::ExitCode;
 use std::rc::Rc;
-use structured_log::{Rarely, Seldom};
+use structured_log::{LogLimiter, RateLimiter};
 use tier_settings::{PeerRole, Reread, Settings, SettingsError};
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::signal::unix::{signal, SignalKind};
@@ -169,7 +169,7 @@
             stopped: Cell::new(None),
             was_ready: Cell::new(false),
             reads_settings: Cell::new(false),
-            rarely: RefCell::new(Rarely::default()),
+            rarely: RefCell::new(RateLimiter::default()),
             config: RefCell::default(),
             settings: RefCell::new(Rc::new(settings)),
             log,
@@ -233,10 +233,10 @@
 
 /// Says which connections with other processes were refused.
 fn connection_events(log: Logger) -> impl Fn(ConnectionEvent) + 'static {
-    let seldom = Seldom::default();
+    let seldom = LogLimiter::default();
     move |event| {
         if event.is_rejection() {
-            seldom.line("connection refused", |left_out| {
+            seldom.log("connection refused", |left_out| {
                 warn!(log, "connection refused"; "code" => codes::CONNECTION_REFUSED, "why" => %event, "left_out" => left_out);
             });
         }
