--- a/crates/gateway/gateway/src/client/batch_api.rs
+++ b/crates/gateway/gateway/src/client/batch_api.rs
@@ -1,6 +1,7 @@
-//! Clients' calls about batch jobs: handed to the store that keeps them, and its word handed back.
+//! Clients' calls about batch jobs: forwarded to the store that keeps the job, and its answer returned.
 //!
-//! Nothing is promised that a store has not said. What is unclear is asked again while the client waits, and then told so.
+//! Nothing is promised that a store has not answered. A call without a clear answer is repeated while the client waits; after
+//! that the client gets a 504.
 
 use crate::client::request::{self, Request, WAIT_MS};
 use crate::client::response::{
@@ -10,8 +11,8 @@
 use crate::gateway::Gateway;
 use batch::json::{check_batch_job_id, read_submit, write_read};
 use batch::wire::{
-    EndRequest, EndResponse, ItemBodyRequest, ItemBodyResponse, Message, PlacementMap, ReadRequest,
-    ReadResponse, SubmitRequest, SubmitResponse, BODY, END, MAX_WAIT_MS, READ, SUBMIT,
+    EndRequest, EndResponse, Item, ItemBodyRequest, ItemBodyResponse, Message, PlacementMap,
+    ReadRequest, ReadResponse, SubmitRequest, SubmitResponse, BODY, END, MAX_WAIT_MS, READ, SUBMIT,
 };
 use bytes::Bytes;
 use compact_str::CompactString;
@@ -20,7 +21,7 @@
 use hyper::{Method, Response, StatusCode};
 use peer_transport::CallError;
 use percent_encoding::percent_decode_str;
-use route_config::Kind;
+use route_config::{Kind, Route};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::time::{sleep_until, timeout_at, Duration, Instant};
@@ -120,7 +121,7 @@
 
 /// Which end of a chain is asked.
 #[derive(Clone, Copy)]
-enum Who {
+enum ChainEnd {
     /// The head, for changes.
     Head,
     /// The tail, for what is kept.
@@ -128,13 +129,13 @@
 }
 
 /// What a store's answer means to whoever asks.
-enum Heard<A> {
-    /// The answer.
-    This(A),
-    /// Another store is to be asked.
-    Moved(SocketAddr),
-    /// It can't say.
-    Unsure,
+enum StoreAnswer<A> {
+    /// The store's answer.
+    Final(A),
+    /// Another store is to be called.
+    Redirect(SocketAddr),
+    /// The store does not know.
+    Indeterminate,
 }
 
 struct Call<'a> {
@@ -149,12 +150,12 @@
     /// Asks stores until one says, or the time is over. Tells beside it whether some store may have acted unheard.
     async fn ask<A>(
         &self,
-        who: Who,
+        who: ChainEnd,
         kind: u16,
         call: Bytes,
         until: Instant,
         hold: Duration,
-        read: impl Fn(&Bytes) -> Option<Heard<A>>,
+        read: impl Fn(&Bytes) -> Option<StoreAnswer<A>>,
     ) -> (Option<A>, bool) {
         let mut unclear = false;
         let mut moved: Option<SocketAddr> = None;
@@ -188,14 +189,16 @@
                 () = elsewhere => Err(CallError::Unknown),
             };
             match answer.map(|body| read(&body)) {
-                Ok(Some(Heard::This(answer))) => return (Some(answer), unclear),
-                Ok(Some(Heard::Moved(to))) => {
+                Ok(Some(StoreAnswer::Final(answer))) => return (Some(answer), unclear),
+                Ok(Some(StoreAnswer::Redirect(to))) => {
                     // Followed at once; who is sent on in a circle waits a little.
                     if named != Some(to) {
                         moved = Some(to);
                     }
                 }
-                Ok(Some(Heard::Unsure) | None) | Err(CallError::Unknown) => unclear = true,
+                Ok(Some(StoreAnswer::Indeterminate) | None) | Err(CallError::Unknown) => {
+                    unclear = true
+                }
                 Err(CallError::NotSent) => {}
             }
             let again = Instant::now() + AGAIN * (1 << failures.min(MAX_BACKOFF_DOUBLINGS));
@@ -239,11 +242,11 @@
         let hold = Duration::from_millis(wait_ms.into());
         let until = self.until(u64::from(wait_ms) + READ_WITHIN.as_millis() as u64);
         let (answer, _) = self
-            .ask(Who::Tail, READ, call, until, hold, |body| {
+            .ask(ChainEnd::Tail, READ, call, until, hold, |body| {
                 Some(match ReadResponse::decode(body).ok()? {
-                    ReadResponse::Redirect { to } => Heard::Moved(to),
-                    ReadResponse::Unavailable => Heard::Unsure,
-                    said => Heard::This(said),
+                    ReadResponse::Redirect { to } => StoreAnswer::Redirect(to),
+                    ReadResponse::Unavailable => StoreAnswer::Indeterminate,
+                    said => StoreAnswer::Final(said),
                 })
             })
             .await;
@@ -269,11 +272,11 @@
         .encode();
         let until = self.until(CALL_WITHIN.as_millis() as u64);
         let (answer, _) = self
-            .ask(Who::Tail, BODY, call, until, Duration::ZERO, |body| {
+            .ask(ChainEnd::Tail, BODY, call, until, Duration::ZERO, |body| {
                 Some(match ItemBodyResponse::decode(body).ok()? {
-                    ItemBodyResponse::Redirect { to } => Heard::Moved(to),
-                    ItemBodyResponse::Unavailable => Heard::Unsure,
-                    said => Heard::This(said),
+                    ItemBodyResponse::Redirect { to } => StoreAnswer::Redirect(to),
+                    ItemBodyResponse::Unavailable => StoreAnswer::Indeterminate,
+                    said => StoreAnswer::Final(said),
                 })
             })
             .await;
@@ -299,11 +302,11 @@
         .encode();
         let until = self.until(CALL_WITHIN.as_millis() as u64);
         let (answer, _) = self
-            .ask(Who::Head, END, call, until, Duration::ZERO, |body| {
+            .ask(ChainEnd::Head, END, call, until, Duration::ZERO, |body| {
                 Some(match EndResponse::decode(body).ok()? {
-                    EndResponse::Redirect { to } => Heard::Moved(to),
-                    EndResponse::Indeterminate => Heard::Unsure,
-                    said => Heard::This(said),
+                    EndResponse::Redirect { to } => StoreAnswer::Redirect(to),
+                    EndResponse::Indeterminate => StoreAnswer::Indeterminate,
+                    said => StoreAnswer::Final(said),
                 })
             })
             .await;
@@ -317,10 +320,10 @@
     }
 }
 
-fn at(map: &PlacementMap, host: &str, batch_job: &str, who: Who) -> Option<SocketAddr> {
+fn at(map: &PlacementMap, host: &str, batch_job: &str, who: ChainEnd) -> Option<SocketAddr> {
     match who {
-        Who::Head => map.head_of(host, batch_job),
-        Who::Tail => map.tail_of(host, batch_job),
+        ChainEnd::Head => map.head_of(host, batch_job),
+        ChainEnd::Tail => map.tail_of(host, batch_job),
     }
 }
 
@@ -350,6 +353,42 @@
     let (Some(batch_job), Ok(items)) = (batch_job, read_submit(&request.body)) else {
         return local_response(StatusCode::BAD_REQUEST, "the batch job can't be read\n");
     };
+    let (answer, unclear) = send_submission(gateway, request, route, batch_job, items).await;
+    match answer {
+        Some(SubmitResponse::Accepted) => {
+            increment(&gateway.counts.batch_jobs);
+            json_response(StatusCode::ACCEPTED, Bytes::from_static(b"{}"))
+        }
+        Some(SubmitResponse::Invalid { .. }) if !unclear => {
+            local_response(StatusCode::BAD_REQUEST, "the batch job can't be taken\n")
+        }
+        Some(SubmitResponse::QuotaExceeded) if !unclear => rejection(
+            StatusCode::TOO_MANY_REQUESTS,
+            "no more tokens may wait on this route\n",
+            FULL_RETRY_AFTER_MS,
+        ),
+        // An earlier call may have had an effect: nothing can be promised.
+        _ if unclear => {
+            increment(&gateway.counts.unsure);
+            local_response(StatusCode::GATEWAY_TIMEOUT, "no store can say for sure\n")
+        }
+        _ => rejection(
+            StatusCode::SERVICE_UNAVAILABLE,
+            "no store takes batch jobs just now\n",
+            NO_STORE_RETRY_AFTER_MS,
+        ),
+    }
+}
+
+/// Sends a submission to the head of its partition, until a store answers clearly or half of the client's time is over. The
+/// flag tells whether an earlier call had no clear answer, and may have had an effect.
+async fn send_submission(
+    gateway: &Rc<Gateway>,
+    request: &Request,
+    route: &Route,
+    batch_job: &str,
+    items: Vec<Item>,
+) -> (Option<SubmitResponse>, bool) {
     let excess = gateway.settings.borrow().bounds.quota_excess;
     let now = gateway.clock.now();
     let call = SubmitRequest {
@@ -376,44 +415,20 @@
         came: request.came,
     };
     let until = call_at.until(patience.max(SUBMIT_LEAST_MS));
-    let (answer, unclear) = call_at
+    call_at
         .ask(
-            Who::Head,
+            ChainEnd::Head,
             SUBMIT,
             call.encode(),
             until,
             Duration::ZERO,
             |body| {
                 Some(match SubmitResponse::decode(body).ok()? {
-                    SubmitResponse::Redirect { to } => Heard::Moved(to),
-                    SubmitResponse::Indeterminate => Heard::Unsure,
-                    said => Heard::This(said),
+                    SubmitResponse::Redirect { to } => StoreAnswer::Redirect(to),
+                    SubmitResponse::Indeterminate => StoreAnswer::Indeterminate,
+                    said => StoreAnswer::Final(said),
                 })
             },
         )
-        .await;
-    match answer {
-        Some(SubmitResponse::Accepted) => {
-            increment(&gateway.counts.batch_jobs);
-            json_response(StatusCode::ACCEPTED, Bytes::from_static(b"{}"))
-        }
-        Some(SubmitResponse::Invalid { .. }) if !unclear => {
-            local_response(StatusCode::BAD_REQUEST, "the batch job can't be taken\n")
-        }
-        Some(SubmitResponse::QuotaExceeded) if !unclear => rejection(
-            StatusCode::TOO_MANY_REQUESTS,
-            "no more tokens may wait on this route\n",
-            FULL_RETRY_AFTER_MS,
-        ),
-        // What an earlier call may have brought about is no promise.
-        _ if unclear => {
-            increment(&gateway.counts.unsure);
-            local_response(StatusCode::GATEWAY_TIMEOUT, "no store can say for sure\n")
-        }
-        _ => rejection(
-            StatusCode::SERVICE_UNAVAILABLE,
-            "no store takes batch jobs just now\n",
-            NO_STORE_RETRY_AFTER_MS,
-        ),
-    }
+        .await
 }
--- a/crates/gateway/gateway/src/client/frontend.rs
+++ b/crates/gateway/gateway/src/client/frontend.rs
@@ -8,7 +8,7 @@
 use crate::gateway::Gateway;
 use crate::proxy::forward;
 use bytes::{Bytes, BytesMut};
-use http1::{Answers, Asked, Phase};
+use http1::{Answers, Asked, Guard, Phase};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
 use hyper::header::{HeaderValue, CONNECTION, TRANSFER_ENCODING};
@@ -164,23 +164,7 @@
             config.limits
         };
         let most = usize::try_from(limits.max_body_bytes).unwrap_or(usize::MAX);
-        let length = body
-            .size_hint()
-            .upper()
-            .map_or(0, |upper| usize::try_from(upper).unwrap_or(usize::MAX));
-        if length > most {
-            return Err(RequestError::TooLarge);
-        }
-        let mut claim = gateway.memory.claim(length).ok_or(RequestError::Overload)?;
-        let body = if body.is_end_stream() {
-            Bytes::new()
-        } else {
-            asked.guard.body_begins();
-            let until = Instant::now() + gateway.connections.guards().waits().request;
-            timeout_at(until, collect(body, most, &mut claim))
-                .await
-                .unwrap_or(Err(RequestError::Slow))?
-        };
+        let (body, claim) = self.read_body(body, most, asked.guard).await?;
         asked.guard.answering();
         if of_batch_jobs {
             return Ok(batch_api::answer(gateway, &head, &host, came).await);
@@ -205,11 +189,38 @@
 }
 
 impl Frontend {
-    /// A process that has just started is told the configuration within a second or so: what comes meanwhile is not given
-    /// up, and waits for it. Later it is refused at once.
+    /// Reads a body of at most `max_bytes`, within the memory budget and the time that clients have for a request.
+    async fn read_body(
+        &self,
+        body: Incoming,
+        max_bytes: usize,
+        guard: &Guard,
+    ) -> Result<(Bytes, Claim), RequestError> {
+        let gateway = &self.0;
+        let length = body
+            .size_hint()
+            .upper()
+            .map_or(0, |upper| usize::try_from(upper).unwrap_or(usize::MAX));
+        if length > max_bytes {
+            return Err(RequestError::TooLarge);
+        }
+        let mut claim = gateway.memory.claim(length).ok_or(RequestError::Overload)?;
+        if body.is_end_stream() {
+            return Ok((Bytes::new(), claim));
+        }
+        guard.body_begins();
+        let until = Instant::now() + gateway.connections.guards().waits().request;
+        let body = timeout_at(until, collect(body, max_bytes, &mut claim))
+            .await
+            .unwrap_or(Err(RequestError::Slow))?;
+        Ok((body, claim))
+    }
+
+    /// The first configuration of a process that has just started, which arrives within a second or so: requests that come
+    /// before it wait for it. Later, a process without a configuration rejects at once.
     async fn first_config(&self) -> Option<Rc<route_config::Config>> {
         let gateway = &self.0;
-        let told = async {
+        let configured = async {
             loop {
                 let changed = gateway.changed.notified();
                 if let Some(config) = gateway.config() {
@@ -219,7 +230,7 @@
             }
         };
         let started = Duration::from_millis(gateway.clock.now());
-        timeout(FIRST_CONFIG.saturating_sub(started), told)
+        timeout(FIRST_CONFIG.saturating_sub(started), configured)
             .await
             .ok()
     }
--- a/crates/gateway/gateway/src/items.rs
+++ b/crates/gateway/gateway/src/items.rs
@@ -1,7 +1,7 @@
-//! Items of batch jobs: fetched for the room that there is, run as requests at runners, and their results handed back.
+//! Items of batch jobs: leased for the capacity that there is, run as requests at runners, and their results returned.
 //!
-//! An item that was fetched is held until a runner has room for it, and never refused. It is given up only by the store that
-//! keeps its batch job; what this process holds it says twice a second, and what it is told to drop ends at once.
+//! An item that was leased waits until a runner has capacity for it, and is never rejected. Only the store that keeps its
+//! batch job gives it up: this process renews its leases twice a second, and an item whose lease is revoked ends at once.
 
 pub mod completion;
 pub mod fetch;
@@ -11,7 +11,7 @@
 use crate::gateway::Gateway;
 use crate::items::completion::finish;
 use crate::items::fetch::{fetch_all, wants};
-use crate::proxy::attempt::{send, AttemptHistory, AttemptResult, RouteTerms};
+use crate::proxy::attempt::{send, AttemptHistory, AttemptResult, ResponseStart, RouteTerms};
 use crate::proxy::events::{add_data, Events};
 use crate::proxy::in_flight::AttemptOutcome;
 use crate::proxy::stream::{has_explicit_end, idle_timeout, EventSource, StreamEnd};
@@ -21,6 +21,7 @@
     RenewRequest, RenewResponse, LEASE_RENEWAL_INTERVAL_MS, LEASE_TIMEOUT_MS, RENEW,
 };
 use hyper::header::HeaderValue;
+use hyper::http::response::Parts;
 use route_config::Kind;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -30,42 +31,44 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::{sleep, sleep_until, timeout, Duration, Instant};
 
-/// How long a store may take for a call, beside what it holds on purpose.
+/// Time-out of a call to a store, beside the wait that the call itself asks for.
 pub const CALL_WITHIN: Duration = Duration::from_millis(1_000);
-/// So many stores are asked at once; the others in their turn. All of them at once would cost a large fleet of gateways more
-/// than the items do, and each store has some gateways that wait there.
+/// Stores from which items are fetched at once; the others follow in turn. All of them at once would cost a large fleet of
+/// gateways more than the items do, and each store has some gateways that wait there.
 pub(crate) const MAX_CONCURRENT_FETCHES: usize = 4;
-/// An item looks again for a runner after this, if it was not called before.
+/// An item looks for a runner again after this, if the queue did not wake it before.
 const RESELECT_INTERVAL: Duration = Duration::from_millis(150);
-/// An item whose route is not in force here, or that no runner takes as it is, waits so long before it is handed back.
+/// Pause before an item is released whose route is not applied here, or that no runner accepts as it is.
 const UNEXPECTED_RESPONSE_PAUSE: Duration = Duration::from_millis(300);
-/// The longest text of a result; a longer one is no output of a runner.
+/// The longest text of a result; a longer one is no runner's output.
 const MAX_RESULT_BYTES: usize = 4 << 20;
-/// An item is sent only while its store was heard from this lately: a batch job that ended may be known nowhere else.
+/// An attempt is made only if the store confirmed the lease this recently: that a batch job ended may be known nowhere else.
 const CONFIRMED_MS: u64 = LEASE_TIMEOUT_MS - LEASE_RENEWAL_INTERVAL_MS;
-/// How long before the process ends the items that still run are handed back.
+/// Attempts of an item that are remembered, so that a retry prefers other runners; with more, all are forgotten.
+const MAX_REMEMBERED_ATTEMPTS: usize = 8;
+/// How long before the process ends, in milliseconds, the items that still run are released.
 const RELEASE_BEFORE_END_MS: u64 = 2_500;
 
 pub(crate) struct HeldItem {
     pub(crate) partition: u16,
-    /// It was sent to a runner.
+    /// An attempt is under way.
     started: Cell<bool>,
     task: RefCell<Option<AbortHandle>>,
 }
 
-/// The items that this process holds.
+/// The items that are leased to this process.
 #[derive(Default)]
 pub struct Items {
     pub(crate) held: RefCell<HashMap<LeaseKey, Rc<HeldItem>>>,
-    /// Stores that are being asked for items.
+    /// Stores from which items are being fetched.
     fetching: RefCell<HashSet<SocketAddr>>,
-    /// Results that are not handed over yet, by partition, and the partitions for which someone does it.
+    /// Results that their stores have not acknowledged, by partition, and the partitions for which a task sends them.
     pub(crate) results: RefCell<HashMap<u16, Vec<Completion>>>,
     pub(crate) sending_results: RefCell<HashSet<u16>>,
-    /// When the store of a partition last said what is to be dropped.
+    /// When the store of a partition last confirmed its leases.
     confirmed: RefCell<HashMap<u16, u64>>,
     held_at: Cell<u64>,
-    /// The store after the one that was asked last, among the heads.
+    /// Position of the next store to fetch from, among the heads.
     next_head: Cell<usize>,
 }
 
@@ -116,7 +119,7 @@
     let items = &gateway.items;
     if now >= items.held_at.get() + LEASE_RENEWAL_INTERVAL_MS && !items.is_empty() {
         items.held_at.set(now);
-        hold(gateway, now);
+        renew_leases(gateway, now);
     }
     if let Some(at) = gateway.stopped.get() {
         let grace = gateway.settings.borrow().bounds.grace_ms;
@@ -127,8 +130,8 @@
     fetch_more(gateway, now);
 }
 
-/// Asks the stores for items where there is room: at every tick, and at once when an item leaves room for the next.
-/// With ticks alone a process would begin no more in one than it may have unread at a time, however soon these are read.
+/// Fetches items where there is capacity: at every tick, and at once when an item leaves capacity for the next. With ticks
+/// alone, a process would begin no more items in one tick than it may have in prefill at a time.
 fn fetch_more(gateway: &Rc<Gateway>, now: u64) {
     let items = &gateway.items;
     if gateway.stopping() {
@@ -157,7 +160,7 @@
     }
 }
 
-/// Hands back what has not started, and at the end what still runs.
+/// Releases the items that have not started, and at the end of the process those that still run.
 fn release(gateway: &Rc<Gateway>, all: bool) {
     let items = &gateway.items;
     let given_back: Vec<_> = {
@@ -214,118 +217,235 @@
     *held_item.task.borrow_mut() = Some(task.abort_handle());
 }
 
-/// Runs an item until there is something to say of it.
+/// An item while it runs.
+struct ItemRun<'a> {
+    gateway: &'a Rc<Gateway>,
+    leased: &'a LeasedItem,
+    held_item: &'a HeldItem,
+    request: Request,
+    /// When its batch job is due, in milliseconds of the process's clock.
+    due: u64,
+    history: AttemptHistory,
+    result: ResultText,
+    /// Events of the attempt before, after which the next one resumes.
+    events: Events,
+}
+
+/// Runs an item until its outcome is known, with as many attempts as that takes.
 async fn run(gateway: &Rc<Gateway>, leased: &LeasedItem, held_item: &HeldItem) -> Outcome {
     let came = gateway.clock.now();
     let Some(request) = Request::of_item(&leased.item, &leased.host, came) else {
         sleep(UNEXPECTED_RESPONSE_PAUSE).await;
         return Outcome::Released;
     };
-    let due = came.saturating_add(leased.due_in_ms);
-    let mut history = AttemptHistory::default();
-    let (mut text, mut any) = (Vec::new(), false);
-    let mut events = Events::default();
+    let mut run = ItemRun {
+        gateway,
+        leased,
+        held_item,
+        request,
+        due: came.saturating_add(leased.due_in_ms),
+        history: AttemptHistory::default(),
+        result: ResultText::default(),
+        events: Events::default(),
+    };
     loop {
-        let before = request.svc.borrow().clone();
-        let Some((chosen, terms)) =
-            runner(gateway, leased, held_item, &request, &history, due).await
-        else {
-            return Outcome::Released;
+        if let Some(outcome) = run.attempt().await {
+            return outcome;
+        }
+    }
+}
+
+impl ItemRun<'_> {
+    /// One attempt; `None` if another one is to follow.
+    async fn attempt(&mut self) -> Option<Outcome> {
+        let before = self.request.svc.borrow().clone();
+        let Some((chosen, terms)) = self.runner().await else {
+            return Some(Outcome::Released);
         };
-        if events.last_id().is_some() && before != *request.svc.borrow() {
-            // Another service may say something else from the same place on.
-            events = Events::default();
+        if self.events.last_id().is_some() && before != *self.request.svc.borrow() {
+            // Another service may send other events after the same id.
+            self.events = Events::default();
         }
-        if history.runners.len() > 8 {
-            history.forget_attempts();
+        if self.history.runners.len() > MAX_REMEMBERED_ATTEMPTS {
+            self.history.forget_attempts();
         }
-        held_item.started.set(true);
-        let last_event_id = events
+        self.held_item.started.set(true);
+        let last_event_id = self
+            .events
             .last_id()
             .and_then(|id| HeaderValue::from_bytes(id).ok());
-        let started = match send(
-            gateway,
-            &request,
+        let attempt = send(
+            self.gateway,
+            &self.request,
             &terms,
             chosen,
-            &mut history,
+            &mut self.history,
             last_event_id.as_ref(),
-        )
-        .await
-        {
-            AttemptResult::Responded(started) => *started,
+        );
+        match attempt.await {
+            AttemptResult::Responded(started) => {
+                self.read_response(*started, &terms, last_event_id).await
+            }
             AttemptResult::Declined(_) | AttemptResult::NotSent => {
-                held_item.started.set(last_event_id.is_some());
-                continue;
+                self.held_item.started.set(last_event_id.is_some());
+                None
             }
-            AttemptResult::Broken | AttemptResult::TimedOut => continue,
-        };
+            AttemptResult::Broken | AttemptResult::TimedOut => None,
+        }
+    }
+
+    /// What a runner's response makes of the item; `None` if another attempt is to follow.
+    async fn read_response(
+        &mut self,
+        started: ResponseStart,
+        terms: &RouteTerms,
+        last_event_id: Option<HeaderValue>,
+    ) -> Option<Outcome> {
         let mut source = EventSource {
             until: Instant::now() + Duration::from_millis(terms.timeout_ms),
-            idle_timeout: idle_timeout(&terms),
+            idle_timeout: idle_timeout(terms),
             last_event_at: Instant::now(),
-            events: std::mem::take(&mut events),
+            events: std::mem::take(&mut self.events),
             started,
         };
-        match source.started.head.status.as_u16() {
-            200..=299 if source.started.head.headers.contains_key(SEAL) => {}
-            500 => {
+        match ItemStatus::of(&source.started.head) {
+            ItemStatus::Stream => {}
+            ItemStatus::Failed => {
                 source.started.in_flight.end(AttemptOutcome::Failed);
-                return Outcome::Failed;
+                return Some(Outcome::Failed);
             }
-            422 => {
+            ItemStatus::Unprocessable => {
                 source.started.in_flight.end(AttemptOutcome::Completed);
-                return Outcome::Unprocessable;
+                return Some(Outcome::Unprocessable);
             }
-            _ => {
-                gateway.log_unexpected_response(
+            ItemStatus::Unexpected => {
+                self.gateway.log_unexpected_response(
                     "an item's answer that says nothing",
                     source.started.in_flight.key(),
                     &source.started.head,
                 );
                 source.started.in_flight.end(AttemptOutcome::Failed);
-                events = source.events;
+                self.events = std::mem::take(&mut source.events);
                 sleep(UNEXPECTED_RESPONSE_PAUSE).await;
-                continue;
+                return None;
             }
         }
-        match &last_event_id {
+        match last_event_id {
             Some(last_event_id) => source.events.resumed_after(last_event_id.as_bytes()),
             None => {
-                text.clear();
-                any = false;
+                self.result = ResultText::default();
                 source.events = Events::default();
             }
         }
-        let end = collect(gateway, &mut source, &mut text, &mut any).await;
+        let end = collect(self.gateway, &mut source, &mut self.result).await;
         if end == StreamEnd::Complete
             && has_explicit_end(&source.started.head.headers)
-            && text.len() <= MAX_RESULT_BYTES
+            && self.result.text.len() <= MAX_RESULT_BYTES
         {
-            add_data(&mut text, &mut any, &source.events.rest());
-            let EventSource { started, .. } = source;
-            let mut in_flight = started.in_flight;
-            in_flight.end(AttemptOutcome::Completed);
-            if let Some(upstream) = started.upstream.rest(&started.head.headers) {
-                gateway.selector.keep(in_flight.key(), upstream);
-            }
-            return Outcome::Complete { text: text.into() };
+            self.result.add(&source.events.rest());
+            source
+                .started
+                .finish(self.gateway, AttemptOutcome::Completed);
+            let text = std::mem::take(&mut self.result.text).into();
+            return Some(Outcome::Complete { text });
         }
-        increment(&gateway.counts.broken);
+        increment(&self.gateway.counts.broken);
         source.started.in_flight.end(end.outcome());
-        events = source.events;
+        self.events = source.events;
+        None
+    }
+
+    /// A runner for the item, as soon as one has capacity; `None` if the item is to be released.
+    async fn runner(&self) -> Option<(SelectedRunner, RouteTerms)> {
+        let mut place = None;
+        loop {
+            let now = self.gateway.clock.now();
+            if self.gateway.stopping() {
+                return None;
+            }
+            let config = self.gateway.config()?;
+            // By its path, as any request: a route may have moved.
+            let route = config
+                .route(&self.leased.host, self.request.target.path())
+                .filter(|route| route.kind == Kind::Bulk);
+            let Some(route) = route else {
+                sleep(UNEXPECTED_RESPONSE_PAUSE).await;
+                return None;
+            };
+            if self
+                .gateway
+                .items
+                .is_confirmed(self.held_item.partition, now)
+            {
+                let left_ms = self.due.saturating_sub(now);
+                let ask = SelectionRequest {
+                    request: &self.request,
+                    route,
+                    history: &self.history,
+                    left_ms,
+                    now,
+                    response_started: self.held_item.started.get(),
+                };
+                if let Some(chosen) = self.gateway.selector.select_for_item(&ask) {
+                    return Some((chosen, RouteTerms::of_item(route)));
+                }
+                if !self.held_item.started.get() {
+                    // Another service of the route may have capacity.
+                    self.request.svc.take();
+                }
+            }
+            let place = place
+                .get_or_insert_with(|| self.gateway.selector.queue_item(&self.request, self.due));
+            let _ = timeout(RESELECT_INTERVAL, place.turn()).await;
+        }
     }
 }
 
-/// Adds what a runner sends to a text.
+/// What the head of a runner's response says of an item.
+enum ItemStatus {
+    /// Its result follows, as a stream of events.
+    Stream,
+    /// The runner failed on it.
+    Failed,
+    /// No runner can run it.
+    Unprocessable,
+    /// Nothing that a runner says of an item.
+    Unexpected,
+}
+
+impl ItemStatus {
+    fn of(head: &Parts) -> Self {
+        match head.status.as_u16() {
+            200..=299 if head.headers.contains_key(SEAL) => ItemStatus::Stream,
+            500 => ItemStatus::Failed,
+            422 => ItemStatus::Unprocessable,
+            _ => ItemStatus::Unexpected,
+        }
+    }
+}
+
+/// The text of an item's result, as far as it has arrived.
+#[derive(Default)]
+struct ResultText {
+    text: Vec<u8>,
+    any: bool,
+}
+
+impl ResultText {
+    /// Adds the data of complete events.
+    fn add(&mut self, events: &[u8]) {
+        add_data(&mut self.text, &mut self.any, events);
+    }
+}
+
+/// Adds the events that a runner sends to a result, up to the end of its stream.
 async fn collect(
     gateway: &Rc<Gateway>,
     source: &mut EventSource,
-    text: &mut Vec<u8>,
-    any: &mut bool,
+    result: &mut ResultText,
 ) -> StreamEnd {
     match source.first(true).await {
-        Ok(whole) => add_data(text, any, &whole),
+        Ok(events) => result.add(&events),
         Err(end) => return end,
     }
     source.started.in_flight.first_token();
@@ -333,72 +453,25 @@
     let mut timer = pin!(sleep_until(source.last_event_at));
     loop {
         match source.next(&mut timer).await {
-            Ok(whole) => add_data(text, any, &whole),
+            Ok(events) => result.add(&events),
             Err(end) => return end,
         }
-        if text.len() > MAX_RESULT_BYTES {
+        if result.text.len() > MAX_RESULT_BYTES {
             return StreamEnd::Broken;
         }
     }
 }
 
-/// A runner for an item, as soon as there is one; none if the item is to be handed back.
-async fn runner(
-    gateway: &Rc<Gateway>,
-    leased: &LeasedItem,
-    held_item: &HeldItem,
-    request: &Request,
-    history: &AttemptHistory,
-    due: u64,
-) -> Option<(SelectedRunner, RouteTerms)> {
-    let mut place = None;
-    loop {
-        let now = gateway.clock.now();
-        if gateway.stopping() {
-            return None;
-        }
-        let config = gateway.config()?;
-        // By its path, as any request: a route may have moved.
-        let route = config
-            .route(&leased.host, request.target.path())
-            .filter(|route| route.kind == Kind::Bulk);
-        let Some(route) = route else {
-            sleep(UNEXPECTED_RESPONSE_PAUSE).await;
-            return None;
-        };
-        if gateway.items.is_confirmed(held_item.partition, now) {
-            let left_ms = due.saturating_sub(now);
-            let ask = SelectionRequest {
-                request,
-                route,
-                history,
-                left_ms,
-                now,
-                response_started: held_item.started.get(),
-            };
-            if let Some(chosen) = gateway.selector.select_for_item(&ask) {
-                return Some((chosen, RouteTerms::of_item(route)));
-            }
-            if !held_item.started.get() {
-                // Another service of the route may have room.
-                request.svc.take();
-            }
-        }
-        let place = place.get_or_insert_with(|| gateway.selector.queue_item(request, due));
-        let _ = timeout(RESELECT_INTERVAL, place.turn()).await;
-    }
-}
-
-/// Says what is held, and drops what is to be dropped.
-fn hold(gateway: &Rc<Gateway>, now: u64) {
+/// Renews the leases of the items that are held, and drops those whose lease is revoked.
+fn renew_leases(gateway: &Rc<Gateway>, now: u64) {
     let Some(map) = gateway.map() else { return };
-    let mut parts: BTreeMap<u16, Vec<LeaseKey>> = BTreeMap::new();
+    let mut partitions: BTreeMap<u16, Vec<LeaseKey>> = BTreeMap::new();
     for (key, held_item) in gateway.items.held.borrow().iter() {
-        let leases = parts.entry(held_item.partition).or_default();
+        let leases = partitions.entry(held_item.partition).or_default();
         leases.push(key.clone());
     }
     let mut calls: BTreeMap<SocketAddr, Vec<PartitionLeases>> = BTreeMap::new();
-    for (partition, leases) in parts {
+    for (partition, leases) in partitions {
         let head = map
             .partitions
             .get(usize::from(partition))
@@ -410,12 +483,12 @@
                 .push(PartitionLeases { partition, leases });
         }
     }
-    for (head, parts) in calls {
+    for (head, partitions) in calls {
         let gateway = Rc::clone(gateway);
         spawn_local(async move {
             let call = RenewRequest {
                 holder: gateway.id,
-                partitions: parts,
+                partitions,
             }
             .encode();
             let Ok(answer) = gateway.links.call(head, RENEW, call, CALL_WITHIN).await else {
@@ -424,9 +497,9 @@
             let Ok(answer) = RenewResponse::decode(&answer) else {
                 return;
             };
-            for part in answer.partitions {
-                if let RenewOutcome::Revoke { leases } = part.outcome {
-                    gateway.items.confirm(part.partition, now);
+            for partition in answer.partitions {
+                if let RenewOutcome::Revoke { leases } = partition.outcome {
+                    gateway.items.confirm(partition.partition, now);
                     for key in leases {
                         gateway.items.drop_one(&key);
                     }
--- a/crates/gateway/gateway/src/lib.rs
+++ b/crates/gateway/gateway/src/lib.rs
@@ -5,13 +5,6 @@
 //! [`client`], gets a runner from [`selection`], and is carried out attempt by attempt in [`proxy`], on the connections of
 //! [`connection`]. [`items`] does the same for items that batch stores lease to this process.
 
-#![expect(
-    clippy::needless_pass_by_value,
-    clippy::struct_excessive_bools,
-    clippy::too_many_lines,
-    reason = "not revised yet"
-)]
-
 pub mod client;
 pub mod codes;
 pub mod connection;
--- a/crates/gateway/gateway/src/proxy/event_source.rs
+++ b/crates/gateway/gateway/src/proxy/event_source.rs
@@ -1,4 +1,4 @@
-//! A stream of events as it comes from one runner: the next whole events, or why there are no more.
+//! A stream of events as it comes from one runner: the next complete events, or why there are no more.
 
 use crate::proxy::attempt::{ResponseStart, RouteTerms};
 use crate::proxy::events::Events;
@@ -11,30 +11,39 @@
 use std::task::Poll;
 use tokio::time::{sleep_until, Duration, Instant, Sleep};
 
-/// A runner that says nothing for so many of the pauses that its clients bear, and for at least so long, is taken for dark,
-/// where its stream can be taken up at another. Clients give up after eight such pauses or two seconds.
+/// A runner that sends nothing for so many of the pauses that clients accept, and for at least [`MIN_IDLE_TIMEOUT`], counts
+/// as failed where its stream can be resumed at another. Clients give up after eight such pauses or two seconds.
 const IDLE_TIMEOUT_GAPS: u64 = 3;
 const MIN_IDLE_TIMEOUT: Duration = Duration::from_millis(750);
-/// After a pause this long the choice is told that the runner lives.
+/// After a pause this long, runner selection learns that the runner makes progress.
 const PROGRESS_REPORT_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Why no more bytes come of one runner.
+/// Why no more events arrive from one runner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StreamEnd {
-    /// The body is whole.
+    /// The body is complete.
     Complete,
     /// The connection ended.
     Broken,
-    /// Nothing came for too long.
+    /// Nothing arrived for too long.
     IdleTimeout,
-    /// The request's time is over.
+    /// The request's deadline passed.
     DeadlineExceeded,
-    /// The runner seems to hang, and has said nothing yet.
+    /// The runner seems to hang, and has sent nothing yet.
     RunnerOverdue,
 }
 
 impl StreamEnd {
-    /// What it means for the send.
+    /// The end where the head of the response gives no length: the end of the connection is then no end of a response.
+    pub fn without_explicit_end(self) -> Self {
+        if self == StreamEnd::Complete {
+            StreamEnd::Broken
+        } else {
+            self
+        }
+    }
+
+    /// The outcome of the attempt.
     pub fn outcome(self) -> AttemptOutcome {
         match self {
             StreamEnd::Complete => AttemptOutcome::Completed,
@@ -45,22 +54,22 @@
     }
 }
 
-/// A stream that comes from a runner.
+/// A stream as it arrives from a runner.
 pub struct EventSource {
-    /// Where it comes from.
+    /// The response that carries it.
     pub started: ResponseStart,
-    /// What has come of it.
+    /// Its events so far.
     pub events: Events,
-    /// When the request's time is over.
+    /// The request's deadline.
     pub until: Instant,
-    /// The longest silence, if the stream can be taken up elsewhere.
+    /// The longest silence, if the stream can be resumed elsewhere.
     pub idle_timeout: Option<Duration>,
-    /// When the last event came.
+    /// When the last event arrived.
     pub last_event_at: Instant,
 }
 
 impl EventSource {
-    /// The first whole events. `again`: a runner that seems to hang before it is left.
+    /// The first complete events. `again`: a runner that seems to hang before it is left.
     ///
     /// # Errors
     /// There are none.
@@ -77,18 +86,18 @@
             let Some(data) = data else {
                 return Err(StreamEnd::Complete);
             };
-            let whole = self
+            let complete = self
                 .events
-                .take(data.map_err(|_| StreamEnd::Broken)?)
+                .take(&data.map_err(|_| StreamEnd::Broken)?)
                 .map_err(|_| StreamEnd::Broken)?;
-            if !whole.is_empty() {
+            if !complete.is_empty() {
                 self.last_event_at = Instant::now();
-                return Ok(whole);
+                return Ok(complete);
             }
         }
     }
 
-    /// The next whole events.
+    /// The next complete events.
     ///
     /// # Errors
     /// There are none.
@@ -121,14 +130,14 @@
                 Some(None) => return Err(StreamEnd::Complete),
                 Some(Some(Err(_))) => return Err(StreamEnd::Broken),
                 Some(Some(Ok(data))) => {
-                    let whole = self.events.take(data).map_err(|_| StreamEnd::Broken)?;
-                    if !whole.is_empty() {
+                    let complete = self.events.take(&data).map_err(|_| StreamEnd::Broken)?;
+                    if !complete.is_empty() {
                         let now = Instant::now();
                         if now.duration_since(self.last_event_at) >= PROGRESS_REPORT_INTERVAL {
                             self.started.in_flight.event();
                         }
                         self.last_event_at = now;
-                        return Ok(whole);
+                        return Ok(complete);
                     }
                 }
             }
--- a/crates/gateway/gateway/src/proxy/events.rs
+++ b/crates/gateway/gateway/src/proxy/events.rs
@@ -1,12 +1,12 @@
-//! Server-sent events, as bytes: where one ends, what its id is, and which of a taken-up stream have been passed on already.
+//! Server-sent events, as bytes: where one ends, what its id is, and which of a resumed stream were forwarded already.
 //!
-//! Only whole events leave [`Events`]: what is held of one that broke off is forgotten when the stream is taken up at another
-//! runner, so that no client gets a piece twice.
+//! Only complete events leave [`Events`]: the part of one that broke off is dropped when the stream is resumed at another
+//! runner, so that no client gets any part twice.
 
 use bytes::{Bytes, BytesMut};
 
-/// The longest event: one far longer than any answer of a runner's batch step is no event.
-const LONGEST_EVENT: usize = 1 << 20;
+/// The longest event: far longer than what any runner sends in one.
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// An event that does not end.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
@@ -16,85 +16,85 @@
 /// A stream's events so far.
 #[derive(Debug, Default)]
 pub struct Events {
-    /// What has come of the event that has not ended.
-    kept: BytesMut,
+    /// The beginning of an event that has not ended.
+    partial: BytesMut,
     last_id: Option<Bytes>,
-    /// The stream was taken up behind this id: what comes again up to it is left out.
-    last_event_id: Option<u64>,
+    /// The stream was resumed after this id: events up to it are left out.
+    resumed_after: Option<u64>,
 }
 
 impl Events {
-    /// Bytes have come: the whole events among them and what was held, perhaps none.
+    /// Takes bytes of the stream, and returns the events that are complete with them, perhaps none.
     ///
     /// # Errors
-    /// The event that is held has grown beyond all bounds.
-    pub fn take(&mut self, data: Bytes) -> Result<Bytes, TooLong> {
-        let whole = if self.kept.is_empty() {
-            // The usual case: what comes is whole, and nothing is copied.
-            let end = whole_until(&data, 0);
-            self.kept.extend_from_slice(&data[end..]);
+    /// An event is longer than [`MAX_EVENT_BYTES`].
+    pub fn take(&mut self, data: &Bytes) -> Result<Bytes, TooLong> {
+        let complete = if self.partial.is_empty() {
+            // The usual case: what comes is complete, and nothing is copied.
+            let end = complete_until(data, 0);
+            self.partial.extend_from_slice(&data[end..]);
             data.slice(..end)
         } else {
             // The blank line may begin in what was held.
-            let from = self.kept.len().saturating_sub(3);
-            self.kept.extend_from_slice(&data);
-            let end = whole_until(&self.kept, from);
-            self.kept.split_to(end).freeze()
+            let from = self.partial.len().saturating_sub(3);
+            self.partial.extend_from_slice(data);
+            let end = complete_until(&self.partial, from);
+            self.partial.split_to(end).freeze()
         };
-        if self.kept.len() > LONGEST_EVENT {
+        if self.partial.len() > MAX_EVENT_BYTES {
             return Err(TooLong);
         }
-        let whole = if self.last_event_id.is_some() {
-            self.without_known(whole)
+        let complete = if self.resumed_after.is_some() {
+            self.without_known(&complete)
         } else {
-            whole
+            complete
         };
-        if let Some(id) = last_id(&whole) {
+        if let Some(id) = last_id(&complete) {
             self.last_id = Some(id);
         }
-        Ok(whole)
+        Ok(complete)
     }
 
-    /// The id of the last whole event that had one.
+    /// The id of the last complete event that had one.
     pub fn last_id(&self) -> Option<&Bytes> {
         self.last_id.as_ref()
     }
 
-    /// Whether something is held of an event that has not ended.
-    pub fn is_amid(&self) -> bool {
-        !self.kept.is_empty()
+    /// Whether an event has begun and not ended.
+    pub fn is_partial(&self) -> bool {
+        !self.partial.is_empty()
     }
 
-    /// What is held of an event that has not ended; it is no longer held.
+    /// Takes out the beginning of an event that has not ended.
     pub fn rest(&mut self) -> Bytes {
-        std::mem::take(&mut self.kept).freeze()
+        std::mem::take(&mut self.partial).freeze()
     }
 
-    /// The stream goes on with bytes of another runner, asked for what follows this id. What was held of an event is
-    /// forgotten.
+    /// The stream continues with bytes of another runner, which was asked for the events after this id. The beginning of an
+    /// event is dropped.
     pub fn resumed_after(&mut self, last_event_id: &[u8]) {
-        self.kept.clear();
+        self.partial.clear();
         self.last_id = Some(Bytes::copy_from_slice(last_event_id));
-        self.last_event_id = number(last_event_id);
+        self.resumed_after = number(last_event_id);
     }
 
-    /// Leaves out events up to the id behind which the stream was taken up. The first one above it ends that.
-    fn without_known(&mut self, whole: Bytes) -> Bytes {
+    /// Leaves out events up to the id after which the stream was resumed. The first one above it ends that.
+    fn without_known(&mut self, complete: &Bytes) -> Bytes {
         let mut from = 0;
-        while let (Some(last_event_id), true) = (self.last_event_id, from < whole.len()) {
-            let end = from + first_event(&whole[from..]);
-            match last_id(&whole.slice(from..end)).and_then(|id| number(&id)) {
-                Some(id) if id <= last_event_id => from = end,
+        while let (Some(last_known), true) = (self.resumed_after, from < complete.len()) {
+            let end = from + first_event(&complete[from..]);
+            match last_id(&complete.slice(from..end)).and_then(|id| number(&id)) {
+                Some(id) if id <= last_known => from = end,
                 // Without an id it can't be told, and what was asked for is what comes.
-                _ => self.last_event_id = None,
+                _ => self.resumed_after = None,
             }
         }
-        whole.slice(from..)
+        complete.slice(from..)
     }
 }
 
-/// Up to where there are whole events; no blank line ends before `from`.
-fn whole_until(bytes: &[u8], from: usize) -> usize {
+/// Up to where there are complete events; no blank line ends before `from`.
+fn complete_until(bytes: &[u8], from: usize) -> usize {
     let mut at = bytes.len();
     while at > from {
         if bytes[at - 1] == b'\n' && is_blank(bytes, at) {
@@ -112,21 +112,21 @@
     line.last().is_none_or(|b| *b == b'\n')
 }
 
-/// The length of the first event of some that are whole.
-fn first_event(whole: &[u8]) -> usize {
+/// The length of the first event of some that are complete.
+fn first_event(complete: &[u8]) -> usize {
     let mut at = 0;
-    while let Some(end) = whole[at..].iter().position(|b| *b == b'\n') {
+    while let Some(end) = complete[at..].iter().position(|b| *b == b'\n') {
         at += end + 1;
-        if is_blank(whole, at) {
+        if is_blank(complete, at) {
             return at;
         }
     }
-    whole.len()
+    complete.len()
 }
 
 /// The lines of some events, without their ends.
-fn lines(whole: &[u8]) -> impl DoubleEndedIterator<Item = &[u8]> {
-    whole
+fn lines(complete: &[u8]) -> impl DoubleEndedIterator<Item = &[u8]> {
+    complete
         .split(|b| *b == b'\n')
         .map(|line| line.strip_suffix(b"\r").unwrap_or(line))
 }
@@ -137,16 +137,16 @@
 }
 
 /// The id of the last of some events that has one.
-fn last_id(whole: &Bytes) -> Option<Bytes> {
-    lines(whole)
+fn last_id(complete: &Bytes) -> Option<Bytes> {
+    lines(complete)
         .rev()
         .find_map(|line| field(line, b"id"))
-        .map(|id| whole.slice_ref(id.trim_ascii()))
+        .map(|id| complete.slice_ref(id.trim_ascii()))
 }
 
-/// Adds the data of whole events to a text, separated by line feeds.
-pub fn add_data(text: &mut Vec<u8>, any: &mut bool, whole: &[u8]) {
-    for data in lines(whole).filter_map(|line| field(line, b"data")) {
+/// Adds the data of complete events to a text, separated by line feeds.
+pub fn add_data(text: &mut Vec<u8>, any: &mut bool, complete: &[u8]) {
+    for data in lines(complete).filter_map(|line| field(line, b"data")) {
         if std::mem::replace(any, true) {
             text.push(b'\n');
         }
--- a/crates/gateway/gateway/src/proxy/forward.rs
+++ b/crates/gateway/gateway/src/proxy/forward.rs
@@ -1,7 +1,8 @@
-//! One request, from its coming to its answer: which runner it is sent to, and what is done when that does not answer.
+//! One request, from its arrival to its response: the runner of each attempt, and what follows when an attempt fails.
 //!
-//! What has certainly not run is sent to another runner while tries and time are left, or refused at once. What may have run
-//! is repeated only where its route allows it; otherwise its client is told that nothing is promised.
+//! A request that has certainly not run is retried at another runner while attempts and time are left, or rejected at once.
+//! One that may have run is retried only where its route allows it; otherwise its client gets a 502 or 504, which promises
+//! nothing.
 
 use crate::client::memory_budget::Claim;
 use crate::client::request::{Request, SEAL};
@@ -9,7 +10,7 @@
 use crate::counters::increment;
 use crate::gateway::Gateway;
 use crate::proxy::attempt::{
-    drained, send, AttemptHistory, AttemptResult, ResponseStart, RouteTerms, MIN_REMAINING_MS,
+    drained, send, AttemptHistory, AttemptResult, ResponseStart, RouteTerms, Work, MIN_REMAINING_MS,
 };
 use crate::proxy::classify::{next_step, without_retry, AttemptEnd, NextStep};
 use crate::proxy::in_flight::AttemptOutcome;
@@ -23,21 +24,21 @@
 use std::rc::Rc;
 use tokio::time::{timeout_at, Duration, Instant};
 
-/// The longest answer that is collected before it is passed on; a longer one is passed on as it comes.
+/// Bytes of a body that are buffered before they are forwarded; a longer body is forwarded as it arrives.
 const MAX_BUFFERED_BYTES: usize = 1 << 20;
-/// When a client may come again whose request was declined by as many runners as it may be sent to.
+/// `Retry-After` of a request that as many runners declined as it may be sent to, in milliseconds.
 const DECLINED_RETRY_AFTER_MS: u64 = 150;
-/// A client that has not taken its answer so long after the last moment for it is not waited for.
+/// A client that has not read its response so long after its deadline, in milliseconds, is not waited for.
 const UNREAD_RESPONSE_MS: u64 = 1_000;
-/// Where a request goes next.
+/// What happens to a request next.
 enum Next {
-    /// To this runner.
+    /// An attempt at this runner.
     Runner(SelectedRunner, Box<RouteTerms>),
-    /// Nowhere: this is its answer.
+    /// No further attempt: this is its response.
     Respond(ClientResponse),
 }
 
-/// Answers a request.
+/// Serves a request.
 pub async fn forward(
     gateway: &Rc<Gateway>,
     request: Request,
@@ -62,7 +63,7 @@
                         drop(claim);
                         return answer;
                     }
-                    // It broke off, and may be repeated.
+                    // The response ended early, and the request may be repeated.
                     continue;
                 }
                 AttemptResult::Declined(after_ms) => (AttemptEnd::NotRun, after_ms),
@@ -80,7 +81,7 @@
     }
 }
 
-/// The answer that a step means; none where the request is sent again.
+/// The response that a step means; `None` where the request is retried.
 fn response_for(
     gateway: &Gateway,
     step: NextStep,
@@ -104,7 +105,7 @@
     Some(local_response(status, why))
 }
 
-/// The answer to a request that is sent to no further runner.
+/// The response to a request for which no further attempt is made.
 fn final_response(
     gateway: &Gateway,
     history: &AttemptHistory,
@@ -116,7 +117,7 @@
         .unwrap_or_else(|| local_response(StatusCode::BAD_GATEWAY, "a runner broke off\n"))
 }
 
-/// Waits for a runner, as long as there is reason to.
+/// Waits for a runner, while the request has time and attempts left.
 async fn next(gateway: &Rc<Gateway>, request: &Rc<Request>, history: &mut AttemptHistory) -> Next {
     let mut place = None;
     loop {
@@ -137,7 +138,7 @@
                 final_response(gateway, history, &terms, None)
             });
         }
-        // A route that allowed a repeat may no longer do so.
+        // The route may have changed: one that allowed a retry may no longer do so.
         if history.sends >= terms.tries || (history.may_have_run && !terms.may_repeat) {
             return Next::Respond(final_response(gateway, history, &terms, None));
         }
@@ -174,7 +175,7 @@
     local_response(StatusCode::NOT_FOUND, "no route leads there\n")
 }
 
-/// The answer to the client from what a runner began; none where it broke off and may be repeated.
+/// The client's response from the start of a runner's; `None` where that ended early and the request is retried.
 async fn answer(
     gateway: &Rc<Gateway>,
     request: &Rc<Request>,
@@ -184,21 +185,16 @@
     guard: &Rc<Guard>,
 ) -> Option<ClientResponse> {
     history.may_have_run = true;
-    let again = terms.may_repeat && history.sends < terms.tries;
+    let may_retry = terms.may_repeat && history.sends < terms.tries;
     let status = started.head.status;
-    // A success without the stamp is none, and a promise that the runner has not made is not passed on.
-    let unsealed = status.is_success() && !started.head.headers.contains_key(SEAL);
-    // Nobody asked for another protocol.
-    let switch = status.is_informational();
-    let promise = matches!(status.as_u16(), 408 | 429 | 503) && !terms.may_repeat;
-    if unsealed || promise || switch {
+    if !may_be_forwarded(&started.head, terms) {
         gateway.log_unexpected_response(
             "an answer that can't be passed on",
             started.in_flight.key(),
             &started.head,
         );
         started.in_flight.end(AttemptOutcome::Broken);
-        if again {
+        if may_retry {
             return None;
         }
         increment(&gateway.counts.failed);
@@ -207,20 +203,26 @@
             "a runner's answer can't be passed on\n",
         ));
     }
-    if status.is_server_error() && again {
+    if status.is_server_error() && may_retry {
         started.in_flight.end(AttemptOutcome::Failed);
         if drained(&mut started.upstream, &mut started.body).await {
-            if let Some(upstream) = started.upstream.rest(&started.head.headers) {
-                gateway.selector.keep(started.in_flight.key(), upstream);
-            }
+            started.finish(gateway, AttemptOutcome::Failed);
         }
         return None;
     }
     let events = status.is_success() && is_events(&started.head);
-    if events || terms.streaming && status.is_success() {
+    if events || terms.work == Work::Stream && status.is_success() {
         return stream::answer(gateway, request, terms, history, started, guard).await;
     }
-    whole(gateway, request, terms, started, guard, again).await
+    buffered_response(gateway, request, terms, started, guard, may_retry).await
+}
+
+/// Whether a client may get this response: a success needs its runner's seal, a status that promises that nothing ran needs
+/// a request that may be repeated, and nobody asked for another protocol.
+fn may_be_forwarded(head: &Parts, terms: &RouteTerms) -> bool {
+    let unsealed = head.status.is_success() && !head.headers.contains_key(SEAL);
+    let promise = matches!(head.status.as_u16(), 408 | 429 | 503) && !terms.may_repeat;
+    !(unsealed || promise || head.status.is_informational())
 }
 
 fn is_events(head: &Parts) -> bool {
@@ -233,93 +235,117 @@
         .is_some_and(|kind| kind.eq_ignore_ascii_case(b"text/event-stream"))
 }
 
-/// An answer that is no stream: collected, so that one that breaks off can be repeated and never appears complete.
-async fn whole(
+/// The body of a response as far as it has arrived. One that arrives in one chunk is not copied.
+#[derive(Default)]
+struct BodyBuffer {
+    first: Bytes,
+    more: BytesMut,
+}
+
+impl BodyBuffer {
+    fn len(&self) -> usize {
+        self.first.len() + self.more.len()
+    }
+
+    fn push(&mut self, data: Bytes) {
+        if self.first.is_empty() && self.more.is_empty() {
+            self.first = data;
+            return;
+        }
+        self.more
+            .extend_from_slice(&std::mem::take(&mut self.first));
+        self.more.extend_from_slice(&data);
+    }
+
+    fn into_bytes(self) -> Bytes {
+        if self.more.is_empty() {
+            self.first
+        } else {
+            self.more.freeze()
+        }
+    }
+}
+
+/// How buffering a body ended.
+enum Buffered {
+    /// It is complete.
+    Complete,
+    /// It is longer than [`MAX_BUFFERED_BYTES`].
+    TooLong,
+    /// It ended early.
+    Failed(AttemptOutcome),
+}
+
+async fn buffer_body(
+    started: &mut ResponseStart,
+    buffer: &mut BodyBuffer,
+    until: Instant,
+) -> Buffered {
+    loop {
+        match timeout_at(until, started.upstream.data(&mut started.body)).await {
+            Ok(None) => return Buffered::Complete,
+            Ok(Some(Ok(data))) => buffer.push(data),
+            Ok(Some(Err(_))) => return Buffered::Failed(AttemptOutcome::Broken),
+            Err(_) => return Buffered::Failed(AttemptOutcome::TimedOut),
+        }
+        if buffer.len() > MAX_BUFFERED_BYTES {
+            return Buffered::TooLong;
+        }
+    }
+}
+
+/// A response that is no stream. It is buffered, so that one that ends early can be retried and never appears complete; a
+/// long one is forwarded as it arrives. `None`: it ended early and is retried.
+async fn buffered_response(
     gateway: &Rc<Gateway>,
     request: &Rc<Request>,
     terms: &RouteTerms,
-    started: ResponseStart,
+    mut started: ResponseStart,
     guard: &Rc<Guard>,
-    again: bool,
+    may_retry: bool,
 ) -> Option<ClientResponse> {
-    let ResponseStart {
-        head,
-        mut body,
-        mut upstream,
-        mut in_flight,
-    } = started;
     let now = gateway.clock.now();
-    let until = Instant::now()
-        + Duration::from_millis(gateway.left_ms(request, terms.timeout_ms, now).max(1));
-    let mut first = Bytes::new();
-    let mut more = BytesMut::new();
-    let word = loop {
-        match timeout_at(until, upstream.data(&mut body)).await {
-            Ok(None) => break None,
-            Ok(Some(Ok(data))) if first.is_empty() && more.is_empty() => first = data,
-            Ok(Some(Ok(data))) => {
-                more.extend_from_slice(&std::mem::take(&mut first));
-                more.extend_from_slice(&data);
-            }
-            Ok(Some(Err(_))) => break Some(AttemptOutcome::Broken),
-            Err(_) => break Some(AttemptOutcome::TimedOut),
-        }
-        if first.len() + more.len() > MAX_BUFFERED_BYTES {
-            let start = if more.is_empty() {
-                first
+    let left_ms = gateway.left_ms(request, terms.timeout_ms, now).max(1);
+    let until = Instant::now() + Duration::from_millis(left_ms);
+    let mut buffer = BodyBuffer::default();
+    let outcome = match buffer_body(&mut started, &mut buffer, until).await {
+        Buffered::Complete => {
+            let outcome = if started.head.status.is_server_error() {
+                AttemptOutcome::Failed
             } else {
-                more.freeze()
-            };
-            let started = ResponseStart {
-                head,
-                body,
-                upstream,
-                in_flight,
+                AttemptOutcome::Completed
             };
+            let head = started.finish(gateway, outcome);
+            increment(&gateway.counts.served);
+            let body = ResponseBody::Full(Some(buffer.into_bytes()));
+            return Some(forwarded_response(head, body));
+        }
+        Buffered::TooLong => {
+            let start = buffer.into_bytes();
             return Some(stream::forward_remaining(
                 gateway, request, terms, started, start, guard,
             ));
         }
+        Buffered::Failed(outcome) => outcome,
     };
-    match word {
-        None => {
-            in_flight.end(if head.status.is_server_error() {
-                AttemptOutcome::Failed
-            } else {
-                AttemptOutcome::Completed
-            });
-            if let Some(upstream) = upstream.rest(&head.headers) {
-                gateway.selector.keep(in_flight.key(), upstream);
-            }
-            increment(&gateway.counts.served);
-            let body = if more.is_empty() {
-                first
-            } else {
-                more.freeze()
-            };
-            Some(forwarded_response(head, ResponseBody::Full(Some(body))))
-        }
-        Some(word) => {
-            let late = matches!(word, AttemptOutcome::TimedOut);
-            increment(&gateway.counts.broken);
-            in_flight.end(word);
-            if again && !late {
-                return None;
-            }
-            increment(&gateway.counts.failed);
-            Some(if late {
-                local_response(
-                    StatusCode::GATEWAY_TIMEOUT,
-                    "a runner's answer did not end in time\n",
-                )
-            } else {
-                local_response(StatusCode::BAD_GATEWAY, "a runner broke off\n")
-            })
-        }
+    let timed_out = outcome == AttemptOutcome::TimedOut;
+    increment(&gateway.counts.broken);
+    started.in_flight.end(outcome);
+    if may_retry && !timed_out {
+        return None;
     }
+    increment(&gateway.counts.failed);
+    Some(if timed_out {
+        local_response(
+            StatusCode::GATEWAY_TIMEOUT,
+            "a runner's answer did not end in time\n",
+        )
+    } else {
+        local_response(StatusCode::BAD_GATEWAY, "a runner broke off\n")
+    })
 }
 
-/// A runner's answer as it is passed on.
+/// A runner's response as its client gets it.
 pub fn forwarded_response(mut head: Parts, body: ResponseBody) -> ClientResponse {
     crate::client::request::strip_hop_by_hop(&mut head.headers);
     let mut answer = Response::new(body);
--- a/crates/gateway/gateway/src/proxy/stream.rs
+++ b/crates/gateway/gateway/src/proxy/stream.rs
@@ -1,6 +1,6 @@
-//! Streams of events: passed on as they come, taken up at another runner where one breaks off.
+//! Streams of events: forwarded as they arrive, resumed at another runner where one breaks off.
 //!
-//! The answer's head waits for the first event: until then nothing is owed to the client, and a runner that breaks off is
+//! The head of the response waits for the first event: until then the client has nothing, and a runner that breaks off is
 //! like one that never began.
 
 pub use crate::proxy::event_source::{has_explicit_end, idle_timeout, EventSource, StreamEnd};
@@ -19,19 +19,21 @@
 use crate::selection::selector::{Selection, SelectionRequest};
 use bytes::Bytes;
 use http1::Guard;
-use hyper::body::Incoming;
 use hyper::header::HeaderValue;
 use hyper::http::response::Parts;
 use hyper::StatusCode;
+use route_config::Route;
 use std::pin::pin;
 use std::rc::Rc;
-use tokio::time::{sleep_until, timeout, Duration, Instant};
+use tokio::time::{sleep_until, timeout, timeout_at, Duration, Instant};
 
-/// A client gives a stream up after a silence of two seconds or more; another runner is looked for no longer than this.
+/// Clients give a stream up after a silence of two seconds or more; a runner to resume it is looked for no longer than this,
+/// in milliseconds.
 const RESUME_WITHIN_MS: u64 = 1_800;
-/// How long is waited before another look for a runner, if nothing calls before.
+/// How long to wait before looking for a runner again, if the queue does not wake the stream before.
 const RESELECT_INTERVAL: Duration = Duration::from_millis(20);
-/// Waits for the first event and begins the answer; none where the runner broke off before it and it may be repeated.
+/// Waits for the first event and begins the client's response; `None` where the runner broke off before that and the request
+/// is retried.
 pub async fn answer(
     gateway: &Rc<Gateway>,
     request: &Rc<Request>,
@@ -43,7 +45,7 @@
     let now = gateway.clock.now();
     let left = Duration::from_millis(gateway.left_ms(request, terms.timeout_ms, now));
     let last_event_at = Instant::now();
-    let again = terms.resumable && history.sends < terms.tries;
+    let may_retry = terms.resumable && history.sends < terms.tries;
     let mut source = EventSource {
         started,
         events: Events::default(),
@@ -51,68 +53,49 @@
         idle_timeout: None,
         last_event_at,
     };
-    let first = source.first(again).await;
-    match first {
+    match source.first(may_retry).await {
         Ok(first) => {
             source.started.in_flight.first_token();
             source.idle_timeout = idle_timeout(terms);
             let head = head_of(&source.started.head);
             let chunks = ChunkSender::default();
-            let history = std::mem::take(history);
-            let run = run(
-                Rc::clone(gateway),
-                Rc::clone(request),
-                *terms,
-                history,
+            let stream = Stream {
+                gateway: Rc::clone(gateway),
+                request: Rc::clone(request),
+                terms: *terms,
+                history: std::mem::take(history),
                 source,
-                chunks.clone(),
-            );
+            };
+            let run = stream.run(chunks.clone());
             let body = StreamedBody::new(first, chunks, run, Rc::clone(guard));
-            Some(forwarded_response(
-                head,
-                ResponseBody::Streamed(Box::new(body)),
-            ))
+            let body = ResponseBody::Streamed(Box::new(body));
+            Some(forwarded_response(head, body))
         }
         Err(StreamEnd::Complete) if has_explicit_end(&source.started.head.headers) => {
-            // No event at all: what came is passed on as it is.
+            // There was no event at all: what arrived is forwarded as it is.
             let rest = source.events.rest();
-            let ResponseStart {
-                head,
-                upstream,
-                mut in_flight,
-                ..
-            } = source.started;
-            in_flight.end(AttemptOutcome::Completed);
-            if let Some(upstream) = upstream.rest(&head.headers) {
-                gateway.selector.keep(in_flight.key(), upstream);
-            }
+            let head = source.started.finish(gateway, AttemptOutcome::Completed);
             increment(&gateway.counts.served);
             Some(forwarded_response(head, ResponseBody::Full(Some(rest))))
         }
         Err(end) => {
-            // Without a length, and without an event, the end of the connection is no end of an answer.
-            let end = if end == StreamEnd::Complete {
-                StreamEnd::Broken
-            } else {
-                end
-            };
+            let end = end.without_explicit_end();
             increment(&gateway.counts.broken);
             source.started.in_flight.end(end.outcome());
-            if again && end != StreamEnd::DeadlineExceeded {
+            if may_retry && end != StreamEnd::DeadlineExceeded {
                 return None;
             }
             increment(&gateway.counts.failed);
-            Some(match end {
-                StreamEnd::DeadlineExceeded => {
-                    local_response(StatusCode::GATEWAY_TIMEOUT, "no runner answered in time\n")
-                }
-                _ => local_response(StatusCode::BAD_GATEWAY, "a runner broke off\n"),
+            Some(if end == StreamEnd::DeadlineExceeded {
+                local_response(StatusCode::GATEWAY_TIMEOUT, "no runner answered in time\n")
+            } else {
+                local_response(StatusCode::BAD_GATEWAY, "a runner broke off\n")
             })
         }
     }
 }
 
-/// A copy of a head; the own one stays with the source, which asks it later whether the connection can be kept.
+/// A copy of a head. The original stays with the source, which needs it to decide whether the connection can be kept.
 fn head_of(head: &Parts) -> Parts {
     let mut answer = hyper::Response::new(());
     *answer.status_mut() = head.status;
@@ -120,82 +103,96 @@
     answer.into_parts().0
 }
 
-/// The stream from its second events on.
-async fn run(
+/// A stream whose first events were sent to its client.
+struct Stream {
     gateway: Rc<Gateway>,
     request: Rc<Request>,
     terms: RouteTerms,
-    mut history: AttemptHistory,
-    mut source: EventSource,
-    chunks: ChunkSender,
-) -> Result<(), Truncated> {
-    let mut timer = pin!(sleep_until(source.last_event_at));
-    loop {
-        let end = match source.next(&mut timer).await {
-            Ok(events) => {
-                chunks.send(events).await;
-                continue;
-            }
-            Err(end) => end,
-        };
-        let framed = has_explicit_end(&source.started.head.headers);
-        // Amid an event a connection that ends has broken off; behind one it may be the end where no length is given, and
-        // a stream that can be taken up shows by its next run whether it was.
-        let ended = framed || (!terms.resumable && !source.events.is_amid());
-        let whole = end == StreamEnd::Complete && ended;
-        if whole {
-            chunks.send(source.events.rest()).await;
-            let ResponseStart {
-                head,
-                upstream,
-                mut in_flight,
-                ..
-            } = source.started;
-            in_flight.end(AttemptOutcome::Completed);
-            if let Some(upstream) = upstream.rest(&head.headers) {
-                gateway.selector.keep(in_flight.key(), upstream);
+    history: AttemptHistory,
+    source: EventSource,
+}
+
+impl Stream {
+    /// Sends the events after the first ones, across as many runners as the route allows.
+    async fn run(mut self, chunks: ChunkSender) -> Result<(), Truncated> {
+        let mut timer = pin!(sleep_until(self.source.last_event_at));
+        loop {
+            let end = match self.source.next(&mut timer).await {
+                Ok(events) => {
+                    chunks.send(events).await;
+                    continue;
+                }
+                Err(end) => end,
+            };
+            if end == StreamEnd::Complete && self.is_end_of_stream() {
+                chunks.send(self.source.events.rest()).await;
+                let Stream {
+                    gateway, source, ..
+                } = self;
+                source.started.finish(&gateway, AttemptOutcome::Completed);
+                increment(&gateway.counts.served);
+                return Ok(());
             }
-            increment(&gateway.counts.served);
-            return Ok(());
+            increment(&self.gateway.counts.broken);
+            let end = end.without_explicit_end();
+            self.source.started.in_flight.end(end.outcome());
+            let last_event_id = self
+                .source
+                .events
+                .last_id()
+                .and_then(|id| HeaderValue::from_bytes(id).ok())
+                .filter(|_| self.terms.resumable && end != StreamEnd::DeadlineExceeded);
+            let Some(last_event_id) = last_event_id else {
+                increment(&self.gateway.counts.cut);
+                return Err(Truncated("a runner broke off"));
+            };
+            self = self.resume_at_another(&last_event_id).await?;
         }
-        increment(&gateway.counts.broken);
-        let end = if end == StreamEnd::Complete {
-            StreamEnd::Broken
-        } else {
-            end
-        };
-        source.started.in_flight.end(end.outcome());
-        let last_event_id = source
-            .events
-            .last_id()
-            .and_then(|id| HeaderValue::from_bytes(id).ok());
-        let (Some(last_event_id), true, true) = (
+    }
+
+    /// Whether the end of the body is the end of the stream. Amid an event, a connection that ends has broken off. Behind one
+    /// it may be the end where no length is given; a stream that can be resumed shows by its next attempt whether it was.
+    fn is_end_of_stream(&self) -> bool {
+        has_explicit_end(&self.source.started.head.headers)
+            || (!self.terms.resumable && !self.source.events.is_partial())
+    }
+
+    /// Goes on with the events of another runner.
+    async fn resume_at_another(mut self, last_event_id: &HeaderValue) -> Result<Self, Truncated> {
+        let EventSource {
+            started,
+            mut events,
+            until,
+            idle_timeout,
+            ..
+        } = self.source;
+        // Its connection is closed before another runner is looked for.
+        drop(started);
+        let resumed = resume(
+            &self.gateway,
+            &self.request,
+            &mut self.history,
             last_event_id,
-            terms.resumable,
-            end != StreamEnd::DeadlineExceeded,
-        ) else {
-            increment(&gateway.counts.cut);
-            return Err(Truncated("a runner broke off"));
-        };
-        drop(source.started);
-        let started = match resume(&gateway, &request, &mut history, &last_event_id).await {
-            Some(started) => started,
-            None => {
-                increment(&gateway.counts.cut);
-                return Err(Truncated("a runner broke off, and no other goes on"));
-            }
+        )
+        .await;
+        let Some(started) = resumed else {
+            increment(&self.gateway.counts.cut);
+            return Err(Truncated("a runner broke off, and no other goes on"));
         };
-        increment(&gateway.counts.resumed);
-        source.events.resumed_after(last_event_id.as_bytes());
-        source = EventSource {
+        increment(&self.gateway.counts.resumed);
+        events.resumed_after(last_event_id.as_bytes());
+        let source = EventSource {
             started,
+            events,
+            until,
+            idle_timeout,
             last_event_at: Instant::now(),
-            ..source
         };
+        Ok(Stream { source, ..self })
     }
 }
 
-/// Another runner that goes on behind an event; none if there is none, or none in time.
+/// A response that goes on after an event, from another runner; `None` if there is none, or none in time.
 async fn resume(
     gateway: &Rc<Gateway>,
     request: &Rc<Request>,
@@ -210,15 +207,9 @@
         let route = config
             .route(&request.host, request.target.path())
             .filter(|route| route.resumable)?;
-        // Another service may say something else from the same place on.
-        let same = request
-            .svc
-            .borrow()
-            .as_ref()
-            .is_some_and(|svc| route.leads_to(svc));
         let terms = RouteTerms::of(route);
         let left_ms = gateway.left_ms(request, terms.timeout_ms, now);
-        if !same
+        if !is_same_service(request, route)
             || now >= until
             || left_ms == 0
             || history.sends >= terms.tries
@@ -236,7 +227,7 @@
         };
         let chosen = match gateway.selector.select(&ask) {
             Selection::Runner(chosen) => chosen,
-            // What is started is not refused while its client may still wait for more of it.
+            // A stream that has begun is not rejected while its client may still wait for more of it.
             Selection::Wait { .. } | Selection::Reject { .. } => {
                 let place = place.get_or_insert_with(|| gateway.selector.queue(request, 0));
                 let _ = timeout(RESELECT_INTERVAL, place.turn()).await;
@@ -257,7 +248,7 @@
                 if started.head.status == StatusCode::OK
                     && started.head.headers.contains_key(SEAL) =>
             {
-                // The runner has a place for it.
+                // The runner has capacity for it.
                 started.in_flight.first_token();
                 return Some(*started);
             }
@@ -268,7 +259,16 @@
     }
 }
 
-/// Passes on a body of which some has come, byte for byte.
+/// Whether the route still leads to the service that sent the events so far: another one may send other events after the
+/// same id.
+fn is_same_service(request: &Request, route: &Route) -> bool {
+    let service = request.svc.borrow();
+    service
+        .as_ref()
+        .is_some_and(|service| route.leads_to(service))
+}
+
+/// Forwards a body of which some has arrived, byte for byte.
 pub fn forward_remaining(
     gateway: &Rc<Gateway>,
     request: &Rc<Request>,
@@ -281,7 +281,7 @@
     let until = Instant::now() + Duration::from_millis(left);
     let head = head_of(&started.head);
     let chunks = ChunkSender::default();
-    let run = bytes_on(Rc::clone(gateway), started, until, chunks.clone());
+    let run = send_remaining(Rc::clone(gateway), started, until, chunks.clone());
     forwarded_response(
         head,
         ResponseBody::Streamed(Box::new(StreamedBody::new(
@@ -293,42 +293,26 @@
     )
 }
 
-async fn bytes_on(
+async fn send_remaining(
     gateway: Rc<Gateway>,
-    started: ResponseStart,
+    mut started: ResponseStart,
     until: Instant,
     chunks: ChunkSender,
 ) -> Result<(), Truncated> {
-    let ResponseStart {
-        head,
-        mut body,
-        mut upstream,
-        mut in_flight,
-    } = started;
     loop {
-        let data = tokio::time::timeout_at(until, next_bytes(&mut upstream, &mut body)).await;
+        let data = timeout_at(until, started.upstream.data(&mut started.body)).await;
         match data {
             Ok(Some(Ok(data))) => chunks.send(data).await,
             Ok(None) => {
-                in_flight.end(AttemptOutcome::Completed);
-                if let Some(upstream) = upstream.rest(&head.headers) {
-                    gateway.selector.keep(in_flight.key(), upstream);
-                }
+                started.finish(&gateway, AttemptOutcome::Completed);
                 increment(&gateway.counts.served);
                 return Ok(());
             }
             Ok(Some(Err(_))) | Err(_) => {
-                in_flight.end(AttemptOutcome::Broken);
+                started.in_flight.end(AttemptOutcome::Broken);
                 increment(&gateway.counts.cut);
                 return Err(Truncated("a runner broke off"));
             }
         }
     }
 }
-
-async fn next_bytes(
-    upstream: &mut crate::connection::upstream::Upstream,
-    body: &mut Incoming,
-) -> Option<Result<Bytes, crate::connection::upstream::Broken>> {
-    upstream.data(body).await
-}
--- a/crates/gateway/gateway/src/readiness.rs
+++ b/crates/gateway/gateway/src/readiness.rs
@@ -20,6 +20,10 @@
 
 /// What readiness is judged by.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+#[expect(
+    clippy::struct_excessive_bools,
+    reason = "each is a fact of its own that readiness is judged by"
+)]
 pub struct Readiness {
     /// A configuration is in force here.
     pub configured: bool,
--- a/crates/gateway/gateway/src/selection/selector.rs
+++ b/crates/gateway/gateway/src/selection/selector.rs
@@ -169,7 +169,7 @@
     }
 
     /// Connections that are kept for this runner lead elsewhere.
-    pub fn forget(&self, key: Key) {
+    pub fn close_connections(&self, key: Key) {
         self.0.pool.close(key);
     }
 
--- a/crates/gateway/gateway/tests/streams.rs
+++ b/crates/gateway/gateway/tests/streams.rs
@@ -290,7 +290,7 @@
         cuts.sort_unstable();
         let (mut got, mut state) = (String::new(), Events::default());
         for piece in cuts.windows(2) {
-            let out = state.take(text.as_bytes()[piece[0]..piece[1]].to_vec().into()).unwrap();
+            let out = state.take(&text.as_bytes()[piece[0]..piece[1]].to_vec().into()).unwrap();
             got.push_str(std::str::from_utf8(&out).unwrap());
             let ends = whole.iter().scan(0, |at, e| { *at += e.len(); Some(*at) }).collect::<Vec<_>>();
             prop_assert!(got.is_empty() || ends.contains(&got.len()), "no whole event ends at {}", got.len());
@@ -309,7 +309,7 @@
         let text = pieces(1..=count);
         let mut state = Events::default();
         let cut = cut.min(text.len());
-        let mut got = state.take(text.as_bytes()[..cut].to_vec().into()).unwrap().to_vec();
+        let mut got = state.take(&text.as_bytes()[..cut].to_vec().into()).unwrap().to_vec();
         let last = state.last_id().and_then(|id| std::str::from_utf8(id).ok()?.parse::<usize>().ok()).unwrap_or(0);
         if last > 0 {
             state.resumed_after(last.to_string().as_bytes());
@@ -318,7 +318,7 @@
         }
         let from = if last > 0 { (last + 1).saturating_sub(again).max(1) } else { 1 };
         for piece in pieces(from..=count).as_bytes().chunks(size) {
-            got.extend_from_slice(&state.take(piece.to_vec().into()).unwrap());
+            got.extend_from_slice(&state.take(&piece.to_vec().into()).unwrap());
         }
         prop_assert_eq!(String::from_utf8(got).unwrap(), text);
     }
