--- a/crates/control/chain-replication/src/commit.rs
+++ b/crates/control/chain-replication/src/commit.rs
@@ -27,7 +27,8 @@
         }
     }
 
-    /// All entries up to this one are on the disks of all members of this view; true if that is new.
+    /// All entries up to this one are on the disks of all members of this view; true if that is
+    /// new.
     pub(crate) fn learn_replicated_to_all(&mut self, number: u64) -> bool {
         let number = number.min(self.log.last());
         if number <= self.replicated_to_all {
--- a/crates/control/chain-replication/src/forwarding.rs
+++ b/crates/control/chain-replication/src/forwarding.rs
@@ -1,7 +1,7 @@
 //! What goes to the successors: entries from our disk, and when a snapshot instead.
 //!
-//! Forwards only what our own disk holds, and only while the replica is active. Flow control is by a
-//! window of bytes that the successor has not acknowledged; what was lost is sent again by time.
+//! Forwards only what our own disk holds, and only while the replica is active. Flow control is by
+//! a window of bytes that the successor has not acknowledged; what was lost is sent again by time.
 
 use crate::limits::{BATCH_BYTES, LOG_BYTES, REQUEST_INTERVAL_MS, WINDOW_BYTES};
 use crate::log::{LogPosition, SuccessorState};
@@ -189,8 +189,8 @@
         has_entries
     }
 
-    /// Whether a successor takes a snapshot, or lacks so much that it would need one if the log were
-    /// cut short now.
+    /// Whether a successor takes a snapshot, or lacks so much that it would need one if the log
+    /// were cut short now.
     pub(crate) fn successor_state(&self) -> SuccessorState {
         // A successor that lacks more needs the longer log: the rest of the usual one is for what
         // comes meanwhile.
--- a/crates/control/chain-replication/src/inspection.rs
+++ b/crates/control/chain-replication/src/inspection.rs
@@ -45,7 +45,8 @@
         self.newest_view_observed
     }
 
-    /// Messages ignored since the start: of another view, of no neighbour in it, or for another identity.
+    /// Messages ignored since the start: of another view, of no neighbour in it, or for another
+    /// identity.
     pub fn ignored_messages(&self) -> u64 {
         self.ignored_messages
     }
@@ -61,8 +62,8 @@
     }
 
     /// All entries up to this one were committed in a view of so many members or more, as far as is
-    /// known here: what an owner may acknowledge. It can lag behind [`Replica::committed`] where the
-    /// chain had shrunk, and catches up with an `Effect::Committed` of a longer view.
+    /// known here: what an owner may acknowledge. It can lag behind [`Replica::committed`] where
+    /// the chain had shrunk, and catches up with an `Effect::Committed` of a longer view.
     pub fn committed_with_members(&self, members: usize) -> u64 {
         let longer = self.replicated_by_chain_len.get(members..);
         longer
--- a/crates/control/chain-replication/src/lib.rs
+++ b/crates/control/chain-replication/src/lib.rs
@@ -1,19 +1,21 @@
-//! Chain replication of one state machine: order, acknowledgement, recovery. No I/O, no clock, no randomness.
+//! Chain replication of one state machine: order, acknowledgement, recovery. No I/O, no clock, no
+//! randomness.
 //!
 //! After van Renesse and Schneider, "Chain replication for supporting high throughput and
 //! availability" (OSDI 2004), with a log on disk. The head numbers commands and applies them at
 //! once. Each member writes an entry and, once its own disk holds it, forwards it to its successor.
-//! Once the tail's disk holds it, it is committed, and the acknowledgement travels back to the head.
-//! The order of disk and network is in `docs/control-state.md`. The invariants, and what upholds each:
+//! Once the tail's disk holds it, it is committed, and the acknowledgement travels back to the
+//! head. The order of disk and network is in `docs/control-state.md`. The invariants, and what
+//! upholds each:
 //!
 //! - *One history a view.* All entries of a view come from its head, whose log only grows, and
 //!   nothing is forwarded before it is synced. So frames may be lost, doubled and reordered: each
-//!   names the entry before its first by view and number, and two logs that agree on one entry agree
-//!   on all before it (the log matching property of Raft).
+//!   names the entry before its first by view and number, and two logs that agree on one entry
+//!   agree on all before it (the log matching property of Raft).
 //! - *No message crosses a view.* A member handles messages of its own view only, from its own
 //!   neighbours only, and only if they are meant for its own identity.
-//! - *Only a member that holds every acknowledged entry leads.* A member is *in sync* in a view once
-//!   its disk holds all that the head held when the view began, and a record of that
+//! - *Only a member that holds every acknowledged entry leads.* A member is *in sync* in a view
+//!   once its disk holds all that the head held when the view began, and a record of that
 //!   ([`LogRecord::InSync`]); before, it neither forwards nor acknowledges. A member with
 //!   `in_sync_view >= since` holds everything that was ever acknowledged: nothing could be
 //!   acknowledged without it since.
--- a/crates/control/chain-replication/src/limits.rs
+++ b/crates/control/chain-replication/src/limits.rs
@@ -1,4 +1,5 @@
-//! Bounds on memory, frames and what is in flight, and the intervals that both ends of a link share.
+//! Bounds on memory, frames and what is in flight, and the intervals that both ends of a link
+//! share.
 
 use crate::time::Millis;
 
@@ -6,8 +7,8 @@
 /// fit a frame between peers (8 MiB) with room to spare.
 pub const MAX_COMMAND_BYTES: usize = 4 * 1024 * 1024 + 4 * 1024;
 
-/// Bytes of commands that may wait for their commit at the head: beyond it nothing more is taken, so
-/// memory stays bounded.
+/// Bytes of commands that may wait for their commit at the head: beyond it nothing more is taken,
+/// so memory stays bounded.
 pub const MAX_UNCOMMITTED_BYTES: u64 = 4 * 1024 * 1024;
 
 /// A snapshot's bytes at most: half of what the smallest machine's process may use is left for all
--- a/crates/control/chain-replication/src/log.rs
+++ b/crates/control/chain-replication/src/log.rs
@@ -9,10 +9,11 @@
 /// Kept while a successor takes a snapshot, and until it has the entries after it: else each
 /// snapshot would be out of date when it has come.
 const LOG_BYTES_LAGGING: u64 = 4 * LOG_BYTES;
-/// Bytes of log that all replicas of a process keep together, as far as [`fair_log_limit`] is asked:
-/// a quarter of what the smallest machine's process may use.
+/// Bytes of log that all replicas of a process keep together, as far as [`fair_log_limit`] is
+/// asked: a quarter of what the smallest machine's process may use.
 const LOG_BYTES_TOGETHER: u64 = 64 * 1024 * 1024;
-/// However many replicas a process has, each keeps this: twice what may be in flight to a successor.
+/// However many replicas a process has, each keeps this: twice what may be in flight to a
+/// successor.
 const MIN_LOG_BYTES: u64 = 2 * WINDOW_BYTES;
 /// Bytes that an entry takes beside its command.
 const ENTRY_OVERHEAD_BYTES: u64 = 64;
@@ -150,7 +151,8 @@
         self.end_at(u64::MAX).saturating_sub(self.base_end)
     }
 
-    /// Drops the oldest entries beyond the bound, and beyond `limit` bytes, but none after `keep_after`.
+    /// Drops the oldest entries beyond the bound, and beyond `limit` bytes, but none after
+    /// `keep_after`.
     pub fn trim(&mut self, keep_after: u64, successor: SuccessorState, limit: u64) {
         let bound = match successor {
             SuccessorState::Lagging => LOG_BYTES_LAGGING,
--- a/crates/control/chain-replication/src/message.rs
+++ b/crates/control/chain-replication/src/message.rs
@@ -55,7 +55,8 @@
     /// To the predecessor: how much of a snapshot has come.
     #[brw(magic = 8u8)]
     ChunkAcknowledgement(ChunkAcknowledgement),
-    /// To the predecessor: where the log ends, and how much of a snapshot has come; go on from there.
+    /// To the predecessor: where the log ends, and how much of a snapshot has come; go on from
+    /// there.
     #[brw(magic = 9u8)]
     ResumeSnapshot {
         /// The number of the sender's last entry.
--- a/crates/control/chain-replication/src/next_view.rs
+++ b/crates/control/chain-replication/src/next_view.rs
@@ -53,8 +53,8 @@
 /// `wanted_len` is the length of the chain where there are machines; `min_len` the length without
 /// which nothing is acknowledged. A member that is not observed counts as dead, and so does one at
 /// whose address another id is alive: that machine has lost its disk. A dead member is dropped,
-/// however few remain, if one remains that holds everything that was acknowledged; the first such is
-/// the head.
+/// however few remain, if one remains that holds everything that was acknowledged; the first such
+/// is the head.
 pub fn next_view(
     current: &View,
     observations: &[Observation],
@@ -120,9 +120,9 @@
             })
         })
         .collect();
-    // The head of a bootstrap view has nothing to hold yet, and one that has reported nothing yet was
-    // allowed to lead when it was made head. One that reports that it no longer holds what it must
-    // has lost it.
+    // The head of a bootstrap view has nothing to hold yet, and one that has reported nothing yet
+    // was allowed to lead when it was made head. One that reports that it no longer holds what it
+    // must has lost it.
     if let (Some(head), Some(candidate)) = (current.members.first(), candidates.first_mut()) {
         if head.is_same_process(candidate.member) {
             candidate.may_lead |=
@@ -132,7 +132,8 @@
     candidates
 }
 
-/// Drops members that drain or retire once enough others hold everything, and one beyond the wanted length.
+/// Drops members that drain or retire once enough others hold everything, and one beyond the wanted
+/// length.
 fn drop_leaving(
     remaining: &mut Vec<Candidate>,
     observations: &[Observation],
@@ -238,9 +239,9 @@
 /// Whether all that stay in the chain were reachable recently, where one is dropped or the head
 /// changes.
 ///
-/// A member that falls silent is not yet known to be gone when another is dropped for a silence that
-/// began a little earlier: the state must not be left to the disk of one that is going too. If this
-/// is false, wait: the next message, or a longer silence, decides.
+/// A member that falls silent is not yet known to be gone when another is dropped for a silence
+/// that began a little earlier: the state must not be left to the disk of one that is going too. If
+/// this is false, wait: the next message, or a longer silence, decides.
 ///
 /// `silent_for_ms` is how long ago a member was there for certain, in milliseconds, dated by the
 /// question that it answered and not by the arrival of a message that may have been long in flight;
--- a/crates/control/chain-replication/src/receiving.rs
+++ b/crates/control/chain-replication/src/receiving.rs
@@ -1,4 +1,5 @@
-//! What comes from the predecessor: entries, or a snapshot in chunks; and what is acknowledged to it.
+//! What comes from the predecessor: entries, or a snapshot in chunks; and what is acknowledged to
+//! it.
 //!
 //! Takes entries only where they go on from the log, and acknowledges only what its disk holds.
 
@@ -17,8 +18,8 @@
 /// A joiner that lacks no more entries is caught up: a view change hands it the rest within a few
 /// frames.
 const CAUGHT_UP_WITHIN_ENTRIES: u64 = 256;
-/// And no more bytes, judged by the size of the entries that it has: as a member it is waited for, so
-/// it must not lack more than a chain may have uncommitted anyway.
+/// And no more bytes, judged by the size of the entries that it has: as a member it is waited for,
+/// so it must not lack more than a chain may have uncommitted anyway.
 const CAUGHT_UP_WITHIN_BYTES: u64 = MAX_UNCOMMITTED_BYTES;
 
 impl<M: StateMachine> Replica<M> {
@@ -138,8 +139,9 @@
         self.send(&predecessor, MessageBody::Acknowledge(acknowledgement));
     }
 
-    /// After a sync: the tail and a joiner acknowledge at once. A member in the middle passes on the
-    /// tail's acknowledgement, and sends one of its own only when its predecessor's window would fill up.
+    /// After a sync: the tail and a joiner acknowledge at once. A member in the middle passes on
+    /// the tail's acknowledgement, and sends one of its own only when its predecessor's window
+    /// would fill up.
     pub(crate) fn acknowledge_after_sync(&mut self, replicated_before: u64) {
         let unacknowledged = self
             .log
@@ -159,41 +161,20 @@
         if !chunk.is_intact() {
             return;
         }
-        let SnapshotChunk {
-            id, offset, bytes, ..
-        } = chunk;
-        if self.log_matches_predecessor && id.number <= self.log.last() {
+        if self.log_matches_predecessor && chunk.id.number <= self.log.last() {
             // It was installed already, or is not needed any more.
             self.report_gap(now);
             return;
         }
-        let view = self.view_number();
-        if self
-            .incoming_snapshot
-            .as_ref()
-            .is_none_or(|snapshot| snapshot.id() != id)
-        {
-            // Within a view a sender only goes on to newer snapshots.
-            let is_newer =
-                |other: &SnapshotReceiver| other.view == view && other.id().number > id.number;
-            if self.incoming_snapshot.as_ref().is_some_and(is_newer)
-                || id.total_bytes > MAX_SNAPSHOT_BYTES
-            {
-                return;
-            }
-            if offset > 0 {
-                // The beginning was lost, or we were restarted: the sender does not know, and would
-                // go on from here for ever.
-                self.report_gap(now);
-                return;
-            }
-            self.incoming_snapshot = Some(SnapshotReceiver::new(id, view, now));
+        if !self.accepts_snapshot_of(now, &chunk) {
+            return;
         }
+        let view = self.view_number();
         let Some(snapshot) = self.incoming_snapshot.as_mut() else {
             return;
         };
         snapshot.view = view;
-        if !snapshot.take_chunk(now, offset, &bytes) {
+        if !snapshot.take_chunk(now, chunk.offset, &chunk.bytes) {
             self.report_gap(now);
         } else if snapshot.is_complete() {
             self.install_snapshot(now);
@@ -208,6 +189,32 @@
         }
     }
 
+    /// Whether a chunk is of the snapshot that is being received; its first chunk begins a new one.
+    fn accepts_snapshot_of(&mut self, now: Millis, chunk: &SnapshotChunk) -> bool {
+        let view = self.view_number();
+        let id = chunk.id;
+        if let Some(current) = &self.incoming_snapshot {
+            if current.id() == id {
+                return true;
+            }
+            // Within a view a sender only goes on to newer snapshots.
+            if current.view == view && current.id().number > id.number {
+                return false;
+            }
+        }
+        if id.total_bytes > MAX_SNAPSHOT_BYTES {
+            return false;
+        }
+        if chunk.offset > 0 {
+            // The beginning was lost, or we were restarted: the sender does not know, and would
+            // go on from here for ever.
+            self.report_gap(now);
+            return false;
+        }
+        self.incoming_snapshot = Some(SnapshotReceiver::new(id, view, now));
+        true
+    }
+
     /// Replaces our state by the complete snapshot.
     fn install_snapshot(&mut self, now: Millis) {
         let Some(snapshot) = self.incoming_snapshot.take() else {
@@ -224,7 +231,8 @@
         {
             self.send_position(now);
         } else {
-            // Whatever corrupted it, it is requested again at the pace of reports, not at that of the link.
+            // Whatever corrupted it, it is requested again at the pace of reports, not at that of
+            // the link.
             self.predecessor.last_position_sent_at = Some(now);
         }
     }
--- a/crates/control/chain-replication/src/recovery.rs
+++ b/crates/control/chain-replication/src/recovery.rs
@@ -94,8 +94,8 @@
     }
 
     /// Moves the oldest entries into the snapshot until the rest has no more than `keep_bytes`, so
-    /// that a long log need not be in memory in full. `initial` is the state machine as it is before
-    /// its first command.
+    /// that a long log need not be in memory in full. `initial` is the state machine as it is
+    /// before its first command.
     ///
     /// # Errors
     /// The snapshot can't be read; all stays as it was.
--- a/crates/control/chain-replication/src/replica.rs
+++ b/crates/control/chain-replication/src/replica.rs
@@ -70,7 +70,8 @@
     pub(crate) applied: u64,
     /// All entries up to this one are committed.
     pub(crate) committed: u64,
-    /// All entries up to this one are on the disks of all members of this view, by the tail's report.
+    /// All entries up to this one are on the disks of all members of this view, by the tail's
+    /// report.
     pub(crate) replicated_to_all: u64,
     /// The same by the number of members of the view, over all views since the process started.
     pub(crate) replicated_by_chain_len: [u64; MAX_MEMBERS as usize + 1],
@@ -79,7 +80,8 @@
     /// A member whose disk holds all entries up to this one is in sync in this view.
     pub(crate) catch_up_target: u64,
     pub(crate) predecessor: PredecessorLink,
-    /// What has come of a snapshot; it outlasts a view, since the next sender may have the same one.
+    /// What has come of a snapshot; it outlasts a view, since the next sender may have the same
+    /// one.
     pub(crate) incoming_snapshot: Option<SnapshotReceiver>,
     pub(crate) successors: Vec<Successor>,
     /// The newest view that any message was sent in.
@@ -89,7 +91,8 @@
     sync_queue: SyncQueue,
     /// Rises when the state is replaced: syncs of what was written before cover nothing after it.
     epoch: u64,
-    /// Our own snapshot could not be read: until we join anew we are no member, whatever the view says.
+    /// Our own snapshot could not be read: until we join anew we are no member, whatever the view
+    /// says.
     state_lost: bool,
     pub(crate) effects: Vec<Effect>,
 }
@@ -140,8 +143,8 @@
                     view: snapshot.view,
                 });
             } else {
-                // Nothing of what was held can be vouched for: a head that began with an empty state
-                // would have the others take it over.
+                // Nothing of what was held can be vouched for: a head that began with an empty
+                // state would have the others take it over.
                 self.state_lost = true;
                 self.in_sync_view = 0;
                 self.in_sync_requested = 0;
@@ -198,7 +201,8 @@
         self.state_lost &= role != Role::Joining;
         self.replicated_to_all = 0;
         let is_head = role == Role::HEAD;
-        // In sync in this very view before a restart: the log matched then and has only grown since.
+        // In sync in this very view before a restart: the log matched then and has only grown
+        // since.
         let was_in_sync = self.in_sync_view == number;
         // An empty log holds all of what was before the first view.
         let holds_empty_history = self.log.last() == 0 && is_first_view;
@@ -263,18 +267,34 @@
             .iter()
             .position(|other| is_sender(&other.peer));
         self.ignored_messages += u64::from(!from_predecessor && successor.is_none());
-        if from_predecessor {
-            match message.body {
-                MessageBody::RequestPosition => return self.send_position(now),
-                MessageBody::AppendEntries(frame) => return self.handle_entries(now, frame),
-                MessageBody::SnapshotChunk(chunk) => return self.handle_chunk(now, chunk),
-                _ => {}
-            }
-        }
-        let Some(successor) = successor else {
-            return;
+        let body = if from_predecessor {
+            self.handle_predecessor_message(now, message.body)
+        } else {
+            Some(message.body)
         };
-        match message.body {
+        if let (Some(body), Some(successor)) = (body, successor) {
+            self.handle_successor_message(now, successor, body);
+        }
+    }
+
+    /// Handles what a predecessor sends; returns anything else.
+    fn handle_predecessor_message(
+        &mut self,
+        now: Millis,
+        body: MessageBody,
+    ) -> Option<MessageBody> {
+        match body {
+            MessageBody::RequestPosition => self.send_position(now),
+            MessageBody::AppendEntries(frame) => self.handle_entries(now, frame),
+            MessageBody::SnapshotChunk(chunk) => self.handle_chunk(now, chunk),
+            other => return Some(other),
+        }
+        None
+    }
+
+    /// Handles what a successor sends; ignores anything else.
+    fn handle_successor_message(&mut self, now: Millis, successor: usize, body: MessageBody) {
+        match body {
             MessageBody::LogPosition { number, last_view } => {
                 let position = LogPosition {
                     number,
@@ -334,7 +354,8 @@
     }
 
     /// Bounds the log that is kept in memory, in bytes, where a process has many replicas: see
-    /// [`fair_log_limit`](crate::fair_log_limit). What is not applied and on its disk is kept in any case.
+    /// [`fair_log_limit`](crate::fair_log_limit). What is not applied and on its disk is kept in
+    /// any case.
     pub fn set_log_limit(&mut self, bytes: u64) {
         self.log_limit = bytes;
         self.trim_log();
@@ -449,8 +470,8 @@
     }
 }
 
-/// The processes to which one in this role forwards entries: the next member, or from the tail those
-/// that are joining.
+/// The processes to which one in this role forwards entries: the next member, or from the tail
+/// those that are joining.
 fn successors_of(view: &View, role: Role) -> Vec<Successor> {
     let last = view.members.len().saturating_sub(1);
     match role {
--- a/crates/control/chain-replication/src/snapshot_receiver.rs
+++ b/crates/control/chain-replication/src/snapshot_receiver.rs
@@ -1,4 +1,5 @@
-//! A snapshot as its receiver has it so far: the chunks from the first one on, and those beyond a gap.
+//! A snapshot as its receiver has it so far: the chunks from the first one on, and those beyond a
+//! gap.
 //!
 //! Takes only chunks of the one snapshot that it was made for. Each chunk carries a checksum, which
 //! the caller checks; the complete snapshot is checked against its identity.
--- a/crates/control/chain-replication/src/snapshot_sender.rs
+++ b/crates/control/chain-replication/src/snapshot_sender.rs
@@ -2,8 +2,8 @@
 //!
 //! A snapshot is one value with an identity ([`SnapshotId`]) from its start to its end, cut into
 //! chunks of one length. The receiver reports up to where it has all chunks, and which of the next
-//! ones it has beyond a gap; the sender goes on from there, after a lost chunk, a broken link, a new
-//! view or its own restart, as long as it has that very snapshot.
+//! ones it has beyond a gap; the sender goes on from there, after a lost chunk, a broken link, a
+//! new view or its own restart, as long as it has that very snapshot.
 
 use bytes::Bytes;
 
@@ -53,8 +53,8 @@
 }
 
 impl SnapshotSender {
-    /// A snapshot of this state, whose last entry is at `position`. The length of `state` must fit a
-    /// [`SnapshotId`].
+    /// A snapshot of this state, whose last entry is at `position`. The length of `state` must fit
+    /// a [`SnapshotId`].
     pub fn new(position: LogPosition, state: Bytes) -> Self {
         SnapshotSender {
             id: SnapshotId::of(position.number, position.view, &state),
--- a/crates/control/chain-replication/tests/catch_up.rs
+++ b/crates/control/chain-replication/tests/catch_up.rs
@@ -1,6 +1,6 @@
-//! Hundreds of large changes while members are away: whoever comes back catches up within a stated time and bytes, and
-//! nobody leads that does not hold all that was acknowledged. Virtual time, by seeds; `CATCH_UP_FROM` and
-//! `CATCH_UP_SEEDS` play others by hand.
+//! Hundreds of large changes while members are away: whoever comes back catches up within a stated
+//! time and bytes, and nobody leads that does not hold all that was acknowledged. Virtual time, by
+//! seeds; `CATCH_UP_FROM` and `CATCH_UP_SEEDS` play others by hand.
 
 #![expect(clippy::unwrap_used, reason = "a test ends at the first surprise")]
 
@@ -31,7 +31,8 @@
 }
 
 fn terms(seed: u64) -> Terms {
-    // In half of the runs a snapshot is far larger than a change, and takes longer than the pause between two.
+    // In half of the runs a snapshot is far larger than a change, and takes longer than the pause
+    // between two.
     let filler = if seed % 2 == 1 { 6_000_000 } else { 0 };
     Terms {
         filler,
@@ -157,8 +158,9 @@
     );
 }
 
-/// The same over the real ring of files, with parts of snapshots that come spoilt; in half of the runs some writes and
-/// syncs fail and are done again, in the other half much comes late and a second time.
+/// The same over the real ring of files, with parts of snapshots that come spoilt; in half of the
+/// runs some writes and syncs fail and are done again, in the other half much comes late and a
+/// second time.
 fn on_ring(seed: u64) -> Terms {
     let doubled = if seed.is_multiple_of(2) { 50 } else { 5 };
     Terms {
--- a/crates/control/chain-replication/tests/catch_up_world/checks.rs
+++ b/crates/control/chain-replication/tests/catch_up_world/checks.rs
@@ -41,7 +41,8 @@
         }
     }
 
-    /// Whoever says that it is in sync in a view has on its disk all that was acknowledged when the view was chosen.
+    /// Whoever says that it is in sync in a view has on its disk all that was acknowledged when the
+    /// view was chosen.
     pub(super) fn check_in_sync(&mut self, seat: usize) {
         let Some(process) = self.process(seat) else {
             return;
--- a/crates/control/chain-replication/tests/catch_up_world/disk.rs
+++ b/crates/control/chain-replication/tests/catch_up_world/disk.rs
@@ -1,5 +1,5 @@
-//! A disk of 64 MB with slow syncs, which is written anew as a controller's is: what the world asks of it, and a model of
-//! it by the same rule. The real ring stands beside it (`ring.rs`).
+//! A disk of 64 MB with slow syncs, which is written anew as a controller's is: what the world asks
+//! of it, and a model of it by the same rule. The real ring stands beside it (`ring.rs`).
 
 use chain_replication::{LogRecord, RecoveredLog, Replica};
 
@@ -27,7 +27,8 @@
     fn compact(&mut self, node: &Replica<Table>) -> bool;
     /// Bytes from the oldest record in use to the end.
     fn used(&self) -> u64;
-    /// What is wrong for good: it holds more than it may, or it gives back something else than what it kept.
+    /// What is wrong for good: it holds more than it may, or it gives back something else than what
+    /// it kept.
     fn broken(&self) -> Option<String>;
     /// The process ends, and nothing else.
     fn lose_process(&mut self, dice: u64);
--- a/crates/control/chain-replication/tests/catch_up_world/machines.rs
+++ b/crates/control/chain-replication/tests/catch_up_world/machines.rs
@@ -68,8 +68,9 @@
         self.disturbed(seat);
     }
 
-    /// The clocks of those who depend on this machine begin anew; so do those of all when the view changes. A tail
-    /// copies only once all before it are in sync, so a joiner depends on all members.
+    /// The clocks of those who depend on this machine begin anew; so do those of all when the view
+    /// changes. A tail copies only once all before it are in sync, so a joiner depends on all
+    /// members.
     pub(super) fn disturbed(&mut self, seat: usize) {
         let now = self.now;
         let until = now
--- a/crates/control/chain-replication/tests/catch_up_world/mod.rs
+++ b/crates/control/chain-replication/tests/catch_up_world/mod.rs
@@ -1,6 +1,7 @@
-//! Members in virtual time with large commands: links with a rate and a bounded queue, disks with slow syncs and a
-//! bounded ring, and the real chain, its rule for the next view included. Only the agreement on a view is stood in for:
-//! one instance decides, from what it last heard of each machine.
+//! Members in virtual time with large commands: links with a rate and a bounded queue, disks with
+//! slow syncs and a bounded ring, and the real chain, its rule for the next view included. Only the
+//! agreement on a view is stood in for: one instance decides, from what it last heard of each
+//! machine.
 
 mod checks;
 pub mod disk;
@@ -40,7 +41,8 @@
 /// A machine that was not heard for so long counts as dead.
 const FAILURE_TIMEOUT: Us = 1_000 * MS;
 const TICK: Us = 100 * MS;
-/// What may wait for one connection before messages are dropped: the bound of the links between processes.
+/// What may wait for one connection before messages are dropped: the bound of the links between
+/// processes.
 const LINK_QUEUE_BYTES: u64 = 4 << 20;
 /// The log that a member keeps for others.
 const KEPT_LOG_BYTES: u64 = 8 << 20;
@@ -334,7 +336,8 @@
     bytes as u64
 }
 
-/// A table that stands for the control state: its digests say which changes it took, its newest body weighs.
+/// A table that stands for the control state: its digests say which changes it took, its newest
+/// body weighs.
 pub fn replayed(recovered: &chain_replication::RecoveredLog) -> Table {
     let mut table = Table::default();
     if let Some(snapshot) = &recovered.snapshot {
--- a/crates/control/chain-replication/tests/catch_up_world/ring.rs
+++ b/crates/control/chain-replication/tests/catch_up_world/ring.rs
@@ -1,6 +1,7 @@
-//! The real ring of files under a member, on a disk in memory that loses and tears what was not synced. It is written
-//! anew by the controllers' rule (`controller/src/journal.rs`), and checked at each start: what was said to be on disk
-//! and was not released comes back, byte for byte, and nothing that was never written does.
+//! The real ring of files under a member, on a disk in memory that loses and tears what was not
+//! synced. It is written anew by the controllers' rule (`controller/src/journal.rs`), and checked
+//! at each start: what was said to be on disk and was not released comes back, byte for byte, and
+//! nothing that was never written does.
 
 use std::collections::VecDeque;
 
@@ -93,7 +94,8 @@
             .map_or(0, |open| *open.ring.synced_lsn().borrow())
     }
 
-    /// Hands over what the ring takes, and releases what a rewriting replaces once all of that is handed over.
+    /// Hands over what the ring takes, and releases what a rewriting replaces once all of that is
+    /// handed over.
     fn flush(&mut self) {
         let Some(open) = &self.open else { return };
         while let Some((ticket, write)) = self.queue.front() {
@@ -136,7 +138,8 @@
         (self.compacting, self.releases) = (None, None);
     }
 
-    /// What comes back holds all that was said to be on disk, and else a beginning of what was written.
+    /// What comes back holds all that was said to be on disk, and else a beginning of what was
+    /// written.
     fn check(&self, found: &[(u64, LogRecord)]) -> Result<(), String> {
         let mut found = found.iter().filter(|(at, _)| *at >= self.low);
         for (at, write) in &self.kept {
@@ -306,7 +309,8 @@
         {
             open.writer.step();
         }
-        // Tickets that a crash took are given again, also those of a border that was not on disk yet.
+        // Tickets that a crash took are given again, also those of a border that was not on disk
+        // yet.
         self.low = found.first().map_or(0, |(at, _)| *at);
         self.kept = found.into();
         self.said = self.newest_synced();
--- a/crates/control/chain-replication/tests/catch_up_world/table.rs
+++ b/crates/control/chain-replication/tests/catch_up_world/table.rs
@@ -1,4 +1,5 @@
-//! The replicated table of the runs: it takes one body in place of the one before, as a configuration does.
+//! The replicated table of the runs: it takes one body in place of the one before, as a
+//! configuration does.
 
 use bytes::Bytes;
 use chain_replication::{SnapshotError, StateMachine};
--- a/crates/control/chain-replication/tests/catch_up_world/terms.rs
+++ b/crates/control/chain-replication/tests/catch_up_world/terms.rs
@@ -44,11 +44,14 @@
     pub doubled: u64,
     /// Of a thousand parts of snapshots so many come spoilt.
     pub spoilt: u64,
-    /// A machine that joins must be caught up within so long, while nothing happens to it and to its sender.
+    /// A machine that joins must be caught up within so long, while nothing happens to it and to
+    /// its sender.
     pub catch_up_within: Us,
-    /// All other members lose power for some seconds in the moment in which a joiner is made a member.
+    /// All other members lose power for some seconds in the moment in which a joiner is made a
+    /// member.
     pub strikes_at_promotion: bool,
-    /// The real ring of files in place of the model of a disk, and of a hundred of its writes and syncs so many fail.
+    /// The real ring of files in place of the model of a disk, and of a hundred of its writes and
+    /// syncs so many fail.
     pub real_ring: bool,
     pub disk_fails: u64,
 }
--- a/crates/control/chain-replication/tests/catch_up_world/troubles.rs
+++ b/crates/control/chain-replication/tests/catch_up_world/troubles.rs
@@ -3,7 +3,8 @@
 use super::{World, LEAST, MS};
 
 impl World {
-    /// A disk is taken, or a machine goes, only while two others are in sync: the budget is one machine.
+    /// A disk is taken, or a machine goes, only while two others are in sync: the budget is one
+    /// machine.
     pub(super) fn safe_to_lose(&self, seat: usize) -> bool {
         let others = (0..self.seats.len())
             .filter(|s| *s != seat && self.is_member(*s))
--- a/crates/control/chain-replication/tests/catch_up_world/views.rs
+++ b/crates/control/chain-replication/tests/catch_up_world/views.rs
@@ -85,7 +85,8 @@
             .collect()
     }
 
-    /// Who joins by the next view, and who has been made a member: in what time, and with how many bytes.
+    /// Who joins by the next view, and who has been made a member: in what time, and with how many
+    /// bytes.
     fn note_joiners(&mut self, next: &View) {
         let (now, proposed_bytes) = (self.now, self.proposed_bytes);
         let snapshot = (self.terms.change_bytes + self.terms.filler) as u64;
@@ -94,7 +95,8 @@
             let is = |m: &&Member| m.addr == s.addr && m.id == s.id;
             let promoted = next.members.iter().any(|m| is(&m));
             if let (true, Some(joined)) = (promoted, s.joining) {
-                // A snapshot, or the log that is kept; the changes since; all of it perhaps twice, where frames were lost.
+                // A snapshot, or the log that is kept; the changes since; all of it perhaps twice,
+                // where frames were lost.
                 let most = 2 * (snapshot + KEPT_LOG_BYTES + proposed_bytes - joined.proposed_bytes);
                 if joined.disturbed == joined.since && joined.bytes > most {
                     let (who, sent) = (s.addr, joined.bytes);
--- a/crates/control/chain-replication/tests/crash_points.rs
+++ b/crates/control/chain-replication/tests/crash_points.rs
@@ -1,5 +1,5 @@
-//! The table of docs/control-state.md: at each point all lose power, what their disks hold and what was said; and
-//! after it, with the first disk gone too, that nothing acknowledged is missing.
+//! The table of docs/control-state.md: at each point all lose power, what their disks hold and what
+//! was said; and after it, with the first disk gone too, that nothing acknowledged is missing.
 
 mod support;
 
--- a/crates/control/chain-replication/tests/ignored_messages.rs
+++ b/crates/control/chain-replication/tests/ignored_messages.rs
@@ -39,8 +39,8 @@
     )
 }
 
-/// A word for an identity that this member doesn't have says nothing about its view: the machine at this address was
-/// another one then, or will be.
+/// A word for an identity that this member doesn't have says nothing about its view: the machine at
+/// this address was another one then, or will be.
 #[test]
 fn message_for_another_identity_deposes_no_head() {
     let mut net = chain_of_three();
@@ -131,8 +131,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 512, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// From an address or an identity that is not in the view, from an older view, or for somebody else: no answer, no
-    /// write, and all stands as before.
+    /// From an address or an identity that is not in the view, from an older view, or for somebody
+    /// else: no answer, no write, and all stands as before.
     #[test]
     fn messages_of_strangers_and_of_older_views_change_nothing(n in 1u64..4, which in 0u8..4, body in body()) {
         let mut net = chain_of_three();
--- a/crates/control/chain-replication/tests/lagging_members.rs
+++ b/crates/control/chain-replication/tests/lagging_members.rs
@@ -1,4 +1,5 @@
-//! Members that lag far behind: copies that were overtaken, parts that are old, doubled or unreadable, large entries.
+//! Members that lag far behind: copies that were overtaken, parts that are old, doubled or
+//! unreadable, large entries.
 
 #[expect(dead_code, reason = "each test file uses a part")]
 mod support;
@@ -69,7 +70,8 @@
     // A long table: its snapshot comes in many parts.
     join(&mut net);
     until_parts(&mut net);
-    // The link to the joiner stands still while 45 MB of changes are committed: more than is kept for a copy.
+    // The link to the joiner stands still while 45 MB of changes are committed: more than is kept
+    // for a copy.
     let mut held = Vec::new();
     for n in 60..210 {
         change(&mut net, n);
@@ -282,7 +284,8 @@
         change(&mut net, n);
         settle_but_for_joiner(&mut net);
     }
-    // It lags behind the log by now; the first part of its copy comes, and then nothing for two seconds.
+    // It lags behind the log by now; the first part of its copy comes, and then nothing for two
+    // seconds.
     let mut taken = 0;
     for _ in 0..2_000 {
         if net.mail.is_empty() {
--- a/crates/control/chain-replication/tests/log_budget.rs
+++ b/crates/control/chain-replication/tests/log_budget.rs
@@ -1,5 +1,5 @@
-//! The logs of many members of one process together: bounded, however many there are, and as long as they may be while
-//! few of them are busy.
+//! The logs of many members of one process together: bounded, however many there are, and as long
+//! as they may be while few of them are busy.
 
 use bytes::Bytes;
 use chain_replication::{
--- a/crates/control/chain-replication/tests/next_view.rs
+++ b/crates/control/chain-replication/tests/next_view.rs
@@ -74,7 +74,8 @@
     let now = three();
     let mut s = all(&now, 3);
     s[0].alive = false;
-    // 2 was last in sync in view 3: it has been a member since 1 without a gap, so it lacks nothing.
+    // 2 was last in sync in view 3: it has been a member since 1 without a gap, so it lacks
+    // nothing.
     s[1].status.as_mut().unwrap().in_sync_view = 3;
     assert_eq!(told(next_view(&now, &s, 3, 2)), "6: 2@1 3@4 joining []");
     // 3 came in with view 4 and has not been in sync since.
--- a/crates/control/chain-replication/tests/recovery.rs
+++ b/crates/control/chain-replication/tests/recovery.rs
@@ -1,4 +1,5 @@
-//! What comes back from a disk: folding older entries into the state changes nothing but what is in memory.
+//! What comes back from a disk: folding older entries into the state changes nothing but what is in
+//! memory.
 
 #[expect(dead_code, reason = "each test file uses a part")]
 mod support;
@@ -8,7 +9,8 @@
 use proptest::prelude::*;
 use support::{member, Words};
 
-/// Records as a member writes them: entries, a view, its state anew with what comes after it, another's state.
+/// Records as a member writes them: entries, a view, its state anew with what comes after it,
+/// another's state.
 fn history() -> impl Strategy<Value = Vec<LogRecord>> {
     let step = prop_oneof![
         6 => (1usize..40).prop_map(Step::Entry),
--- a/crates/control/chain-replication/tests/snapshot_transfer.rs
+++ b/crates/control/chain-replication/tests/snapshot_transfer.rs
@@ -1,5 +1,5 @@
-//! A copy goes on from where it was: broken off at each part, over a restart of either end, in a new view, with words and
-//! parts that are lost, doubled, late, spoilt or of another snapshot.
+//! A copy goes on from where it was: broken off at each part, over a restart of either end, in a
+//! new view, with words and parts that are lost, doubled, late, spoilt or of another snapshot.
 
 #[expect(dead_code, reason = "each test file uses a part")]
 mod support;
@@ -81,7 +81,8 @@
         .collect()
 }
 
-/// Hands words over until the joiner holds so many parts; what is still on its way stays in the mail.
+/// Hands words over until the joiner holds so many parts; what is still on its way stays in the
+/// mail.
 fn until_it_holds(net: &mut Net, parts: usize, fault: Fault) {
     let mut came = 0;
     while came < parts {
@@ -173,7 +174,8 @@
     assert_eq!(parts_sent(&net), PARTS);
 }
 
-/// Breaks the link after so many parts, for some seconds; returns where the parts began that were sent afterwards.
+/// Breaks the link after so many parts, for some seconds; returns where the parts began that were
+/// sent afterwards.
 fn broken_off_after(parts: usize, fault: Fault) -> Vec<usize> {
     let mut net = three_with_a_long_table();
     join(&mut net);
@@ -227,7 +229,8 @@
     }
 }
 
-/// Where the parts begin that are sent in a new view, when six had come in the one before and the table has changed since.
+/// Where the parts begin that are sent in a new view, when six had come in the one before and the
+/// table has changed since.
 fn sent_in_a_new_view(fault: Fault) -> Vec<usize> {
     let mut net = three_with_a_long_table();
     join(&mut net);
@@ -292,7 +295,8 @@
             .cloned()
             .collect();
         cut(&mut net);
-        // The joiner's link stands still; the table changes, and the tail comes back with it in its snapshot.
+        // The joiner's link stands still; the table changes, and the tail comes back with it in its
+        // snapshot.
         assert!(net.propose(1, "newer").is_some());
         pass_cut_off(&mut net, 500);
         let mut disk = RecoveredLog::default();
@@ -351,7 +355,8 @@
     join(&mut net);
     until_it_holds(&mut net, 6, Fault::None);
     cut(&mut net);
-    // Left out, and joined again by another view: it begins anew, with one that holds what came since.
+    // Left out, and joined again by another view: it begins anew, with one that holds what came
+    // since.
     net.enter(&view(3, &[(1, 1), (2, 1), (3, 1)], &[]));
     net.settle();
     net.pass(500);
@@ -401,7 +406,8 @@
             "part {lost}"
         );
     }
-    // Without the first one nothing says that there is a copy: those in flight with it are sent again.
+    // Without the first one nothing says that there is a copy: those in flight with it are sent
+    // again.
     assert!(sent_with_one_lost(0, Fault::None) <= PARTS + CHUNKS_IN_FLIGHT);
 }
 
@@ -441,7 +447,8 @@
     net.pass(2_000);
     assert_copied(&mut net, "doubled");
     let sent = parts_sent(&net);
-    // Each of the joiner's first words may have one part sent again, and what had come late some more.
+    // Each of the joiner's first words may have one part sent again, and what had come late some
+    // more.
     assert!(sent <= PARTS + CHUNKS_IN_FLIGHT, "{sent} parts of {PARTS}");
     // And once more when all is there.
     net.mail.extend(late);
@@ -459,7 +466,8 @@
         most = most.max(net.mail.iter().filter(|mail| is_part(&mail.2)).count());
     }
     assert_eq!(most, CHUNKS_IN_FLIGHT);
-    // And to one that says again and again where its log ends, no more than to one that says it once.
+    // And to one that says again and again where its log ends, no more than to one that says it
+    // once.
     let mut net = three_with_a_long_table();
     join(&mut net);
     let word = net
--- a/crates/control/view-agreement/src/agreement.rs
+++ b/crates/control/view-agreement/src/agreement.rs
@@ -105,7 +105,8 @@
     }
 
     /// Tells whether the disk takes records. While it doesn't, this controller neither votes nor
-    /// proposes; chosen views are still learnt and quorum checks answered, as neither needs the disk.
+    /// proposes; chosen views are still learnt and quorum checks answered, as neither needs the
+    /// disk.
     pub fn set_disk_writable(&mut self, writable: bool) {
         self.disk_writable = writable;
         if !writable {
@@ -127,7 +128,8 @@
         self.current.as_ref().map_or(0, ControllerView::number)
     }
 
-    /// Asks a peer for the newest view: for a controller that knows none, or whose acceptors are all gone.
+    /// Asks a peer for the newest view: for a controller that knows none, or whose acceptors are
+    /// all gone.
     pub fn request_view(&mut self, _now: Millis, to: SocketAddr) {
         self.send(
             to,
--- a/crates/control/view-agreement/src/effect.rs
+++ b/crates/control/view-agreement/src/effect.rs
@@ -31,7 +31,8 @@
     ViewConfirmed {
         /// The token that `confirm_view` returned.
         token: u64,
-        /// A majority of the acceptors said, after the question, that the view was still the newest.
+        /// A majority of the acceptors said, after the question, that the view was still the
+        /// newest.
         is_current: bool,
     },
 }
--- a/crates/control/view-agreement/src/electorate.rs
+++ b/crates/control/view-agreement/src/electorate.rs
@@ -85,8 +85,8 @@
             .map(|o| o.zone)
     }
 
-    /// The zones of the acceptors, without the one in this position. An acceptor of which nothing is
-    /// known counts as in no zone.
+    /// The zones of the acceptors, without the one in this position. An acceptor of which nothing
+    /// is known counts as in no zone.
     fn zones(&self, without: Option<usize>) -> Vec<u64> {
         let others = self
             .acceptors
@@ -176,8 +176,8 @@
         true
     }
 
-    /// Adds spares up to `wanted` acceptors, to an odd number in the end, as long as the established
-    /// ones remain a majority.
+    /// Adds spares up to `wanted` acceptors, to an odd number in the end, as long as the
+    /// established ones remain a majority.
     pub fn grow(&mut self, wanted: usize) {
         let established = self.established.iter().filter(|is| **is).count();
         loop {
@@ -187,7 +187,8 @@
                 2
             };
             let grown = self.acceptors.len() + missing;
-            // A lone initial member can't be a majority of three; with two more it is better off all the same.
+            // A lone initial member can't be a majority of three; with two more it is better off
+            // all the same.
             let is_alone = self.acceptors.len() == 1 && established == 1;
             if grown > wanted.max(self.acceptors.len() | 1)
                 || (established * 2 <= grown && !is_alone)
--- a/crates/control/view-agreement/src/lib.rs
+++ b/crates/control/view-agreement/src/lib.rs
@@ -1,12 +1,13 @@
-//! Agreement on the view of the controllers: a number, the chain, the acceptors. No I/O, no clock, no randomness.
+//! Agreement on the view of the controllers: a number, the chain, the acceptors. No I/O, no clock,
+//! no randomness.
 //!
 //! View `n + 1` is one value, chosen by one instance of single-decree Paxos (Lamport, "Paxos made
 //! simple", 2001) among the acceptors of view `n`. Names are those of the paper; the order of disk
 //! and network is in `docs/control-state.md`. The invariants, and what upholds each:
 //!
-//! - *At most one view is chosen for a number.* An acceptor promises and accepts by the rules of the
-//!   paper, and both are on its disk before the proposer learns of them, so neither a loss of power
-//!   nor a restart makes it answer in two ways.
+//! - *At most one view is chosen for a number.* An acceptor promises and accepts by the rules of
+//!   the paper, and both are on its disk before the proposer learns of them, so neither a loss of
+//!   power nor a restart makes it answer in two ways.
 //! - *No proposal number is used twice.* A proposer syncs its own number before it sends it, and
 //!   breaks ties by its id and address, since all initial members have the id 0.
 //! - *A majority that decides next can decide now.* A majority of the new acceptors were acceptors
@@ -14,7 +15,8 @@
 //! - *A shrunken chain does not shrink the quorum.* The number of acceptors follows from the faults
 //!   to be tolerated (see [`Sizing`]), not from the length of the chain.
 //!
-//! A controller that knows an older view gets the newest one in full and installs it: it was chosen.
+//! A controller that knows an older view gets the newest one in full and installs it: it was
+//! chosen.
 
 mod acceptor;
 mod agreement;
--- a/crates/control/view-agreement/src/next_view.rs
+++ b/crates/control/view-agreement/src/next_view.rs
@@ -1,4 +1,5 @@
-//! The rule by which the next view of the controllers follows from what is observed of the machines. Pure.
+//! The rule by which the next view of the controllers follows from what is observed of the
+//! machines. Pure.
 
 use std::borrow::Cow;
 
@@ -12,16 +13,16 @@
 /// nothing is to change or nothing can.
 ///
 /// An acceptor whose machine lost its disk (another id is alive at its address) is replaced by that
-/// newcomer at once; one that drains or that can't keep its promises on disk, by a spare at once; one
-/// that has been unreachable for [`Sizing::replace_after_ms`], by a spare. Where there are fewer
-/// acceptors than [`Sizing::acceptors`], spares are added, to an odd number. A majority of the new
-/// acceptors were acceptors before and are reachable now: a view in which they have to decide never
-/// waits for a machine that has only just learnt of it.
+/// newcomer at once; one that drains or that can't keep its promises on disk, by a spare at once;
+/// one that has been unreachable for [`Sizing::replace_after_ms`], by a spare. Where there are
+/// fewer acceptors than [`Sizing::acceptors`], spares are added, to an odd number. A majority of
+/// the new acceptors were acceptors before and are reachable now: a view in which they have to
+/// decide never waits for a machine that has only just learnt of it.
 ///
-/// Where whole zones may fail ([`Sizing::zone_failures`]), acceptors of the fullest zone are replaced
-/// by spares of emptier ones until such a failure leaves a majority, and a chain in too few zones
-/// takes in a member of another one and then drops one of the fullest. Both end where there are no
-/// spares of other zones.
+/// Where whole zones may fail ([`Sizing::zone_failures`]), acceptors of the fullest zone are
+/// replaced by spares of emptier ones until such a failure leaves a majority, and a chain in too
+/// few zones takes in a member of another one and then drops one of the fullest. Both end where
+/// there are no spares of other zones.
 ///
 /// `unreachable_ms` is how long a member has been unreachable, in milliseconds. The owner proposes
 /// the result only if [`chain_replication::remaining_members_recently_seen`] agrees.
@@ -51,7 +52,8 @@
 }
 
 /// The observations, with the member marked as retiring that is to make room for one of another
-/// zone, if any. By the rule of the chain a retiring member goes only once enough others are in sync.
+/// zone, if any. By the rule of the chain a retiring member goes only once enough others are in
+/// sync.
 fn spread_chain_over_zones<'a>(
     current: &ControllerView,
     observations: &'a [Observation],
--- a/crates/control/view-agreement/src/proposer.rs
+++ b/crates/control/view-agreement/src/proposer.rs
@@ -12,7 +12,8 @@
 pub(crate) enum Phase {
     /// Promises are collected.
     Prepare,
-    /// A value was sent to be accepted, or a rejection ended the attempt: no promise counts any more.
+    /// A value was sent to be accepted, or a rejection ended the attempt: no promise counts any
+    /// more.
     Accept,
 }
 
--- a/crates/control/view-agreement/src/proposing.rs
+++ b/crates/control/view-agreement/src/proposing.rs
@@ -1,7 +1,7 @@
 //! A controller as a proposer: when it begins an attempt, and what it sends.
 //!
-//! Liveness is by timing alone (`docs/control-state.md`): attempts are repeated and staggered by the
-//! position among the acceptors, so that two proposers do not go on overtaking each other.
+//! Liveness is by timing alone (`docs/control-state.md`): attempts are repeated and staggered by
+//! the position among the acceptors, so that two proposers do not go on overtaking each other.
 
 use chain_replication::{Member, Millis};
 
@@ -16,7 +16,8 @@
 /// From a rejected attempt to the next, and on top of it for each position among the acceptors.
 const AFTER_REJECTION_MS: Millis = 60;
 const STAGGER_MS: Millis = 120;
-/// A proposal that was not chosen within this is given up: by then the owner sees other machines alive.
+/// A proposal that was not chosen within this is given up: by then the owner sees other machines
+/// alive.
 const GIVE_UP_MS: Millis = 3_000;
 /// An accepted value that was not learnt to be chosen within this is proposed by its acceptors: its
 /// proposer may be gone, and until it is decided no quorum check of the present view can succeed.
--- a/crates/control/view-agreement/src/quorum_check.rs
+++ b/crates/control/view-agreement/src/quorum_check.rs
@@ -1,7 +1,7 @@
 //! Rounds of quorum checks: which acceptors have answered each, and who waits for its result.
 //!
-//! Counts votes only; sends nothing. A round succeeds once a majority of the acceptors has confirmed
-//! the view after the round was sent, and fails when it expires or the view ends.
+//! Counts votes only; sends nothing. A round succeeds once a majority of the acceptors has
+//! confirmed the view after the round was sent, and fails when it expires or the view ends.
 
 use std::collections::VecDeque;
 
--- a/crates/control/view-agreement/src/sizing.rs
+++ b/crates/control/view-agreement/src/sizing.rs
@@ -17,9 +17,9 @@
     /// Zones that may fail at once, each with all its machines; 0 where only machines are counted.
     pub zone_failures: usize,
     /// An acceptor that is unreachable for longer is replaced by a spare, in milliseconds. It must
-    /// be longer than the failure time-out of a machine, and the replacement must be over before the
-    /// next fault may come (`SyncS`). An acceptor that returns later is a spare itself, so replacing
-    /// one too early costs a view change and no safety.
+    /// be longer than the failure time-out of a machine, and the replacement must be over before
+    /// the next fault may come (`SyncS`). An acceptor that returns later is a spare itself, so
+    /// replacing one too early costs a view change and no safety.
     pub replace_after_ms: Millis,
 }
 
--- a/crates/control/view-agreement/src/view_confirmation.rs
+++ b/crates/control/view-agreement/src/view_confirmation.rs
@@ -1,8 +1,9 @@
 //! Whether the current view is still the newest, by a majority of its acceptors.
 //!
-//! This is what Raft calls ReadIndex (Ongaro, "Consensus: bridging theory and practice", 6.4): before
-//! a read is answered, a majority confirms that no newer view was chosen when the read was asked. An
-//! acceptor that has accepted a proposal for the next view doesn't confirm: that may be chosen.
+//! This is what Raft calls ReadIndex (Ongaro, "Consensus: bridging theory and practice", 6.4):
+//! before a read is answered, a majority confirms that no newer view was chosen when the read was
+//! asked. An acceptor that has accepted a proposal for the next view doesn't confirm: that may be
+//! chosen.
 
 use std::net::SocketAddr;
 
@@ -14,8 +15,8 @@
 
 impl Agreement {
     /// Asks a majority of the acceptors whether the view is still the newest. The answer comes as
-    /// [`Effect::ViewConfirmed`] with the returned token. If it is current, and the tail of this view
-    /// was in sync, the tail holds everything that was committed before the question.
+    /// [`Effect::ViewConfirmed`] with the returned token. If it is current, and the tail of this
+    /// view was in sync, the tail holds everything that was committed before the question.
     pub fn confirm_view(&mut self, now: Millis) -> u64 {
         let token = self.quorum_checks.next_token();
         if self.current.is_none() {
@@ -83,7 +84,8 @@
         }
     }
 
-    /// An acceptor confirms that the view is the newest it knows and that it has accepted no next one.
+    /// An acceptor confirms that the view is the newest it knows and that it has accepted no next
+    /// one.
     pub(crate) fn handle_quorum_vote(&mut self, voter: &Member, view_number: u64, round: u64) {
         let Some(current) = &self.current else {
             return;
--- a/crates/control/view-agreement/tests/byte_layout.rs
+++ b/crates/control/view-agreement/tests/byte_layout.rs
@@ -1,4 +1,5 @@
-//! The bytes of each message and of each record on disk: processes of other builds read and write the same ones.
+//! The bytes of each message and of each record on disk: processes of other builds read and write
+//! the same ones.
 
 #![expect(clippy::unwrap_used, reason = "a test ends at the first surprise")]
 
--- a/crates/control/view-agreement/tests/concurrent_proposers.rs
+++ b/crates/control/view-agreement/tests/concurrent_proposers.rs
@@ -1,5 +1,5 @@
-//! Many propose at once, over a network that loses, delays and reorders, with restarts and losses of power in between:
-//! for one number, no two views are ever chosen.
+//! Many propose at once, over a network that loses, delays and reorders, with restarts and losses
+//! of power in between: for one number, no two views are ever chosen.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/control/view-agreement/tests/ignored_messages.rs
+++ b/crates/control/view-agreement/tests/ignored_messages.rs
@@ -111,8 +111,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 256, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// However many votes of strangers, of wrong identities at good addresses, or for views that are over: the view in force
-    /// stays, nothing is written, nothing is confirmed.
+    /// However many votes of strangers, of wrong identities at good addresses, or for views that
+    /// are over: the view in force stays, nothing is written, nothing is confirmed.
     #[test]
     fn votes_of_strangers_decide_nothing(votes in prop::collection::vec((0u8..4, 0u8..3, 1u8..9), 0..20)) {
         let (mut agreement, proposal_number) = proposer();
--- a/crates/control/view-agreement/tests/next_controller_view.rs
+++ b/crates/control/view-agreement/tests/next_controller_view.rs
@@ -156,13 +156,15 @@
 
 #[test]
 fn a_majority_of_the_new_acceptors_were_acceptors_before() {
-    // Two of three have lost their disks: no majority is left that could decide, and none is made up of newcomers.
+    // Two of three have lost their disks: no majority is left that could decide, and none is made
+    // up of newcomers.
     let all = [seen(7, 1), seen(8, 2), seen(0, 3)];
     assert_eq!(
         next(&current(), &all, 0),
         "5: 3#0 joining [1#7 2#8] acceptors 1#0 2#0 3#0"
     );
-    // Three of five are gone: two votes may go to spares where three of the old ones stay, not more.
+    // Three of five are gone: two votes may go to spares where three of the old ones stay, not
+    // more.
     let mut all: Vec<Observation> = (1..=5).map(|place| seen(0, place)).collect();
     all.extend((6..=8).map(|place| seen(9, place)));
     for dead in &mut all[..2] {
@@ -186,7 +188,8 @@
     // Four are no better than three.
     let told = next_for(2, &current(), &all[..4], 0);
     assert!(told.ends_with("acceptors 1#0 2#0 3#0"), "{told}");
-    // While one of three is gone, two newcomers would be a majority together with the silence of another.
+    // While one of three is gone, two newcomers would be a majority together with the silence of
+    // another.
     let mut short = all.clone();
     short[0].alive = false;
     let told = next_for(2, &current(), &short, 0);
@@ -243,7 +246,8 @@
     for sync_ms in [1_000, 5_000, 6_000, 12_000, 60_000] {
         let after = Sizing::new(2, sync_ms).replace_after_ms;
         assert!((1_200..=3_000).contains(&after), "{after}");
-        // Where the next loss may come within a second, nothing helps; elsewhere a change of view fits in as well.
+        // Where the next loss may come within a second, nothing helps; elsewhere a change of view
+        // fits in as well.
         assert!(
             sync_ms < 5_000 || after + 2_000 < sync_ms,
             "{after} of {sync_ms}"
@@ -330,13 +334,15 @@
     let all = in_zones(&[1, 1, 2, 3], 3);
     let told = next_over_zones(1, 1, &current(), &all);
     assert!(told.ends_with("acceptors 1#0 4#9 3#0"), "{told}");
-    // Without a spare of another zone nothing can be done; with machines alone to be survived, nothing need be.
+    // Without a spare of another zone nothing can be done; with machines alone to be survived,
+    // nothing need be.
     assert_eq!(
         next_over_zones(1, 1, &current(), &in_zones(&[1, 1, 2, 2], 3)),
         "none"
     );
     assert_eq!(next_over_zones(1, 0, &current(), &all), "none");
-    // Five that are to survive two losses of machines and one of a zone: three in one zone are too many, two are not.
+    // Five that are to survive two losses of machines and one of a zone: three in one zone are too
+    // many, two are not.
     let told = next_over_zones(2, 1, &current_of_five(), &in_zones(&[1, 1, 1, 2, 2, 3], 5));
     assert!(told.ends_with("acceptors 1#0 2#0 6#9 4#0 5#0"), "{told}");
     assert_eq!(
--- a/crates/control/view-agreement/tests/simulation.rs
+++ b/crates/control/view-agreement/tests/simulation.rs
@@ -1,6 +1,6 @@
-//! Days of controllers in virtual time, by seeds: three to five of them under trouble at random, and three to eight that are
-//! lost in a row, one or two at once, the next as soon as the platform may take them. `SIM_FROM` and `SIM_SEEDS` play other
-//! days by hand.
+//! Days of controllers in virtual time, by seeds: three to five of them under trouble at random,
+//! and three to eight that are lost in a row, one or two at once, the next as soon as the platform
+//! may take them. `SIM_FROM` and `SIM_SEEDS` play other days by hand.
 
 mod support;
 
@@ -37,7 +37,8 @@
     assert!(wipes > seeds / 2 && restored > seeds / 2);
 }
 
-// Nothing acknowledged is lost, and the system goes on: 300 days, in three tests that run side by side.
+// Nothing acknowledged is lost, and the system goes on: 300 days, in three tests that run side by
+// side.
 
 #[test]
 fn no_acknowledged_entry_is_lost_on_the_first_hundred_days() {
@@ -54,8 +55,8 @@
     play(200, 100);
 }
 
-/// Whether a planted fault shows on one of the seeds from `from` on; the first that shows it. Rare ones begin near a
-/// seed that is known to show them.
+/// Whether a planted fault shows on one of the seeds from `from` on; the first that shows it. Rare
+/// ones begin near a seed that is known to show them.
 fn found(from: u64, faults: Faults) -> u64 {
     let most = number("SIM_FAULT_SEEDS", 150);
     let seed = (from..from + most).find(|seed| World::new(*seed, faults).play().is_some());
--- a/crates/control/view-agreement/tests/support/checker.rs
+++ b/crates/control/view-agreement/tests/support/checker.rs
@@ -88,8 +88,8 @@
         self.acked.last_key_value().map_or(0, |(number, _)| *number)
     }
 
-    /// A read's answer must have all that was acknowledged before it was asked; `all`: look at every one, else at the
-    /// newest.
+    /// A read's answer must have all that was acknowledged before it was asked; `all`: look at
+    /// every one, else at the newest.
     pub fn read(&mut self, acked_up_to: u64, history: &History, all: bool) {
         self.reads += 1;
         let from = if all {
--- a/crates/control/view-agreement/tests/support/controller.rs
+++ b/crates/control/view-agreement/tests/support/controller.rs
@@ -1,4 +1,5 @@
-//! One controller: its process, its disk, and the owner's part (who is alive, when the next view is proposed).
+//! One controller: its process, its disk, and the owner's part (who is alive, when the next view is
+//! proposed).
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -19,8 +20,8 @@
 pub enum Wire {
     Chain(Bytes),
     View(Bytes),
-    /// `sent` comes back as `echo`: what an answer proves is dated by the question, so that a word that was long on its
-    /// way does not bring the dead to life.
+    /// `sent` comes back as `echo`: what an answer proves is dated by the question, so that a word
+    /// that was long on its way does not bring the dead to life.
     Hello {
         id: u64,
         status: ReplicaStatus,
@@ -132,7 +133,8 @@
 }
 
 impl Controller {
-    /// Starts the process with what the disk holds. `bootstrap` only on the first start of a founder.
+    /// Starts the process with what the disk holds. `bootstrap` only on the first start of a
+    /// founder.
     pub fn start(&mut self, now: Millis, bootstrap: Option<ControllerView>, dice: &mut Dice) {
         // The owner syncs what it reads.
         self.disk.safe = self.disk.records.len();
--- a/crates/control/view-agreement/tests/support/losses.rs
+++ b/crates/control/view-agreement/tests/support/losses.rs
@@ -1,5 +1,5 @@
-//! Machines that are lost in a row: as many at once as are to be survived, and the next ones as soon as the platform may
-//! take them, which is [`SYNC_MS`] after the ones before were made good.
+//! Machines that are lost in a row: as many at once as are to be survived, and the next ones as
+//! soon as the platform may take them, which is [`SYNC_MS`] after the ones before were made good.
 
 use chain_replication::Millis;
 
@@ -73,7 +73,8 @@
         if power_off {
             good_at = good_at.max(self.power_off(world, &victims));
         }
-        // One that is replaced as planned counts no more once its process is told to stop: its successor has had its time.
+        // One that is replaced as planned counts no more once its process is told to stop: its
+        // successor has had its time.
         let pause = if planned { 0 } else { SYNC_MS };
         self.next_at = good_at + pause + world.dice.below(400);
     }
@@ -117,7 +118,8 @@
         for stopping in self.stopping.drain(..) {
             let process = world.controllers[stopping.machine].process.as_ref();
             let lasted = now - stopping.since;
-            // The real process ends sooner where nobody can take its place; here a successor always can.
+            // The real process ends sooner where nobody can take its place; here a successor always
+            // can.
             let replaced = process.is_none_or(|p| p.replaced()) && lasted > STOPPING_MS / 4;
             if replaced || lasted > GRACE_MS {
                 ended.push(stopping.machine);
--- a/crates/control/view-agreement/tests/support/mod.rs
+++ b/crates/control/view-agreement/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! Controllers in virtual time: the real agreement and chain over a network and disks that misbehave by a seed.
+//! Controllers in virtual time: the real agreement and chain over a network and disks that
+//! misbehave by a seed.
 
 pub mod checker;
 pub mod controller;
--- a/crates/control/view-agreement/tests/support/world.rs
+++ b/crates/control/view-agreement/tests/support/world.rs
@@ -1,4 +1,5 @@
-//! The network, the faults of a day, and its end: all healed, the system goes on and nothing is lost.
+//! The network, the faults of a day, and its end: all healed, the system goes on and nothing is
+//! lost.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -58,8 +59,8 @@
         World::with(dice, faults, 1, count, count)
     }
 
-    /// A day on which machines are lost in a row, as many at once as are to be survived, the next ones as soon as the
-    /// platform may take them.
+    /// A day on which machines are lost in a row, as many at once as are to be survived, the next
+    /// ones as soon as the platform may take them.
     pub fn with_losses(seed: u64, faults: Faults) -> World {
         let mut dice = Dice::new(seed);
         let tolerated = dice.between(1, 2) as usize;
