--- a/crates/batch/batch-store/src/process.rs
+++ b/crates/batch/batch-store/src/process.rs
@@ -215,7 +215,7 @@
         node: settings.node.clone(),
         zone: settings.zone.clone(),
         poll_ms: settings.bounds.poll_ms,
-        min_members: faults_at_once(&settings.budget) + 1,
+        min_members: faults_at_once(&settings.fault_budget) + 1,
         max_bytes: usize::try_from(memory)
             .unwrap_or(usize::MAX)
             .min(chain_replication::MAX_SNAPSHOT_BYTES as usize * 7 / 8),
@@ -256,7 +256,7 @@
                 driver.store.borrow_mut().start_leaving(now);
                 driver.apply_effects();
             }
-            _ = hangup.recv() => match Settings::load().and_then(|file| settings.reread(&file)) {
+            _ = hangup.recv() => match Settings::load().and_then(|file| settings.reload(&file)) {
                 Ok(reread) => driver.apply_settings(reread, &mut settings),
                 Err(why) => {
                     warn!(log, "settings reload rejected"; "code" => 2206, "why" => %why);
--- a/crates/batch/batch-store/src/process/driver.rs
+++ b/crates/batch/batch-store/src/process/driver.rs
@@ -14,7 +14,7 @@
 use std::rc::Rc;
 use std::time::Instant;
 use structured_log::RateLimiter;
-use tier_settings::{Reread, Settings};
+use tier_settings::{Reload, Settings};
 
 /// The entry of the control state with the placement map.
 const PLACEMENT_KEY: &str = "stores";
@@ -174,18 +174,18 @@
 
     /// The settings file was read again: `Peers` are applied, all else that changed at the next
     /// start.
-    pub fn apply_settings(&self, reread: Reread, settings: &mut Settings) {
-        let Reread {
+    pub fn apply_settings(&self, reread: Reload, settings: &mut Settings) {
+        let Reload {
             settings: new,
-            mut at_next_start,
+            mut restart_required,
             ..
         } = reread;
         if new.bounds != settings.bounds {
-            at_next_start.push("Bounds");
+            restart_required.push("Bounds");
         }
-        if !at_next_start.is_empty() {
+        if !restart_required.is_empty() {
             warn!(self.log, "settings take effect at the next start"; "code" => 2211,
-                "keys" => at_next_start.join(","));
+                "keys" => restart_required.join(","));
         }
         settings.peers = new.peers;
         self.controllers.borrow_mut().configured = settings.controller_peers();
--- a/crates/common/tier-settings/tests/faults.rs
+++ b/crates/common/tier-settings/tests/errors.rs
@@ -1,4 +1,4 @@
-//! What is said of each fault, and that nothing else comes of any text.
+//! The error of each fault, and that any text is read or refused.
 
 #![expect(clippy::unwrap_used, reason = "a test ends at the first surprise")]
 
@@ -11,13 +11,13 @@
     Settings::parse(text).unwrap_err().to_string()
 }
 
-/// The least of a file and another line.
+/// The error of a minimal file with another line.
 fn with(line: &str) -> String {
     fault(&format!("{LEAST}{line}\n"))
 }
 
 #[test]
-fn each_fault_has_its_number_key_and_line() {
+fn each_error_has_its_code_key_and_line() {
     insta::assert_snapshot!(fault("Node = 'a'\nRole = \n"), @"S104 the file (line 2): is no TOML: string values must be quoted, expected literal string");
     insta::assert_snapshot!(fault(""), @"S105 Node: is missing");
     insta::assert_snapshot!(fault(&LEAST.replace("Node = 'a'", "Node = ''")), @"S107 Node (line 1): is empty");
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn numbers_are_unique_and_rise() {
+fn codes_are_unique_and_rise() {
     assert!(CODES.windows(2).all(|pair| pair[0].0 < pair[1].0));
     assert!(CODES
         .iter()
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn what_is_nested_deep_takes_no_stack() {
+fn deep_nesting_takes_no_stack() {
     for deep in [
         "[".repeat(500_000),
         "{a=".repeat(300_000),
@@ -72,18 +72,18 @@
 
 proptest! {
     #[test]
-    fn any_text_is_read_or_refused(text in "\\PC*") {
+    fn arbitrary_text_is_read_or_refused(text in "\\PC*") {
         let _ = Settings::parse(&text);
     }
 
     /// Any value at any key: read, or refused with that key.
     #[test]
-    fn any_value_at_any_key_is_read_or_refused_by_its_name(
+    fn any_value_at_any_key_is_read_or_refused_by_its_key(
         key in 0..Bounds::KEYS.len(),
         value in prop_oneof![any::<i64>().prop_map(|n| n.to_string()), any::<f64>().prop_map(|n| format!("{n:?}").replace("NaN", "nan")),
             any::<bool>().prop_map(|b| b.to_string()), "'[a-z]{0,5}'", "\\[[0-9]?\\]", "\\{\\}"],
     ) {
-        let key = Bounds::KEYS[key].0;
+        let key = Bounds::KEYS[key].key;
         if let Err(error) = Settings::parse(&format!("{LEAST}[Bounds]\n{key} = {value}\n")) {
             prop_assert_eq!(error.key(), format!("Bounds.{key}"));
             prop_assert_eq!(error.line(), Some(6));
@@ -91,9 +91,9 @@
         }
     }
 
-    /// A file that was cut or spoilt while it was written.
+    /// A file that was truncated or changed while it was written.
     #[test]
-    fn a_spoilt_file_is_read_or_refused(at in 0..LEAST.len(), with in any::<char>(), cut in any::<bool>()) {
+    fn a_corrupt_file_is_read_or_refused(at in 0..LEAST.len(), with in any::<char>(), cut in any::<bool>()) {
         let mut text: String = LEAST.chars().take(at).collect();
         text.push(with);
         if !cut {
--- a/crates/common/tier-settings/tests/keys.rs
+++ b/crates/common/tier-settings/tests/keys.rs
@@ -1,12 +1,14 @@
-//! Every key with its default, and what is said where its value can't be taken.
+//! Each key with its default, and the errors of its value.
 
 #![expect(clippy::unwrap_used, reason = "a test ends at the first surprise")]
 #![expect(clippy::too_many_lines, reason = "not revised yet")]
 
 use std::fmt::Write;
-use tier_settings::{Bounds, FaultBudget, Settings, CODES, MAX_ENTRIES, MAX_FILE, VARIABLE};
+use tier_settings::{
+    BoundKey, Bounds, FaultBudget, PortRange, Settings, CODES, ENV_VAR, MAX_ENTRIES, MAX_FILE_BYTES,
+};
 
-/// The least that a file may say.
+/// A minimal file: the required keys alone.
 const LEAST: &str = "Node = 'a'\nRole = 'r'\nIp = '127.0.0.1'\nPortRange = [1, 3]\n";
 
 fn read(more: &str) -> Settings {
@@ -20,7 +22,12 @@
 #[test]
 fn each_key_of_the_bounds_has_this_unit_and_default() {
     let mut text = String::new();
-    for (key, unit_ms, default) in Bounds::KEYS {
+    for BoundKey {
+        key,
+        unit_ms,
+        default,
+    } in Bounds::KEYS
+    {
         writeln!(text, "{key} {unit_ms} ms, {default}").unwrap();
     }
     insta::assert_snapshot!(text, @r##"
@@ -43,7 +50,7 @@
         CancelMs 1 ms, 3000
         SettleMs 1 ms, 1000
         "##);
-    // What is in force where nothing is said, in the unit of each key.
+    // The defaults, in the unit of each key.
     let mut text = String::new();
     for (key, value) in read("").bounds.entries() {
         writeln!(text, "{key} = {value}").unwrap();
@@ -74,7 +81,7 @@
 /// Each key is read into a value of its own, in milliseconds.
 #[test]
 fn each_key_of_the_bounds_is_read() {
-    for (at, (key, unit_ms, _)) in Bounds::KEYS.iter().enumerate() {
+    for (at, BoundKey { key, unit_ms, .. }) in Bounds::KEYS.iter().enumerate() {
         let value = at as f64 + 1.25;
         let settings = read(&format!("[Bounds]\n{key} = {value}"));
         let ms = (value * *unit_ms as f64).ceil() / *unit_ms as f64;
@@ -92,7 +99,7 @@
     assert_eq!((least.node.as_str(), least.role.as_str()), ("a", "r"));
     assert_eq!(
         (least.ip.to_string().as_str(), least.port_range),
-        ("127.0.0.1", (1, 3))
+        ("127.0.0.1", PortRange { first: 1, last: 3 })
     );
     assert_eq!(
         (
@@ -119,7 +126,7 @@
     );
     assert_eq!((limits.link_mbps, limits.disk_mb), (100.0, None));
     assert_eq!(
-        least.budget,
+        least.fault_budget,
         FaultBudget {
             nodes: 1,
             zones: 0,
@@ -127,7 +134,7 @@
         }
     );
     assert_eq!(
-        (VARIABLE, MAX_FILE, MAX_ENTRIES),
+        (ENV_VAR, MAX_FILE_BYTES, MAX_ENTRIES),
         ("FORDRELAY_BOOT", 1 << 20, 4_096)
     );
 }
@@ -181,7 +188,7 @@
     );
     assert_eq!((limits.link_mbps, limits.disk_mb), (12.5, Some(7)));
     assert_eq!(
-        all.budget,
+        all.fault_budget,
         FaultBudget {
             nodes: 4,
             zones: 2,
@@ -191,7 +198,7 @@
 }
 
 #[test]
-fn each_key_that_must_be_there_is_missed() {
+fn each_required_key_is_reported_if_missing() {
     let mut text = String::new();
     for line in LEAST.lines() {
         writeln!(text, "{}", fault(&LEAST.replace(&format!("{line}\n"), ""))).unwrap();
@@ -278,9 +285,9 @@
         "##);
 }
 
-/// Below and above what each figure may be.
+/// Below and above the range of each number.
 #[test]
-fn a_figure_out_of_its_range_is_refused_at_each_key() {
+fn a_number_out_of_range_is_refused_at_each_key() {
     let mut text = String::new();
     for value in ["-1", "1e30"] {
         writeln!(
@@ -307,7 +314,7 @@
         }
         for key in Bounds::KEYS
             .iter()
-            .map(|(key, ..)| *key)
+            .map(|bound| bound.key)
             .chain(["QuotaExcess"])
         {
             writeln!(
--- a/crates/common/tier-settings/tests/reread.rs
+++ b/crates/common/tier-settings/tests/reload.rs
@@ -1,9 +1,9 @@
-//! The settings file read again beside the running process: checked whole before anything of it is taken.
+//! Reloading the settings file: checked completely before anything of it is taken.
 
 #![expect(clippy::unwrap_used, reason = "a test ends at the first surprise")]
 
 use proptest::prelude::*;
-use tier_settings::{Reread, Settings};
+use tier_settings::{Reload, Settings};
 
 const FILE: &str = r#"
 Node = "store-north-1"
@@ -30,19 +30,19 @@
     Settings::parse(text).unwrap()
 }
 
-fn again(from: &str, to: &str) -> Result<Reread, String> {
+fn again(from: &str, to: &str) -> Result<Reload, String> {
     assert!(FILE.contains(from));
     read(FILE)
-        .reread(&read(&FILE.replace(from, to)))
+        .reload(&read(&FILE.replace(from, to)))
         .map_err(|e| e.to_string())
 }
 
 #[test]
-fn peers_and_bounds_are_taken_and_all_else_waits_for_the_next_start() {
-    let same = read(FILE).reread(&read(FILE)).unwrap();
-    assert!(!same.changed && same.at_next_start.is_empty() && same.settings == read(FILE));
+fn peers_and_bounds_reload_and_all_else_requires_a_restart() {
+    let same = read(FILE).reload(&read(FILE)).unwrap();
+    assert!(!same.changed && same.restart_required.is_empty() && same.settings == read(FILE));
     let peers = again("\"10.9.0.7:9001\",", "").unwrap();
-    assert!(peers.changed && peers.settings.peers.len() == 1 && peers.at_next_start.is_empty());
+    assert!(peers.changed && peers.settings.peers.len() == 1 && peers.restart_required.is_empty());
     assert_eq!(
         again("GraceS = 7", "GraceS = 9")
             .unwrap()
@@ -51,7 +51,7 @@
             .grace_ms,
         9_000
     );
-    // Not the zone that others know it by, nor what its disk was laid out by.
+    // Neither the zone that others know it by, nor what its disk was laid out by.
     for (from, to, key) in [
         ("Nodes = 1", "Nodes = 2", "FaultBudget"),
         ("RamMb = 260", "RamMb = 300", "Limits"),
@@ -59,27 +59,27 @@
         ("/data/store", "/data/other", "DataDir"),
         ("HeartbeatMs = 900", "HeartbeatMs = 901", "HeartbeatMs"),
     ] {
-        let reread = again(from, to).unwrap();
+        let reload = again(from, to).unwrap();
         assert_eq!(
-            (reread.changed, &reread.at_next_start[..]),
+            (reload.changed, &reload.restart_required[..]),
             (false, &[key][..])
         );
-        assert_eq!(reread.settings, read(FILE));
+        assert_eq!(reload.settings, read(FILE));
     }
-    // It is another after the first start, and means nothing then.
+    // It differs after the first start, and has no effect then.
     assert_eq!(
         again("Bootstrap = true", "Bootstrap = false")
             .unwrap()
-            .at_next_start,
+            .restart_required,
         [""; 0]
     );
-    // A key more is taken, and must stay from then on.
+    // An added key is taken, and must stay from then on.
     let more = again("DrainMs = 1500", "DrainMs = 1500\nAckMs = 3000")
         .unwrap()
         .settings;
     assert_eq!(more.bounds.ack_ms, 3_000);
     assert_eq!(
-        more.reread(&read(FILE)).unwrap_err().to_string(),
+        more.reload(&read(FILE)).unwrap_err().to_string(),
         "S113 Bounds.AckMs: stood in the file before, and is missing"
     );
 }
@@ -93,33 +93,34 @@
 }
 
 #[test]
-fn a_file_that_lacks_what_stood_there_is_refused() {
+fn a_file_that_lacks_keys_it_had_is_refused() {
     insta::assert_snapshot!(again("PollS = 120\n", "").unwrap_err(), @"S113 Bounds.PollS: stood in the file before, and is missing");
     insta::assert_snapshot!(again("Peers = [\"10.9.0.7:9001\",\"10.9.1.7:9001\"]\n", "").unwrap_err(), @"S113 Peers: stood in the file before, and is missing");
     insta::assert_snapshot!(again("[\"10.9.0.7:9001\",\"10.9.1.7:9001\"]", "[]").unwrap_err(), @"S113 Peers: names nobody any more");
     insta::assert_snapshot!(again("0.25\n", "0.2").unwrap_err(), @"S113 the file: has no end to its last line");
-    // One that never had an end to its last line need not have one.
+    // A file that never had an end to its last line need not have one.
     let first = read(FILE.trim_end());
-    assert!(first.reread(&read(FILE.trim_end())).is_ok());
+    assert!(first.reload(&read(FILE.trim_end())).is_ok());
 }
 
-/// Where the part of the file ends that may be missing without harm: nothing.
+/// No part of the file may be missing.
 #[test]
-fn a_file_cut_short_anywhere_is_refused() {
+fn a_file_truncated_anywhere_is_refused() {
     let running = read(FILE);
     for cut in 0..FILE.len() {
         let Some(text) = FILE.get(..cut) else {
             continue;
         };
-        let taken = Settings::parse(text).and_then(|file| running.reread(&file));
+        let taken = Settings::parse(text).and_then(|file| running.reload(&file));
         assert!(taken.is_err(), "taken when cut at byte {cut}: {text}");
     }
 }
 
 proptest! {
-    /// A file of which bytes were changed, doubled or lost: refused, or what is taken of it is what it says, whole.
+    /// A file of which bytes were changed, doubled or lost: refused, or its peers and bounds are
+    /// taken completely.
     #[test]
-    fn a_spoilt_file_is_taken_whole_or_not_at_all(
+    fn a_corrupt_file_is_reloaded_completely_or_not_at_all(
         at in 0..FILE.len(), len in 0usize..40, with in "[ -~\\n]{0,20}", doubled in any::<bool>(),
     ) {
         let end = (at + len).min(FILE.len());
@@ -128,11 +129,11 @@
         text.push_str(&FILE[if doubled { at } else { end }..]);
         let running = read(FILE);
         if let Ok(file) = Settings::parse(&text) {
-            if let Ok(reread) = running.reread(&file) {
-                prop_assert_eq!((&reread.settings.peers, reread.settings.bounds), (&file.peers, file.bounds));
-                let mut rest = reread.settings.clone();
+            if let Ok(reload) = running.reload(&file) {
+                prop_assert_eq!((&reload.settings.peers, reload.settings.bounds), (&file.peers, file.bounds));
+                let mut rest = reload.settings.clone();
                 (rest.peers, rest.bounds) = (running.peers.clone(), running.bounds);
-                prop_assert!(rest == running, "something else was taken");
+                prop_assert!(rest == running, "something else was changed");
                 prop_assert!(!file.peers.is_empty());
             }
         }
--- a/crates/common/tier-settings/tests/settings.rs
+++ b/crates/common/tier-settings/tests/settings.rs
@@ -1,10 +1,10 @@
-//! What a whole file says, and what a process makes of it.
+//! Reading a complete file, its defaults, and the addresses derived from it.
 
 #![expect(clippy::unwrap_used, reason = "a test ends at the first surprise")]
 #![expect(clippy::too_many_lines, reason = "not revised yet")]
 
 use std::net::SocketAddr;
-use tier_settings::{peer_port, Bounds, FaultBudget, PeerRole, Settings};
+use tier_settings::{Bounds, FaultBudget, PeerRole, PortRange, Settings};
 
 const CONTROLLER: &str = r#"
 Node = "edge-north-2"
@@ -49,7 +49,7 @@
 NewKeyMs = true
 "#;
 
-/// The least that a file may say.
+/// A minimal file: the required keys alone.
 const LEAST: &str = "Node = 'a'\nRole = 'r'\nIp = '127.0.0.1'\nPortRange = [1, 3]\n";
 
 fn addr(text: &str) -> SocketAddr {
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_whole_file_is_read_and_what_is_not_known_is_passed_over() {
+fn a_complete_file_is_read_and_unknown_keys_are_ignored() {
     let read = Settings::parse(CONTROLLER).unwrap();
     assert_eq!(
         (
@@ -100,7 +100,7 @@
     );
     assert_eq!((read.limits.cpu_frac, read.limits.link_mbps), (0.45, 750.5));
     assert_eq!(
-        read.budget,
+        read.fault_budget,
         FaultBudget {
             nodes: 2,
             zones: 1,
@@ -122,13 +122,13 @@
 }
 
 #[test]
-fn what_is_missing_has_a_default() {
+fn missing_keys_get_defaults() {
     let read = Settings::parse(LEAST).unwrap();
     assert!(
         !read.bootstrap && read.voting && read.data_dir.is_none() && read.limits.disk_mb.is_none()
     );
     assert_eq!(
-        read.budget,
+        read.fault_budget,
         FaultBudget {
             nodes: 1,
             zones: 0,
@@ -137,17 +137,17 @@
     );
     let told: String = Bounds::KEYS
         .iter()
-        .map(|(key, _, default)| format!("{key} = {default}\n"))
+        .map(|bound| format!("{} = {}\n", bound.key, bound.default))
         .collect();
     assert_eq!(
         Settings::parse(&format!("{LEAST}[Bounds]\n{told}")).unwrap(),
         read,
-        "defaults, said aloud"
+        "explicit defaults"
     );
 }
 
 #[test]
-fn peers_listen_side_by_side_in_the_range_and_seeds_are_controllers() {
+fn roles_have_consecutive_ports_and_peers_are_controllers() {
     let read = Settings::parse(CONTROLLER).unwrap();
     let own = |role| read.peer_addr(role).unwrap();
     assert_eq!(own(PeerRole::Controller), addr("10.9.0.7:7200"));
@@ -157,7 +157,14 @@
         read.controller_peers(),
         [addr("10.9.0.7:7200"), addr("10.9.1.7:7200")]
     );
-    assert_eq!(peer_port((65_535, 65_535), PeerRole::Store), 65_535);
+    assert_eq!(
+        PortRange {
+            first: 65_535,
+            last: 65_535
+        }
+        .peer_port(PeerRole::Store),
+        65_535
+    );
     let narrow = Settings::parse(&CONTROLLER.replace("[7200,7215]", "[65535,65535]")).unwrap();
     assert!(narrow.peer_addr(PeerRole::Controller).is_ok());
     insta::assert_snapshot!(narrow.peer_addr(PeerRole::Gateway).unwrap_err(), @"S109 PortRange: has no port for a Gateway");
@@ -165,13 +172,13 @@
     assert_eq!(one.peer_addr(PeerRole::Store).unwrap_err().code(), 109);
 }
 
-/// The only test that sets the variable: all of it in one.
+/// The only test that sets the variable, as tests of one process share it.
 #[test]
-fn the_file_that_the_variable_names_is_read_again_when_it_changed() {
-    std::env::remove_var(tier_settings::VARIABLE);
+fn the_file_that_the_variable_names_is_read_at_each_load() {
+    std::env::remove_var(tier_settings::ENV_VAR);
     insta::assert_snapshot!(Settings::load().unwrap_err(), @"S101 FORDRELAY_BOOT: names no file");
     let path = std::env::temp_dir().join(format!("fordrelay-settings-{}.toml", std::process::id()));
-    std::env::set_var(tier_settings::VARIABLE, &path);
+    std::env::set_var(tier_settings::ENV_VAR, &path);
     assert_eq!(Settings::load().unwrap_err().code(), 102);
     std::fs::write(&path, CONTROLLER).unwrap();
     assert_eq!(Settings::load().unwrap().bounds.grace_ms, 7_000);
@@ -179,7 +186,11 @@
     assert_eq!(Settings::load().unwrap().bounds.grace_ms, 9_000);
     std::fs::write(&path, b"Node = '\xff'").unwrap();
     assert_eq!(Settings::load().unwrap_err().code(), 104);
-    std::fs::write(&path, "#".repeat(tier_settings::MAX_FILE as usize + 1)).unwrap();
+    std::fs::write(
+        &path,
+        "#".repeat(tier_settings::MAX_FILE_BYTES as usize + 1),
+    )
+    .unwrap();
     assert_eq!(Settings::load().unwrap_err().code(), 103);
     std::fs::remove_file(&path).unwrap();
 }
--- a/crates/control/controller/src/core/fault_tolerance.rs
+++ b/crates/control/controller/src/core/fault_tolerance.rs
@@ -22,13 +22,13 @@
     /// machines are counted at least, and the rule of the next view spreads them
     /// ([`ControllerCore::zone_losses`]).
     fn machine_losses(&self) -> usize {
-        let budget = &self.settings.budget;
+        let budget = &self.settings.fault_budget;
         budget.nodes.max(budget.zones).max(budget.regions) as usize
     }
 
     /// How many whole zones may be lost at once, or regions where the settings name these.
     fn zone_losses(&self) -> usize {
-        let budget = &self.settings.budget;
+        let budget = &self.settings.fault_budget;
         if budget.regions > 0 {
             budget.regions as usize
         } else {
@@ -39,7 +39,7 @@
     /// What this controller may be lost together with: its region where regions may be lost, else its
     /// zone.
     pub(super) fn own_failure_domain(&self) -> u64 {
-        let by_region = self.settings.budget.regions > 0;
+        let by_region = self.settings.fault_budget.regions > 0;
         zone_hash(if by_region {
             &self.settings.region
         } else {
--- a/crates/control/controller/src/core/lifecycle.rs
+++ b/crates/control/controller/src/core/lifecycle.rs
@@ -6,7 +6,7 @@
 use slog::{info, warn};
 use std::cell::Cell;
 use std::rc::Rc;
-use tier_settings::{Reread, Settings, SettingsError};
+use tier_settings::{Reload, Settings, SettingsError};
 use view_agreement::ControllerView;
 
 /// So long after SIGTERM a controller ends that nobody can replace: callers have found others by
@@ -72,16 +72,16 @@
     /// The settings file was read again: only what may change at run time is taken, and nothing of
     /// one that is not this process's, or invalid.
     pub fn reload_settings(&mut self, file: Result<Settings, SettingsError>) {
-        match file.and_then(|file| self.settings.reread(&file)) {
-            Ok(Reread {
+        match file.and_then(|file| self.settings.reload(&file)) {
+            Ok(Reload {
                 settings,
-                at_next_start,
+                restart_required,
                 ..
             }) => {
                 info!(self.log, "settings reloaded"; "peers" => settings.peers.len());
-                if !at_next_start.is_empty() {
+                if !restart_required.is_empty() {
                     warn!(self.log, "settings take effect at the next start"; "code" => 1406,
-                        "keys" => at_next_start.join(","));
+                        "keys" => restart_required.join(","));
                 }
                 self.settings = settings;
             }
--- a/crates/control/controller/tests/rejections.rs
+++ b/crates/control/controller/tests/rejections.rs
@@ -280,7 +280,7 @@
     assert_eq!(one.core.termination_grace_ms(), 9_000);
     // The losses that its place in the chain was reckoned by stay until the next start.
     one.core.reload_settings(changed("Nodes = 1", "Nodes = 2"));
-    assert_eq!(one.core.settings().budget, before.budget);
+    assert_eq!(one.core.settings().fault_budget, before.fault_budget);
 }
 
 proptest! {
--- a/crates/dispatcher/fordrelay/src/tier/show.rs
+++ b/crates/dispatcher/fordrelay/src/tier/show.rs
@@ -38,7 +38,11 @@
         "Ip = \"{}\"\nZone = {:?}\nRegion = {:?}",
         s.ip, s.zone, s.region
     )?;
-    writeln!(to, "PortRange = [{},{}]", s.port_range.0, s.port_range.1)?;
+    writeln!(
+        to,
+        "PortRange = [{},{}]",
+        s.port_range.first, s.port_range.last
+    )?;
     writeln!(to, "Peers = {}", list(&s.peers))?;
     writeln!(to, "Bootstrap = {}\nVoting = {}", s.bootstrap, s.voting)?;
     if let Some(dir) = &s.data_dir {
@@ -70,7 +74,7 @@
     if let Some(mb) = limits.disk_mb {
         writeln!(to, "DiskMb = {mb}")?;
     }
-    let budget = &s.budget;
+    let budget = &s.fault_budget;
     writeln!(to, "[FaultBudget]\nNodes = {}", budget.nodes)?;
     writeln!(
         to,
--- a/crates/gateway/gateway/src/process.rs
+++ b/crates/gateway/gateway/src/process.rs
@@ -21,7 +21,7 @@
 use std::process::ExitCode;
 use std::rc::Rc;
 use structured_log::{LogLimiter, RateLimiter};
-use tier_settings::{PeerRole, Reread, Settings, SettingsError};
+use tier_settings::{PeerRole, Reload, Settings, SettingsError};
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::sync::{watch, Notify};
@@ -245,12 +245,12 @@
 
 fn reload(gateway: &Rc<Gateway>, read: Result<Settings, SettingsError>) {
     let before = Rc::clone(&gateway.settings.borrow());
-    match read.and_then(|file| before.reread(&file)) {
-        Ok(Reread { settings, changed, at_next_start }) => {
-            if !at_next_start.is_empty() {
+    match read.and_then(|file| before.reload(&file)) {
+        Ok(Reload { settings, changed, restart_required }) => {
+            if !restart_required.is_empty() {
                 gateway.seldom("settings for the next start", |left_out| {
                     warn!(gateway.log, "settings that take effect at the next start"; "code" => codes::AT_NEXT_START,
-                        "keys" => at_next_start.join(","), "left_out" => left_out);
+                        "keys" => restart_required.join(","), "left_out" => left_out);
                 });
             }
             if changed {
