--- a/crates/control/chain-replication/src/receiving.rs
+++ b/crates/control/chain-replication/src/receiving.rs
@@ -157,7 +157,7 @@
     }
 
     /// Takes a chunk of a snapshot. A corrupt one is as good as lost.
-    pub(crate) fn handle_chunk(&mut self, now: Millis, chunk: SnapshotChunk) {
+    pub(crate) fn handle_chunk(&mut self, now: Millis, chunk: &SnapshotChunk) {
         if !chunk.is_intact() {
             return;
         }
@@ -166,7 +166,7 @@
             self.report_gap(now);
             return;
         }
-        if !self.accepts_snapshot_of(now, &chunk) {
+        if !self.accepts_snapshot_of(now, chunk) {
             return;
         }
         let view = self.view_number();
--- a/crates/control/chain-replication/src/replica.rs
+++ b/crates/control/chain-replication/src/replica.rs
@@ -273,7 +273,7 @@
             Some(message.body)
         };
         if let (Some(body), Some(successor)) = (body, successor) {
-            self.handle_successor_message(now, successor, body);
+            self.handle_successor_message(now, successor, &body);
         }
     }
 
@@ -286,15 +286,15 @@
         match body {
             MessageBody::RequestPosition => self.send_position(now),
             MessageBody::AppendEntries(frame) => self.handle_entries(now, frame),
-            MessageBody::SnapshotChunk(chunk) => self.handle_chunk(now, chunk),
+            MessageBody::SnapshotChunk(chunk) => self.handle_chunk(now, &chunk),
             other => return Some(other),
         }
         None
     }
 
     /// Handles what a successor sends; ignores anything else.
-    fn handle_successor_message(&mut self, now: Millis, successor: usize, body: MessageBody) {
-        match body {
+    fn handle_successor_message(&mut self, now: Millis, successor: usize, body: &MessageBody) {
+        match *body {
             MessageBody::LogPosition { number, last_view } => {
                 let position = LogPosition {
                     number,
