--- a/crates/dispatcher/admin/src/server.rs
+++ b/crates/dispatcher/admin/src/server.rs
@@ -64,7 +64,7 @@
 
 /// Answers the calls on every socket that it is given.
 pub struct Server {
-    window: OperatorHandle,
+    operators: OperatorHandle,
     metrics: PrometheusHandle,
     /// Names of the classes.
     classes: Vec<String>,
@@ -90,7 +90,7 @@
 /// # Errors
 /// What the system refuses.
 pub fn start(
-    window: OperatorHandle,
+    operators: OperatorHandle,
     metrics: PrometheusHandle,
     classes: Vec<String>,
     doors: Vec<(Door, Bounds)>,
@@ -100,7 +100,7 @@
         .build()?;
     let server = move || {
         let server = Rc::new(Server {
-            window,
+            operators,
             metrics,
             classes,
         });
@@ -267,25 +267,25 @@
             ));
         }
         Ok(match call(head.method.as_str(), head.uri.path()) {
-            Ok(Call::Ready) if self.window.ready() => plain(StatusCode::OK, "ready"),
+            Ok(Call::Ready) if self.operators.ready() => plain(StatusCode::OK, "ready"),
             Ok(Call::Ready) => plain(StatusCode::SERVICE_UNAVAILABLE, "not ready to serve"),
             Ok(Call::Metrics) => {
-                export(&*self.window.look(LOOK_WAIT).await, &self.classes);
+                export(&*self.operators.snapshot(LOOK_WAIT).await, &self.classes);
                 reply(StatusCode::OK, "text/plain; version=0.0.4", self.metrics.render())
             }
-            Ok(Call::Members) => members(&*self.window.look(LOOK_WAIT).await),
-            Ok(Call::Maintenance) => maintenance(&*self.window.look(LOOK_WAIT).await),
+            Ok(Call::Members) => members(&*self.operators.snapshot(LOOK_WAIT).await),
+            Ok(Call::Maintenance) => maintenance(&*self.operators.snapshot(LOOK_WAIT).await),
             Ok(Call::Plan) => self.plan(head.uri.query().unwrap_or("")).await,
             Ok(Call::Cancel) => {
-                done(self.window.ask(ASK_WAIT, OperatorRequest::CancelPlan).await, "called off", "no plan is under way")
+                done(self.operators.request(ASK_WAIT, OperatorRequest::CancelPlan).await, "called off", "no plan is under way")
             }
             Ok(Call::Done) => {
                 let query = view::query(head.uri.query().unwrap_or(""));
                 let target = query.get("target").cloned().unwrap_or_default();
-                let answer = self.window.ask(ASK_WAIT, |answer| OperatorRequest::TargetWorkDone(target, answer)).await;
+                let answer = self.operators.request(ASK_WAIT, |answer| OperatorRequest::TargetWorkDone(target, answer)).await;
                 done(answer, "it comes back", "target: is not out by a plan here")
             }
-            Ok(Call::Levels) => self.show(&*self.window.look(LOOK_WAIT).await),
+            Ok(Call::Levels) => self.show(&*self.operators.snapshot(LOOK_WAIT).await),
             Ok(Call::Force) => self.force(head.uri.query().unwrap_or("")).await,
             Ok(Call::Rule { target, out }) => self.rule(target, out).await,
             Err(NoCall::Method(by)) => {
@@ -306,8 +306,8 @@
     async fn rule(&self, target: String, out: bool) -> Reply {
         let word = if out { "disabled" } else { "enabled" };
         match self
-            .window
-            .ask(ASK_WAIT, |answer| {
+            .operators
+            .request(ASK_WAIT, |answer| {
                 OperatorRequest::OverrideTarget(target.clone(), out, answer)
             })
             .await
@@ -332,8 +332,8 @@
         };
         let id = wanted.id;
         match self
-            .window
-            .ask(ASK_WAIT, |answer| {
+            .operators
+            .request(ASK_WAIT, |answer| {
                 OperatorRequest::SubmitPlan(wanted, answer)
             })
             .await
@@ -364,7 +364,7 @@
 
     /// `level=NAME` or `level=auto`, and `for_ms`.
     async fn force(&self, query: &str) -> Reply {
-        let seen = self.window.look(LOOK_WAIT).await;
+        let seen = self.operators.snapshot(LOOK_WAIT).await;
         let Some(spec) = seen.status.levels.as_ref().map(|l| &l.spec) else {
             return self.show(&seen);
         };
@@ -397,8 +397,8 @@
             None => return bad("level is missing, as in level=full or level=auto".into()),
         };
         match self
-            .window
-            .ask(ASK_WAIT, |answer| {
+            .operators
+            .request(ASK_WAIT, |answer| {
                 OperatorRequest::ForceLevel(wanted, answer)
             })
             .await
--- a/crates/dispatcher/event-loop/src/clock.rs
+++ b/crates/dispatcher/event-loop/src/clock.rs
@@ -3,7 +3,7 @@
 use dispatch_api::Micros;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// Microseconds that start as Unix time and never run back or jump.
+/// A clock in microseconds that starts at Unix time and never goes back or jumps.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     base: Micros,
@@ -11,14 +11,11 @@
 }
 
 impl Clock {
-    /// Reads the system's clocks; this is the only time that Unix time is read.
+    /// Reads the system's clocks. Unix time is read here alone.
     pub fn start() -> Self {
-        let base = SystemTime::now()
-            .duration_since(UNIX_EPOCH)
-            .unwrap_or_default()
-            .as_micros() as Micros;
+        let unix = SystemTime::now().duration_since(UNIX_EPOCH);
         Clock {
-            base,
+            base: unix.unwrap_or_default().as_micros() as Micros,
             start: Instant::now(),
         }
     }
--- a/crates/dispatcher/event-loop/src/operator.rs
+++ b/crates/dispatcher/event-loop/src/operator.rs
@@ -1,4 +1,4 @@
-//! What operators see of the loop, and ask it, from another thread.
+//! What operators see of the loop, and request of it, from another thread.
 
 use dispatch_api::Micros;
 use dispatcher_state::{Input, PlanRequest, PlanRequestError, State, StateSnapshot};
@@ -8,95 +8,102 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::timeout;
 
-/// What operators ask of the loop.
+/// Requests of operators that may queue.
+pub(crate) const OPERATOR_QUEUE: usize = 32;
+
+/// A request of operators, with the channel for its answer.
 #[derive(Debug)]
 pub enum OperatorRequest {
-    /// What there is to see now.
+    /// The state as it is now.
     Snapshot(oneshot::Sender<StateSnapshot>),
-    /// To have a level in force, as [`Input::LevelForced`] says, and what there is to see then.
+    /// Force a level, as [`Input::LevelForced`] says; answered with the state as it is then.
     ForceLevel(Option<(usize, Micros)>, oneshot::Sender<StateSnapshot>),
-    /// To leave a target out, or to have it back; answered once that is in force and kept, with whether a list has ever
-    /// named it.
+    /// Disable a target (true) or enable it; answered once that is in force and saved, with whether
+    /// a list has ever named it.
     OverrideTarget(String, bool, oneshot::Sender<bool>),
-    /// To have a plan of maintenance followed; answered once it is kept, or with why it is not.
+    /// Submit a maintenance plan; answered once it is saved, or with why it is refused.
     SubmitPlan(PlanRequest, oneshot::Sender<Result<(), PlanRequestError>>),
-    /// To call the plan off; answered with whether there is one.
+    /// Cancel the plan; answered with whether one is active.
     CancelPlan(oneshot::Sender<bool>),
-    /// That the work on a target is done; answered with whether it is out by the plan.
+    /// The work on a target is done; answered with whether it is out of service by the plan.
     TargetWorkDone(String, oneshot::Sender<bool>),
 }
 
-/// Who is answered once an input has been taken in.
+/// What is answered once an input has been handled and saved.
 pub(crate) enum Reply {
     None,
-    StateSnapshot(oneshot::Sender<StateSnapshot>),
-    Ruled(oneshot::Sender<bool>),
-    Planned(oneshot::Sender<Result<(), PlanRequestError>>),
+    Snapshot(oneshot::Sender<StateSnapshot>),
+    Done(oneshot::Sender<bool>),
+    PlanSaved(oneshot::Sender<Result<(), PlanRequestError>>),
 }
 
 impl Reply {
-    pub fn give(self, state: &State) {
+    /// Answers. Nobody may wait for it any more.
+    pub fn send(self, state: &State) {
         match self {
             Reply::None => {}
-            Reply::StateSnapshot(answer) => drop(answer.send(state.snapshot())),
-            Reply::Ruled(answer) => drop(answer.send(true)),
-            Reply::Planned(answer) => drop(answer.send(Ok(()))),
+            Reply::Snapshot(answer) => drop(answer.send(state.snapshot())),
+            Reply::Done(answer) => drop(answer.send(true)),
+            Reply::PlanSaved(answer) => drop(answer.send(Ok(()))),
         }
     }
 }
 
+/// What the loop does for a request.
+pub(crate) struct PendingReply {
+    pub input: Input,
+    pub reply: Reply,
+}
+
 impl OperatorRequest {
-    /// What the reducer is to take in for it; none where it is answered by that.
-    pub(crate) fn input(self, state: &State, now: Micros) -> Option<(Input, Reply)> {
-        match self {
+    /// The input that the request comes to; none if it is answered without one.
+    pub(crate) fn into_input(self, state: &State, now: Micros) -> Option<PendingReply> {
+        let (input, reply) = match self {
             OperatorRequest::Snapshot(answer) => {
-                Reply::StateSnapshot(answer).give(state);
-                None
+                Reply::Snapshot(answer).send(state);
+                return None;
             }
             OperatorRequest::ForceLevel(level, answer) => {
-                Some((Input::LevelForced(level), Reply::StateSnapshot(answer)))
+                (Input::LevelForced(level), Reply::Snapshot(answer))
             }
-            OperatorRequest::SubmitPlan(wanted, answer) => match state.build_plan(&wanted) {
-                Ok(plan) => Some((
-                    Input::PlanRequested(Some(Box::new(plan))),
-                    Reply::Planned(answer),
-                )),
-                Err(e) => {
-                    let _ = answer.send(Err(e));
-                    None
+            OperatorRequest::SubmitPlan(request, answer) => match state.build_plan(&request) {
+                Ok(plan) => {
+                    let input = Input::PlanRequested(Some(Box::new(plan)));
+                    (input, Reply::PlanSaved(answer))
+                }
+                Err(error) => {
+                    let _ = answer.send(Err(error));
+                    return None;
                 }
             },
             OperatorRequest::CancelPlan(answer) if state.has_active_plan() => {
-                Some((Input::PlanRequested(None), Reply::Ruled(answer)))
+                (Input::PlanRequested(None), Reply::Done(answer))
             }
             OperatorRequest::TargetWorkDone(target, answer) if state.is_out_by_plan(&target) => {
-                Some((Input::TargetWorkDone(target), Reply::Ruled(answer)))
+                (Input::TargetWorkDone(target), Reply::Done(answer))
             }
             OperatorRequest::CancelPlan(answer) | OperatorRequest::TargetWorkDone(_, answer) => {
                 let _ = answer.send(false);
-                None
+                return None;
             }
-            OperatorRequest::OverrideTarget(target, out, answer) => {
-                match state.resolve_override(&target, out, now) {
-                    Some(target_override) => Some((
-                        Input::OverridesChanged(vec![(target, target_override)]),
-                        Reply::Ruled(answer),
-                    )),
-                    None => {
-                        let _ = answer.send(false);
-                        None
-                    }
-                }
+            OperatorRequest::OverrideTarget(target, disabled, answer) => {
+                let Some(over) = state.resolve_override(&target, disabled, now) else {
+                    let _ = answer.send(false);
+                    return None;
+                };
+                let input = Input::OverridesChanged(vec![(target, over)]);
+                (input, Reply::Done(answer))
             }
-        }
+        };
+        Some(PendingReply { input, reply })
     }
 }
 
-/// The operators' side of the loop. It never waits for longer than it says.
+/// The operators' side of the loop, for use on another thread. No call waits for longer than it says.
 #[derive(Debug, Clone)]
 pub struct OperatorHandle {
-    pub(crate) asks: mpsc::Sender<OperatorRequest>,
-    pub(crate) seen: watch::Receiver<Arc<StateSnapshot>>,
+    pub(crate) requests: mpsc::Sender<OperatorRequest>,
+    pub(crate) published: watch::Receiver<Arc<StateSnapshot>>,
     pub(crate) ready: Arc<AtomicBool>,
 }
 
@@ -106,22 +113,23 @@
         self.ready.load(Ordering::Relaxed)
     }
 
-    /// What there is to see now, or where the loop is busy for so long, what was laid out last.
-    pub async fn look(&self, wait: Duration) -> Arc<StateSnapshot> {
-        match self.ask(wait, OperatorRequest::Snapshot).await {
-            Some(seen) => Arc::new(seen),
-            None => Arc::clone(&self.seen.borrow()),
+    /// The state as it is now, or if the loop does not answer in time, as it was last published.
+    pub async fn snapshot(&self, wait: Duration) -> Arc<StateSnapshot> {
+        match self.request(wait, OperatorRequest::Snapshot).await {
+            Some(snapshot) => Arc::new(snapshot),
+            None => Arc::clone(&self.published.borrow()),
         }
     }
 
-    /// Asks the loop; none if it has not answered by then. What was asked may be done all the same.
-    pub async fn ask<T>(
+    /// Sends a request to the loop; none if it has not answered in time. What was requested may be
+    /// done all the same.
+    pub async fn request<T>(
         &self,
         wait: Duration,
-        ask: impl FnOnce(oneshot::Sender<T>) -> OperatorRequest,
+        request: impl FnOnce(oneshot::Sender<T>) -> OperatorRequest,
     ) -> Option<T> {
         let (sender, answer) = oneshot::channel();
-        self.asks.try_send(ask(sender)).ok()?;
+        self.requests.try_send(request(sender)).ok()?;
         timeout(wait, answer).await.ok()?.ok()
     }
 }
--- a/crates/dispatcher/fordrelay/src/lifecycle.rs
+++ b/crates/dispatcher/fordrelay/src/lifecycle.rs
@@ -10,7 +10,7 @@
 use dispatcher_settings::operator::{Operator, OperatorError};
 use dispatcher_settings::platform::{Config, ConfigError};
 use dispatcher_state::{ConnId, Input, MembershipConfig, State};
-use event_loop::{run, Clock, ConnectionCommand, FlowLimits, IoBackend, LoopHandle};
+use event_loop::{run, Clock, ConnectionCommand, FlowLimits, IoBackend, LoopHandle, SaveWhen};
 use http1::{Listener, Phase, Terms};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -174,10 +174,10 @@
         }
     }
 
-    fn save_state(&self, state: &State, at_once: bool) -> bool {
+    fn save_state(&self, state: &State, when: SaveWhen) -> bool {
         self.succession
             .as_ref()
-            .is_none_or(|succession| succession.keep(state, at_once))
+            .is_none_or(|succession| succession.keep(state, when))
     }
 
     fn saves_state(&self) -> bool {
@@ -425,7 +425,12 @@
                 },
             ));
         }
-        admin::start(inputs.window(&state, &loop_handle), metrics, classes, doors)?;
+        admin::start(
+            inputs.operator_handle(&state, &loop_handle),
+            metrics,
+            classes,
+            doors,
+        )?;
     }
     let sockets = Sockets {
         loop_handle: Rc::clone(&loop_handle),
--- a/crates/dispatcher/fordrelay/src/succession.rs
+++ b/crates/dispatcher/fordrelay/src/succession.rs
@@ -6,7 +6,7 @@
 use dispatcher_settings::list::{List, State as Listed};
 use dispatcher_settings::platform::Config;
 use dispatcher_state::{Input, State, TargetOverride};
-use event_loop::{Clock, FlowLimits, LoopHandle};
+use event_loop::{Clock, FlowLimits, LoopHandle, SaveWhen};
 use hot_restart::{Event, HandoverFile, ProcessRole, SavedOverride};
 use http1::Listener;
 use std::cell::{Cell, RefCell};
@@ -229,7 +229,7 @@
     }
 
     /// Writes this process's note, if it is time for it. Tells whether nothing failed.
-    pub fn keep(&self, state: &State, at_once: bool) -> bool {
+    pub fn keep(&self, state: &State, when: SaveWhen) -> bool {
         let now = self.clock.now();
         let every = if self.others() > 0 {
             WRITE_BESIDE
@@ -246,7 +246,7 @@
             )
         };
         let moved = *self.named.borrow() != from;
-        if !at_once && !moved && now < self.written.get() + every {
+        if when == SaveWhen::Due && !moved && now < self.written.get() + every {
             return true;
         }
         let words = state.overrides().map(|(name, r)| {
--- a/crates/dispatcher/http1/src/listener.rs
+++ b/crates/dispatcher/http1/src/listener.rs
@@ -246,7 +246,7 @@
             return Err(turned_back(Refusal::Overload));
         }
         let id = Bytes::copy_from_slice(id.as_bytes());
-        let mut claim = self
+        let mut reservation = self
             .loop_handle
             .reserve(id.clone(), length as usize + FLOW_BYTES)
             .map_err(|e| match e {
@@ -264,7 +264,7 @@
             Ok(Err(_)) => return Err(Refusal::Body),
             Ok(Ok(body)) => body.to_bytes(),
         };
-        claim.shrink(body.len() + FLOW_BYTES);
+        reservation.shrink(body.len() + FLOW_BYTES);
         guard.answering();
         let key = head
             .headers
@@ -285,7 +285,7 @@
                 id,
                 key,
                 body,
-                claim,
+                reservation,
             },
         );
         let number = flow.id().0;
--- a/crates/dispatcher/http1/src/target.rs
+++ b/crates/dispatcher/http1/src/target.rs
@@ -87,7 +87,9 @@
             .set(matches!(order, ConnectionCommand::Job { .. }));
         self.whole.set(match order {
             // More than this is written for certain by the time that a request is whole.
-            ConnectionCommand::Job { passed, .. } => (passed.path.len() + passed.body.len()) as u64,
+            ConnectionCommand::Job { request, .. } => {
+                (request.path.len() + request.body.len()) as u64
+            }
             ConnectionCommand::Probe => 1,
         });
     }
@@ -236,8 +238,8 @@
     loop_handle: &LoopHandle,
 ) -> Result<bool, Broken> {
     let result = match &order {
-        ConnectionCommand::Job { passed, wait, .. } => {
-            job(id, passed, *wait, sender, loop_handle).await
+        ConnectionCommand::Job { request, wait, .. } => {
+            job(id, request, *wait, sender, loop_handle).await
         }
         ConnectionCommand::Probe => probe(id, sender, loop_handle).await.map(|()| true),
     };
--- a/crates/dispatcher/http1/tests/target.rs
+++ b/crates/dispatcher/http1/tests/target.rs
@@ -11,9 +11,9 @@
 use tokio::sync::mpsc;
 use tokio::task::{spawn_local, LocalSet};
 
-fn passed(loop_handle: &Rc<LoopHandle>, id: &'static str) -> ForwardedRequest {
+fn forwarded(loop_handle: &Rc<LoopHandle>, id: &'static str) -> ForwardedRequest {
     let (path, body, key) = (Bytes::from_static(b"/api"), Bytes::from_static(b"x"), None);
-    let claim = loop_handle
+    let reservation = loop_handle
         .reserve(Bytes::from_static(id.as_bytes()), 1)
         .expect("there is room");
     ForwardedRequest {
@@ -21,7 +21,7 @@
         id: Bytes::from_static(id.as_bytes()),
         key,
         body,
-        claim,
+        reservation,
     }
 }
 
@@ -56,12 +56,12 @@
             let order = |flow: &event_loop::PendingFlow, id| {
                 orders.send(ConnectionCommand::Job {
                     flow: flow.id(),
-                    passed: Rc::new(passed(&loop_handle, id)),
+                    request: Rc::new(forwarded(&loop_handle, id)),
                     wait: 1_000_000,
                 })
             };
-            let gone = loop_handle.accept_flow(spec(), passed(&loop_handle, "gone"));
-            let stays = loop_handle.accept_flow(spec(), passed(&loop_handle, "stays"));
+            let gone = loop_handle.accept_flow(spec(), forwarded(&loop_handle, "gone"));
+            let stays = loop_handle.accept_flow(spec(), forwarded(&loop_handle, "stays"));
             spawn_local(http1::connection(
                 ConnId(1),
                 addr,
--- a/crates/testbed/testbed/src/members.rs
+++ b/crates/testbed/testbed/src/members.rs
@@ -373,7 +373,7 @@
             match state {
                 MemberState::Left => drop(heard.insert(me)),
                 MemberState::Suspect | MemberState::Dead => {
-                    drop(self.left_suspected.insert(member))
+                    self.left_suspected.insert(member);
                 }
                 MemberState::Alive => {}
             }
