--- a/crates/control/controller/tests/answers.rs
+++ b/crates/control/controller/tests/answers.rs
@@ -1,7 +1,5 @@
 //! What controllers answer to calls: status, result code and JSON, as docs/result-codes.md lists them.
 
-#![expect(clippy::too_many_lines, reason = "not revised yet")]
-
 #[path = "support/cluster.rs"]
 #[expect(dead_code, reason = "each test file uses a part")]
 mod cluster;
@@ -118,6 +116,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one session, answered in order")]
 fn calls_of_runners_are_answered_as_before() {
     let directory = scratch("runners");
     let mut cluster = Cluster::start(&directory, 1_000);
--- a/crates/control/controller/tests/ctl.rs
+++ b/crates/control/controller/tests/ctl.rs
@@ -1,7 +1,5 @@
 //! The calls of `ctl` over HTTP: which methods and paths there are, what each refusal looks like, and how an answer is sent.
 
-#![expect(clippy::too_many_lines, reason = "not revised yet")]
-
 use bytes::Bytes;
 use controller::call::{Call, Input, Response};
 use controller::ctl::serve;
@@ -79,6 +77,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one table of calls")]
 fn each_method_and_path_dispatches_to_the_same_call() {
     let long = format!("/-/runners/{}/beat", "i".repeat(201));
     let longest = format!("/-/runners/{}/leave", "i".repeat(200));
--- a/crates/control/controller/tests/journal.rs
+++ b/crates/control/controller/tests/journal.rs
@@ -2,8 +2,6 @@
 //! never pause and while the disk refuses.
 
 #![expect(clippy::unwrap_used, reason = "a test ends at the first surprise")]
-#![expect(clippy::needless_pass_by_value, reason = "not revised yet")]
-
 use bytes::Bytes;
 use controller::core::{ControllerCore, WriteTicket};
 use controller::journal::{DiskUsage, Journal};
@@ -129,17 +127,17 @@
     Settings::parse(text).expect("settings")
 }
 
-fn core(recovered: RecoveredState) -> ControllerCore {
+fn core(recovered: &RecoveredState) -> ControllerCore {
     let addr = std::net::SocketAddr::from(([10, 0, 0, 1], 7_660));
     let identity = ProcessIdentity {
         incarnation: 7,
         disk_id: 9,
         disk_was_empty: false,
     };
-    let startup = Startup::new(&settings(), addr, identity, &recovered);
+    let startup = Startup::new(&settings(), addr, identity, recovered);
     ControllerCore::new(
         startup,
-        &recovered,
+        recovered,
         settings(),
         Logger::root(slog::Discard, slog::o!()),
     )
@@ -166,7 +164,7 @@
             disk,
             writer: prepared.writer,
             journal,
-            core: core(recovered),
+            core: core(&recovered),
             now: 1,
             written: 0,
         };
@@ -288,7 +286,7 @@
         }
     };
     let (mut journal, recovered) = Journal::new(opened.log, opened.records);
-    let mut core = core(recovered);
+    let mut core = core(&recovered);
     journal.write_initial_members(1, encode_addresses(&[([10, 0, 0, 1], 7_660).into()]));
     for number in 1..=2_000 {
         journal.write(
--- a/crates/control/controller/tests/sim.rs
+++ b/crates/control/controller/tests/sim.rs
@@ -1,13 +1,6 @@
 //! Days of whole controllers under trouble, by seeds. `SIM_FROM` and `SIM_SEEDS` play other days by hand, `SIM_KIND` with one
 //! kind of fault, `SIM_CLOSING` with one end; `SIM_LOG` tells of them.
 
-#![expect(
-    clippy::needless_pass_by_value,
-    clippy::struct_excessive_bools,
-    clippy::too_many_lines,
-    reason = "not revised yet"
-)]
-
 #[path = "days/cuts.rs"]
 mod cuts;
 #[path = "days/losses.rs"]
--- a/crates/control/controller/tests/stored_data.rs
+++ b/crates/control/controller/tests/stored_data.rs
@@ -5,8 +5,6 @@
 //! of a first start. [`write_disks`] writes such disks; with `WRITE_FIXTURES` set they take the place of the stored ones, and the
 //! expected values below are to be taken over from them.
 
-#![expect(clippy::too_many_lines, reason = "not revised yet")]
-
 #[path = "support/cluster.rs"]
 #[expect(dead_code, reason = "each test file uses a part")]
 mod cluster;
@@ -206,6 +204,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "the records of three disks")]
 fn the_records_of_stored_disks_are_read_to_the_last() {
     let directory = stored(CHANGED, "listed");
     for index in 0..CONTROLLERS {
--- a/crates/control/controller/tests/world/checker.rs
+++ b/crates/control/controller/tests/world/checker.rs
@@ -36,6 +36,7 @@
 }
 
 impl Checker {
+    #[expect(clippy::needless_pass_by_value, reason = "callers format it")]
     pub fn broke(&mut self, now: u64, what: String) {
         self.broken
             .get_or_insert_with(|| format!("at {now}: {what}"));
--- a/crates/control/controller/tests/world/clients.rs
+++ b/crates/control/controller/tests/world/clients.rs
@@ -301,6 +301,10 @@
         }
     }
 
+    #[expect(
+        clippy::too_many_lines,
+        reason = "each answer that an operator may get, in order"
+    )]
     fn operator_hears(&mut self, n: usize, answer: Option<Response>) {
         let target = self.operators[n].target;
         self.operators[n].unanswered = answer.is_none();
--- a/crates/control/controller/tests/world/controllers.rs
+++ b/crates/control/controller/tests/world/controllers.rs
@@ -69,6 +69,10 @@
     ends: bool,
 }
 
+#[expect(
+    clippy::struct_excessive_bools,
+    reason = "independent properties of a machine"
+)]
 pub struct Machine {
     pub addr: SocketAddr,
     pub node: String,
@@ -251,6 +255,7 @@
         listed
     }
 
+    #[expect(clippy::too_many_lines, reason = "the steps of a start, in order")]
     pub fn start_controller(&mut self, n: usize) {
         if self.controllers[n].removed || self.controllers[n].is_up() {
             return;
@@ -577,7 +582,7 @@
         self.controllers[n].disk.waiting.len()
     }
 
-    pub fn controller_told(&mut self, n: usize, from: SocketAddr, kind: u16, body: &Bytes) {
+    pub fn controller_receives(&mut self, n: usize, from: SocketAddr, kind: u16, body: &Bytes) {
         let Some(peer) = self.peer(from) else { return };
         self.with_core(n, |core, time| core.handle_frame(time, &peer, kind, body));
     }
--- a/crates/control/controller/tests/world/day.rs
+++ b/crates/control/controller/tests/world/day.rs
@@ -29,6 +29,10 @@
 
 /// What a day is like.
 #[derive(Debug, Clone, Copy)]
+#[expect(
+    clippy::struct_excessive_bools,
+    reason = "independent properties of a day"
+)]
 pub struct Plan {
     /// How many controllers; drawn otherwise.
     pub controllers: Option<usize>,
@@ -104,6 +108,7 @@
             .collect()
     }
 
+    #[expect(clippy::too_many_lines, reason = "one table of faults")]
     pub fn fault(&mut self) {
         let still_lost = self.plan.losses && !self.counted().is_empty();
         if self.faults_left == 0 && still_lost {
@@ -365,6 +370,7 @@
     }
 
     /// Looked at ten times a second.
+    #[expect(clippy::too_many_lines, reason = "one list of invariants")]
     pub fn check(&mut self) {
         let now = self.now;
         self.tend_budget();
--- a/crates/control/controller/tests/world/dispatchers.rs
+++ b/crates/control/controller/tests/world/dispatchers.rs
@@ -240,7 +240,7 @@
         );
     }
 
-    pub fn dispatcher_told(&mut self, n: usize, from: SocketAddr, kind: u16, body: Bytes) {
+    pub fn dispatcher_receives(&mut self, n: usize, from: SocketAddr, kind: u16, body: &Bytes) {
         let now = self.now;
         let Some(process) = self.dispatchers[n]
             .process
@@ -249,7 +249,7 @@
         else {
             return;
         };
-        if let Ok(msg) = relay_tree::Message::decode(&body) {
+        if let Ok(msg) = relay_tree::Message::decode(body) {
             process
                 .state_table
                 .handle_message(now - process.began + 1, from, msg);
@@ -257,6 +257,10 @@
         self.settle_dispatcher(n);
     }
 
+    #[expect(
+        clippy::too_many_lines,
+        reason = "what a stand-in does after each input, in order"
+    )]
     fn settle_dispatcher(&mut self, n: usize) {
         let now = self.now;
         let dispatcher = &mut self.dispatchers[n];
--- a/crates/control/controller/tests/world/mod.rs
+++ b/crates/control/controller/tests/world/mod.rs
@@ -168,6 +168,10 @@
     },
 }
 
+#[expect(
+    clippy::struct_excessive_bools,
+    reason = "independent properties of a day"
+)]
 pub struct World {
     pub now: u64,
     dice: Dice,
--- a/crates/control/controller/tests/world/network.rs
+++ b/crates/control/controller/tests/world/network.rs
@@ -140,9 +140,9 @@
             );
         }
         match actor {
-            Actor::Controller(n) => self.controller_told(n, from, kind, &body),
-            Actor::Dispatcher(n) => self.dispatcher_told(n, from, kind, body),
-            Actor::Store(n) => self.store_told(n, from, kind, body),
+            Actor::Controller(n) => self.controller_receives(n, from, kind, &body),
+            Actor::Dispatcher(n) => self.dispatcher_receives(n, from, kind, &body),
+            Actor::Store(n) => self.store_receives(n, from, kind, &body),
         }
     }
 }
--- a/crates/control/controller/tests/world/stores.rs
+++ b/crates/control/controller/tests/world/stores.rs
@@ -243,6 +243,10 @@
         }
     }
 
+    #[expect(
+        clippy::too_many_lines,
+        reason = "what a stand-in says of each partition, in order"
+    )]
     fn heartbeat_store(&mut self, n: usize) {
         let now = self.now;
         let store = &mut self.stores[n];
@@ -309,19 +313,19 @@
         }
     }
 
-    pub fn store_told(&mut self, n: usize, from: SocketAddr, kind: u16, body: Bytes) {
+    pub fn store_receives(&mut self, n: usize, from: SocketAddr, kind: u16, body: &Bytes) {
         let now = self.now;
         let Some(process) = self.stores[n].process.as_mut() else {
             return;
         };
         let own = now - process.began + 1;
         if kind == RELAY {
-            if let Ok(msg) = relay_tree::Message::decode(&body) {
+            if let Ok(msg) = relay_tree::Message::decode(body) {
                 process.state_table.handle_message(own, from, msg);
             }
             return self.settle_store(n);
         }
-        if let Some(grant) = LeaseGrant::decode(&body)
+        if let Some(grant) = LeaseGrant::decode(body)
             .ok()
             .filter(|_| kind == LEASE_GRANT)
         {
