--- a/crates/batch/batch-store/examples/recovery.rs
+++ b/crates/batch/batch-store/examples/recovery.rs
@@ -92,7 +92,7 @@
         sent: 1,
         due_ms: 1,
         retain_ms: 1,
-        tries: 1,
+        max_failures: 1,
         items: vec![item(bytes)],
     })
     .encode()
--- a/crates/batch/batch-store/src/journal/recovery.rs
+++ b/crates/batch/batch-store/src/journal/recovery.rs
@@ -59,6 +59,19 @@
     entry_bytes: u64,
 }
 
+impl PartitionRecovery {
+    /// Joins the chunks of a write; returns the whole write with its last chunk.
+    fn join_chunks(&mut self, kind: u8, body: Bytes) -> Option<Bytes> {
+        match kind {
+            WHOLE => return Some(body),
+            // Chunks without an end were cut off by a crash: their write was not acknowledged.
+            FIRST => self.chunks = body.to_vec(),
+            _ => self.chunks.extend_from_slice(&body),
+        }
+        (kind == LAST).then(|| Bytes::from(std::mem::take(&mut self.chunks)))
+    }
+}
+
 /// Recovers the state of each partition from the records of the log.
 pub struct Recovery {
     partitions: Vec<PartitionRecovery>,
@@ -118,27 +131,17 @@
         let Some(read) = self.partitions.get_mut(index) else {
             return Err(unknown);
         };
-        let whole = match kind {
-            WHOLE => body,
-            FIRST => {
-                // Chunks without an end were cut off by a crash: their write was not acknowledged.
-                read.chunks = body.to_vec();
-                return Ok(());
-            }
-            MIDDLE => {
-                read.chunks.extend_from_slice(&body);
-                return Ok(());
-            }
-            LAST => {
-                read.chunks.extend_from_slice(&body);
-                Bytes::from(std::mem::take(&mut read.chunks))
-            }
+        match kind {
+            WHOLE | FIRST | MIDDLE | LAST => {}
             VOID => {
                 self.entry_bytes = self.entry_bytes.saturating_sub(read.entry_bytes);
                 *read = PartitionRecovery::default();
                 return Ok(());
             }
             _ => return Err(unknown),
+        }
+        let Some(whole) = read.join_chunks(kind, body) else {
+            return Ok(());
         };
         let write = LogRecord::decode(&whole).map_err(|source| RecoveryError::Write {
             ticket,
--- a/crates/batch/batch-store/src/partition/reads.rs
+++ b/crates/batch/batch-store/src/partition/reads.rs
@@ -92,7 +92,7 @@
         let results = table.result_count(&request.host, &request.batch_job);
         let job = table.batch_job(&request.batch_job);
         results.is_some_and(|count| count <= request.start_after)
-            && job.is_some_and(|job| !job.is_over())
+            && job.is_some_and(|job| !job.is_finished())
     }
 
     fn read_results(&self, request: &ReadRequest) -> ReadResponse {
--- a/crates/batch/batch-store/src/partition/waits.rs
+++ b/crates/batch/batch-store/src/partition/waits.rs
@@ -137,22 +137,11 @@
                 };
                 reply.respond(response.encode());
             }
-            Wait::End { reply } => {
-                let response = if is_enough {
-                    EndResponse::Ended
-                } else {
-                    EndResponse::Indeterminate
-                };
-                reply.respond(response.encode());
-            }
-            Wait::Complete { reply } => {
-                let response = if is_enough {
-                    CompleteResponse::Accepted
-                } else {
-                    CompleteResponse::Indeterminate
-                };
-                reply.respond(response.encode());
+            Wait::End { reply } if is_enough => reply.respond(EndResponse::Ended.encode()),
+            Wait::Complete { reply } if is_enough => {
+                reply.respond(CompleteResponse::Accepted.encode());
             }
+            Wait::End { .. } | Wait::Complete { .. } => wait.refuse(),
             Wait::Read {
                 reply,
                 request,
--- a/crates/batch/batch-store/src/store/messages.rs
+++ b/crates/batch/batch-store/src/store/messages.rs
@@ -2,6 +2,7 @@
 //! to the partition that they concern.
 
 use super::{FrameError, Lifecycle, Store};
+use crate::partition::{Context, Partition};
 use crate::responder::Responder;
 use batch::wire::{
     AuditRequest, AuditResponse, ChainFrame, DecodeError, LeaseGrant, Message as _,
@@ -41,14 +42,14 @@
         from: SocketAddr,
         body: &Bytes,
     ) -> Result<(), FrameError> {
-        let (number, body) = ChainFrame::split(body)
+        let ChainFrame { partition, body } = ChainFrame::decode_shared(body)
             .ok_or_else(|| DecodeError::Malformed("a chain frame of another length".into()))?;
         let message = ChainMessage::decode(&body)?;
         if !self.health.is_writable() {
             return Ok(());
         }
         let context = self.context(now);
-        let number = usize::from(number);
+        let number = usize::from(partition);
         if let Some(partition) = self.partition_mut(number) {
             partition.handle_chain_message(context, from, message);
             self.collect_effects(context, number);
@@ -69,53 +70,56 @@
             return Ok(());
         }
         let context = self.context(now);
-        let number = match kind {
+        match kind {
             RESERVE => {
                 let request = ReserveRequest::decode(body)?;
                 let Some(map) = self.map.as_ref() else {
                     return Ok(());
                 };
                 let home = map.home_partition(&request.job.host);
-                if let Some(partition) = self.head_mut(home) {
+                self.with_head(context, home, |partition| {
                     partition.handle_reserve_request(context, &request);
-                }
-                home
+                });
             }
             RESERVE_PROGRESS => {
                 let progress = ReserveProgress::decode(body)?;
-                let number = usize::from(progress.attempt.partition);
-                if let Some(partition) = self.head_mut(number) {
+                self.with_head(context, progress.attempt.partition.into(), |partition| {
                     partition.handle_reserve_progress(context, &progress);
-                }
-                number
+                });
             }
             RESERVE_RESPONSE => {
                 let response = ReserveResponse::decode(body)?;
-                let number = usize::from(response.attempt.partition);
-                if let Some(partition) = self.head_mut(number) {
+                self.with_head(context, response.attempt.partition.into(), |partition| {
                     partition.handle_reserve_response(context, &response);
-                }
-                number
+                });
             }
             AUDIT => {
                 let request = AuditRequest::decode(body)?;
-                let number = usize::from(request.partition);
-                if let Some(partition) = self.head_mut(number) {
+                self.with_head(context, request.partition.into(), |partition| {
                     partition.handle_audit_request(context, &request);
-                }
-                number
+                });
             }
             AUDIT_RESPONSE => {
                 let response = AuditResponse::decode(body)?;
-                let number = usize::from(response.home);
-                if let Some(partition) = self.head_mut(number) {
+                self.with_head(context, response.home.into(), |partition| {
                     partition.handle_audit_response(context, &response);
-                }
-                number
+                });
             }
             _ => return Err(FrameError::UnknownKind),
-        };
-        self.collect_effects(context, number);
+        }
         Ok(())
     }
+
+    /// Hands a message to a partition if this store is its head, and takes over the effects.
+    fn with_head(
+        &mut self,
+        context: Context,
+        number: usize,
+        handle: impl FnOnce(&mut Partition<R>),
+    ) {
+        if let Some(partition) = self.head_mut(number) {
+            handle(partition);
+        }
+        self.collect_effects(context, number);
+    }
 }
--- a/crates/batch/batch-store/src/store/requests.rs
+++ b/crates/batch/batch-store/src/store/requests.rs
@@ -6,10 +6,10 @@
 use crate::responder::Responder;
 use batch::wire::{
     CompleteRequest, CompleteResponse, EndRequest, EndResponse, FetchRequest, FetchResponse,
-    ItemBodyRequest, ItemBodyResponse, Message as _, PartitionLeases, PartitionRedirect,
-    PartitionRenewal, Placement, ReadRequest, ReadResponse, RenewOutcome, RenewRequest,
-    RenewResponse, RouteDemand, SubmitRequest, SubmitResponse, BODY, COMPLETE, END, FETCH,
-    MAX_FETCH_BYTES, READ, RENEW, SUBMIT,
+    ItemBodyRequest, ItemBodyResponse, LeasedItem, Message as _, PartitionLeases,
+    PartitionRedirect, PartitionRenewal, Placement, ReadRequest, ReadResponse, RenewOutcome,
+    RenewRequest, RenewResponse, RouteDemand, SubmitRequest, SubmitResponse, BODY, COMPLETE, END,
+    FETCH, MAX_FETCH_BYTES, READ, RENEW, SUBMIT,
 };
 use batch::Fetch;
 use bytes::Bytes;
@@ -251,12 +251,32 @@
         if !self.shared.pacer.borrow().allows(context.now) {
             return Some(fetch);
         }
-        let mut items = Vec::new();
-        let mut demands = fetch.request.demands.clone();
+        let items = self.lease_items(context, &fetch.request, max_per_route);
+        if items.is_empty() {
+            return Some(fetch);
+        }
+        let redirects = self.redirects(&fetch.request);
+        let response = FetchResponse { items, redirects }.encode();
+        self.shared
+            .pacer
+            .borrow_mut()
+            .spend(context.now, response.len());
+        fetch.reply.respond(response);
+        None
+    }
+
+    fn lease_items(
+        &mut self,
+        context: Context,
+        request: &FetchRequest,
+        max_per_route: usize,
+    ) -> Vec<LeasedItem> {
+        let mut demands = request.demands.clone();
         let max_items = u32::try_from(max_per_route).unwrap_or(u32::MAX);
         for demand in &mut demands {
             demand.max_items = demand.max_items.min(max_items);
         }
+        let mut items = Vec::new();
         let mut bytes = 0;
         for number in self.by_urgency(context, &demands) {
             if bytes >= MAX_FETCH_BYTES {
@@ -271,12 +291,12 @@
             if !leader.has_items_for(context.now, &demands) {
                 continue;
             }
-            let wanted = Fetch {
-                holder: fetch.request.holder,
+            let fetch = Fetch {
+                holder: request.holder,
                 demands: &demands,
                 max_per_route,
             };
-            let found = leader.fetch(context.now, table, wanted);
+            let found = leader.fetch(context.now, table, fetch);
             for leased in &found {
                 bytes += leased.item.body.len();
                 let is_of = |demand: &&mut RouteDemand| {
@@ -288,17 +308,7 @@
             }
             items.extend(found);
         }
-        if items.is_empty() {
-            return Some(fetch);
-        }
-        let redirects = self.redirects(&fetch.request);
-        let response = FetchResponse { items, redirects }.encode();
-        self.shared
-            .pacer
-            .borrow_mut()
-            .spend(context.now, response.len());
-        fetch.reply.respond(response);
-        None
+        items
     }
 
     /// Leases items that were queued meanwhile to the gateways whose fetches are held.
--- a/crates/batch/batch-store/tests/invalid_frames.rs
+++ b/crates/batch/batch-store/tests/invalid_frames.rs
@@ -199,7 +199,7 @@
         let item = |n: u8| Item { id: format!("i-{n}").into(), path: "/p".into(), headers: vec![], body: vec![n; 9].into(), tokens: 9 };
         let call = SubmitRequest {
             host: HOST.into(), route: "r".into(), batch_job: "l".into(), age_ms: 0, due_ms: 60_000, retain_ms: 120_000,
-            max_queued: 0, excess_permille: 0, tries: 3, items: vec![item(1), item(2)],
+            max_queued: 0, excess_permille: 0, max_failures: 3, items: vec![item(1), item(2)],
         };
         let mut bytes = call.encode().to_vec();
         match how {
--- a/crates/batch/batch-store/tests/journal.rs
+++ b/crates/batch/batch-store/tests/journal.rs
@@ -189,7 +189,7 @@
         sent: 1,
         due_ms: 1,
         retain_ms: 1,
-        tries: 1,
+        max_failures: 1,
         items,
     })
     .encode()
@@ -392,7 +392,7 @@
         sent: 1,
         due_ms: 1,
         retain_ms: 1,
-        tries: 1,
+        max_failures: 1,
         items: vec![item],
     };
     Command::Accept(take).encode()
--- a/crates/batch/batch-store/tests/store.rs
+++ b/crates/batch/batch-store/tests/store.rs
@@ -208,7 +208,7 @@
         retain_ms: 60_000,
         max_queued: 0,
         excess_permille: 0,
-        tries: 2,
+        max_failures: 2,
         items: (0..items).map(item).collect(),
     }
 }
--- a/crates/batch/batch-store/tests/stored_data.rs
+++ b/crates/batch/batch-store/tests/stored_data.rs
@@ -336,7 +336,7 @@
         retain_ms: 3_600_000,
         max_queued: 100_000,
         excess_permille: 250,
-        tries: 2,
+        max_failures: 2,
         items: (0..items).map(item).collect(),
     }
 }
@@ -396,7 +396,7 @@
             writeln!(
                 line,
                 "  job {id}: host {} route {} content {:016x} sent {} taken {} due {} retain {} tries {} ended {} order {:?}",
-                job.host, job.route, job.content, job.sent, job.accepted, job.due_ms, job.retain_ms, job.tries,
+                job.host, job.route, job.content, job.sent, job.accepted, job.due_ms, job.retain_ms, job.max_failures,
                 job.ended, job.order
             )
             .unwrap();
--- a/crates/batch/batch-store/tests/support/gateway.rs
+++ b/crates/batch/batch-store/tests/support/gateway.rs
@@ -211,7 +211,7 @@
             retain_ms: 600_000,
             max_queued: super::quota::limit(host),
             excess_permille: super::quota::EXCESS_PERMILLE,
-            tries: 1_000,
+            max_failures: 1_000,
             items: (0..items).map(item).collect(),
         };
         let batch_job = BatchJob {
--- a/crates/batch/batch/src/command.rs
+++ b/crates/batch/batch/src/command.rs
@@ -126,7 +126,7 @@
     /// How long after the sending an item may be given up (0: never).
     pub retain_ms: u64,
     /// After how many responses with status 500 an item is given up.
-    pub tries: u32,
+    pub max_failures: u32,
     /// The items.
     #[br(parse_with = read_list, args(MAX_ITEMS))]
     #[bw(write_with = write_list, args(MAX_ITEMS))]
--- a/crates/batch/batch/src/json.rs
+++ b/crates/batch/batch/src/json.rs
@@ -6,7 +6,7 @@
 
 use crate::codes;
 use crate::wire::{
-    Header, Item, ResultEntry, MAX_BODY, MAX_HEADERS, MAX_ITEMS, MAX_LINE, MAX_NAME,
+    Header, Item, ResultEntry, MAX_BODY, MAX_HEADERS, MAX_ITEMS, MAX_NAME, MAX_VALUE,
 };
 use base64::engine::general_purpose::{GeneralPurpose, GeneralPurposeConfig};
 use base64::engine::DecodePaddingMode;
@@ -138,7 +138,7 @@
 }
 
 fn is_value(value: &str) -> bool {
-    value.len() <= MAX_LINE
+    value.len() <= MAX_VALUE
         && value
             .bytes()
             .all(|b| b == b'\t' || (b >= b' ' && b != 0x7f))
@@ -146,7 +146,7 @@
 
 fn is_path(path: &str) -> bool {
     path.starts_with('/')
-        && path.len() <= MAX_LINE
+        && path.len() <= MAX_VALUE
         && path.bytes().all(|b| b.is_ascii_graphic() && b != b'#')
 }
 
--- a/crates/batch/batch/src/partition_leader.rs
+++ b/crates/batch/batch/src/partition_leader.rs
@@ -35,7 +35,7 @@
 enum LeaseState {
     Queued,
     Leased { holder: u64, lease: u64 },
-    Over,
+    Finished,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -47,7 +47,7 @@
     ended_lease: u64,
 }
 
-/// A batch job with items that are not over.
+/// A batch job with items that are not finished.
 #[derive(Debug)]
 struct LeaderJob {
     id: CompactString,
@@ -56,10 +56,10 @@
     accepted: u64,
     due: u64,
     give_up: u64,
-    tries: u32,
+    max_failures: u32,
     items: Vec<LeaderItem>,
-    /// How many items are not over.
-    left: usize,
+    /// How many items are not finished.
+    unfinished: usize,
 }
 
 impl LeaderJob {
@@ -70,13 +70,13 @@
             .map(|item| LeaderItem {
                 state: match item.state {
                     ItemState::Pending { .. } => LeaseState::Queued,
-                    ItemState::Finished { .. } | ItemState::Ended => LeaseState::Over,
+                    ItemState::Finished { .. } | ItemState::Ended => LeaseState::Finished,
                 },
                 failures: 0,
                 ended_lease: 0,
             })
             .collect();
-        let is_left = |item: &&LeaderItem| item.state != LeaseState::Over;
+        let is_unfinished = |item: &&LeaderItem| item.state != LeaseState::Finished;
         LeaderJob {
             id: id.clone(),
             route,
@@ -89,8 +89,8 @@
             } else {
                 job.accepted.saturating_add(job.retain_ms)
             },
-            tries: job.tries.max(1),
-            left: items.iter().filter(is_left).count(),
+            max_failures: job.max_failures.max(1),
+            unfinished: items.iter().filter(is_unfinished).count(),
             items,
         }
     }
@@ -229,10 +229,10 @@
     }
 
     fn add(&mut self, id: &CompactString, job: &BatchJob) {
-        if job.is_over() {
+        if job.is_finished() {
             self.plan_deletion(id, job.accepted);
         }
-        if job.is_over() || self.job_numbers.contains_key(id) {
+        if job.is_finished() || self.job_numbers.contains_key(id) {
             return;
         }
         let route = self.route_for(job);
@@ -303,7 +303,7 @@
                 LeaseState::Leased { holder, .. } => {
                     self.leases.remove(holder, key);
                 }
-                LeaseState::Over => {}
+                LeaseState::Finished => {}
             }
         }
     }
--- a/crates/batch/batch/src/partition_leader/completion.rs
+++ b/crates/batch/batch/src/partition_leader/completion.rs
@@ -4,7 +4,7 @@
 use crate::command::{Command, ItemResult};
 use crate::lease_table::ItemKey;
 use crate::route_queue::QueuedItem;
-use crate::wire::{Completion, Outcome, ResultStatus};
+use crate::wire::{Completion, LeaseKey, Outcome, ResultStatus};
 use bytes::Bytes;
 use chain_replication::Millis;
 
@@ -27,13 +27,21 @@
     }
 
     fn complete_one(&mut self, now: Millis, holder: u64, done: Completion) -> Option<ItemResult> {
-        let key = self.item_key(&done.key.batch_job, done.key.index)?;
+        let LeaseKey {
+            batch_job,
+            index,
+            lease,
+        } = done.key;
+        let key = self.item_key(&batch_job, index)?;
         let job = self.jobs.get_mut(&key.job)?;
-        let (tries, due, route) = (job.tries, job.due, job.route);
+        let max_failures = job.max_failures;
         let item = job.items.get_mut(usize::from(key.index))?;
         let is_current = match item.state {
-            LeaseState::Over => return None,
-            LeaseState::Leased { holder: by, lease } => by == holder && lease == done.key.lease,
+            LeaseState::Finished => return None,
+            LeaseState::Leased {
+                holder: by,
+                lease: current,
+            } => by == holder && lease == current,
             LeaseState::Queued => false,
         };
         let (status, text) = match done.outcome {
@@ -42,58 +50,72 @@
             Outcome::Unprocessable => (ResultStatus::Abandoned, Bytes::new()),
             Outcome::Failed if is_current => {
                 item.failures = item.failures.saturating_add(1);
-                item.ended_lease = done.key.lease;
-                if item.failures < tries {
+                item.ended_lease = lease;
+                if item.failures < max_failures {
                     self.requeue(key);
                     return None;
                 }
                 (ResultStatus::Abandoned, Bytes::new())
             }
             Outcome::Released if is_current => {
-                item.ended_lease = done.key.lease;
+                item.ended_lease = lease;
                 self.requeue(key);
                 return None;
             }
             // The lease is void: a failure that was reported twice must not count twice.
             Outcome::Failed | Outcome::Released => return None,
         };
+        self.end_lease(now, key, is_current);
+        self.mark_finished(key);
+        Some(ItemResult {
+            batch_job,
+            index,
+            status,
+            text,
+        })
+    }
+
+    /// Ends whatever lease an item has, or takes it from its queue. The time of a run counts if the
+    /// result came under the current lease.
+    fn end_lease(&mut self, now: Millis, key: ItemKey, is_current: bool) {
+        let Some(job) = self.jobs.get(&key.job) else {
+            return;
+        };
+        let Some(item) = job.items.get(usize::from(key.index)) else {
+            return;
+        };
+        let queue = self.routes.get_mut(job.route);
         match item.state {
-            LeaseState::Leased { holder: by, .. } => {
-                let lease = self.leases.remove(by, key);
-                if let (Some(lease), true, Some(queue)) =
-                    (lease, is_current, self.routes.get_mut(route))
-                {
+            LeaseState::Leased { holder, .. } => {
+                let lease = self.leases.remove(holder, key);
+                if let (Some(lease), true, Some(queue)) = (lease, is_current, queue) {
                     queue.record_run(now.saturating_sub(lease.granted));
                 }
             }
-            LeaseState::Queued | LeaseState::Over => {
-                if let Some(queue) = self.routes.get_mut(route) {
-                    queue.remove(&QueuedItem { due, item: key });
+            LeaseState::Queued | LeaseState::Finished => {
+                if let Some(queue) = queue {
+                    queue.remove(&QueuedItem {
+                        due: job.due,
+                        item: key,
+                    });
                 }
             }
         }
-        self.mark_over(key);
-        Some(ItemResult {
-            batch_job: done.key.batch_job,
-            index: done.key.index,
-            status,
-            text,
-        })
     }
 
     /// An item gets its result; a batch job without others is removed.
-    fn mark_over(&mut self, key: ItemKey) {
+    fn mark_finished(&mut self, key: ItemKey) {
         let Some(job) = self.jobs.get_mut(&key.job) else {
             return;
         };
         let Some(item) = job.items.get_mut(usize::from(key.index)) else {
             return;
         };
-        if item.state != LeaseState::Over {
-            item.state = LeaseState::Over;
-            job.left = job.left.saturating_sub(1);
+        if item.state != LeaseState::Finished {
+            item.state = LeaseState::Finished;
+            job.unfinished = job.unfinished.saturating_sub(1);
         }
-        if job.left == 0 {
+        if job.unfinished == 0 {
             self.remove_job(key.job);
         }
     }
--- a/crates/batch/batch/src/partition_leader/expiry.rs
+++ b/crates/batch/batch/src/partition_leader/expiry.rs
@@ -88,7 +88,7 @@
         id: CompactString,
     ) -> Option<Bytes> {
         // The table decides: a job that its client has not ended is kept much longer.
-        let job = table.batch_job(&id).filter(|job| job.is_over())?;
+        let job = table.batch_job(&id).filter(|job| job.is_finished())?;
         let factor = if job.ended { 1 } else { NEVER_ENDED_FACTOR };
         let retention = self
             .poll_ms
@@ -119,7 +119,7 @@
                 continue;
             };
             for (item, index) in job.items.iter().zip(0u32..) {
-                if item.state != LeaseState::Over {
+                if item.state != LeaseState::Finished {
                     results.push(ItemResult {
                         batch_job: job.id.clone(),
                         index,
--- a/crates/batch/batch/src/partition_leader/lease.rs
+++ b/crates/batch/batch/src/partition_leader/lease.rs
@@ -116,7 +116,7 @@
                 } else {
                     give_up.saturating_sub(clock)
                 },
-                tries_left: job.tries.saturating_sub(state.failures),
+                failures_left: job.max_failures.saturating_sub(state.failures),
                 item,
             });
         }
@@ -183,7 +183,7 @@
                 self.skip_lease(key.lease);
                 true
             }
-            LeaseState::Queued | LeaseState::Leased { .. } | LeaseState::Over => false,
+            LeaseState::Queued | LeaseState::Leased { .. } | LeaseState::Finished => false,
         }
     }
 
--- a/crates/batch/batch/src/partition_leader/submit.rs
+++ b/crates/batch/batch/src/partition_leader/submit.rs
@@ -128,7 +128,7 @@
             sent: clock.saturating_sub(request.age_ms),
             due_ms: request.due_ms,
             retain_ms: request.retain_ms,
-            tries: request.tries,
+            max_failures: request.max_failures,
             items: request.items,
         }))
     }
--- a/crates/batch/batch/src/table/job.rs
+++ b/crates/batch/batch/src/table/job.rs
@@ -6,7 +6,7 @@
     write_name, write_text,
 };
 use crate::command::AcceptedJob;
-use crate::wire::{Header, Item, ResultStatus, MAX_BODY, MAX_HEADERS, MAX_ITEMS, MAX_LINE};
+use crate::wire::{Header, Item, ResultStatus, MAX_BODY, MAX_HEADERS, MAX_ITEMS, MAX_VALUE};
 use binrw::binrw;
 use bytes::Bytes;
 use compact_str::CompactString;
@@ -27,8 +27,8 @@
     #[brw(magic = 0u8)]
     Pending {
         /// The path to which it is posted.
-        #[br(parse_with = read_text, args(MAX_LINE))]
-        #[bw(write_with = write_text, args(MAX_LINE))]
+        #[br(parse_with = read_text, args(MAX_VALUE))]
+        #[bw(write_with = write_text, args(MAX_VALUE))]
         path: CompactString,
         /// The headers that go with it.
         #[br(parse_with = read_list, args(MAX_HEADERS))]
@@ -152,7 +152,7 @@
     /// How long after the sending an item may be given up (0: never).
     pub retain_ms: u64,
     /// After how many responses with status 500 an item is given up.
-    pub tries: u32,
+    pub max_failures: u32,
     /// Its client ended it.
     #[br(map = flag)]
     #[bw(map = flag_byte)]
@@ -178,7 +178,7 @@
             accepted: job.clock,
             due_ms: job.due_ms,
             retain_ms: job.retain_ms,
-            tries: job.tries,
+            max_failures: job.max_failures,
             ended: false,
             items: job.items.into_iter().map(BatchItem::from).collect(),
             order: Vec::new(),
@@ -187,7 +187,7 @@
     }
 
     /// Whether nothing of it is to be run any more.
-    pub fn is_over(&self) -> bool {
+    pub fn is_finished(&self) -> bool {
         self.ended || self.order.len() >= self.items.len()
     }
 
--- a/crates/batch/batch/src/wire.rs
+++ b/crates/batch/batch/src/wire.rs
@@ -32,8 +32,8 @@
 };
 pub use limits::{
     HEARTBEAT_INTERVAL_MS, LEASE_RENEWAL_INTERVAL_MS, LEASE_TIMEOUT_MS, MAX_BODY, MAX_FETCH_BYTES,
-    MAX_HEADERS, MAX_ITEMS, MAX_LEASES, MAX_LINE, MAX_LIST, MAX_NAME, MAX_PARTITIONS,
-    MAX_READ_BYTES, MAX_WAIT_MS,
+    MAX_HEADERS, MAX_ITEMS, MAX_LEASES, MAX_LIST, MAX_NAME, MAX_PARTITIONS, MAX_READ_BYTES,
+    MAX_VALUE, MAX_WAIT_MS,
 };
 pub use partitioning::{home_partition, partition_of};
 pub use placement::{Placement, PlacementMap, StoreInfo, StoreState};
--- a/crates/batch/batch/src/wire/client.rs
+++ b/crates/batch/batch/src/wire/client.rs
@@ -40,7 +40,7 @@
     /// By how many thousandths the queued tokens may exceed `max_queued`.
     pub excess_permille: u32,
     /// The route's `Tries`: after so many responses with status 500 an item is given up.
-    pub tries: u32,
+    pub max_failures: u32,
     /// Its items, 1 to [`MAX_ITEMS`].
     #[br(parse_with = read_list, args(MAX_ITEMS))]
     #[bw(write_with = write_list, args(MAX_ITEMS))]
--- a/crates/batch/batch/src/wire/item.rs
+++ b/crates/batch/batch/src/wire/item.rs
@@ -1,6 +1,6 @@
 //! Items of batch jobs and their results, as requests and responses carry them.
 
-use super::{MAX_BODY, MAX_HEADERS, MAX_LINE};
+use super::{MAX_BODY, MAX_HEADERS, MAX_VALUE};
 use crate::codec::{
     read_bytes, read_list, read_name, read_text, write_bytes, write_list, write_name, write_text,
 };
@@ -18,8 +18,8 @@
     #[bw(write_with = write_name)]
     pub name: CompactString,
     /// Its value.
-    #[br(parse_with = read_text, args(MAX_LINE))]
-    #[bw(write_with = write_text, args(MAX_LINE))]
+    #[br(parse_with = read_text, args(MAX_VALUE))]
+    #[bw(write_with = write_text, args(MAX_VALUE))]
     pub value: CompactString,
 }
 
@@ -33,8 +33,8 @@
     #[bw(write_with = write_name)]
     pub id: CompactString,
     /// The path to which it is posted.
-    #[br(parse_with = read_text, args(MAX_LINE))]
-    #[bw(write_with = write_text, args(MAX_LINE))]
+    #[br(parse_with = read_text, args(MAX_VALUE))]
+    #[bw(write_with = write_text, args(MAX_VALUE))]
     pub path: CompactString,
     /// The headers that go with it.
     #[br(parse_with = read_list, args(MAX_HEADERS))]
--- a/crates/batch/batch/src/wire/lease.rs
+++ b/crates/batch/batch/src/wire/lease.rs
@@ -64,7 +64,7 @@
     /// In how many milliseconds it may be given up (`u64::MAX`: never).
     pub retain_in_ms: u64,
     /// How many more responses with status 500 it may meet before it is given up.
-    pub tries_left: u32,
+    pub failures_left: u32,
     /// The item.
     pub item: Item,
 }
--- a/crates/batch/batch/src/wire/limits.rs
+++ b/crates/batch/batch/src/wire/limits.rs
@@ -24,7 +24,7 @@
 /// The longest name of a batch job, an item, a route, a host or a header, in bytes.
 pub const MAX_NAME: usize = 256;
 /// The longest path or header value of an item, in bytes.
-pub const MAX_LINE: usize = 16 << 10;
+pub const MAX_VALUE: usize = 16 << 10;
 /// The longest body of an item, or text of its result, in bytes.
 pub const MAX_BODY: usize = 4 << 20;
 /// The most routes in one fetch, partitions in one list, or stores in the placement map.
--- a/crates/batch/batch/src/wire/store.rs
+++ b/crates/batch/batch/src/wire/store.rs
@@ -110,16 +110,14 @@
 
 impl ChainFrame {
     /// Decodes a frame without copying its body; `None` if the bytes are no such frame.
-    pub fn split(frame: &Bytes) -> Option<(u16, Bytes)> {
+    pub fn decode_shared(frame: &Bytes) -> Option<ChainFrame> {
         let header: [u8; CHAIN_FRAME_HEADER] = frame.get(..CHAIN_FRAME_HEADER)?.try_into().ok()?;
         let [p0, p1, l0, l1, l2, l3] = header;
         let len = u32::from_le_bytes([l0, l1, l2, l3]) as usize;
         let is_whole = frame.len() == len.checked_add(CHAIN_FRAME_HEADER)?;
-        is_whole.then(|| {
-            (
-                u16::from_le_bytes([p0, p1]),
-                frame.slice(CHAIN_FRAME_HEADER..),
-            )
+        is_whole.then(|| ChainFrame {
+            partition: u16::from_le_bytes([p0, p1]),
+            body: frame.slice(CHAIN_FRAME_HEADER..),
         })
     }
 }
--- a/crates/batch/batch/tests/frame_bytes.rs
+++ b/crates/batch/batch/tests/frame_bytes.rs
@@ -124,7 +124,7 @@
         retain_ms: 0x0304_0506,
         max_queued: u64::MAX,
         excess_permille: 250,
-        tries: 6,
+        max_failures: 6,
         items: vec![item("a", b"body"), item("b", b"")],
     };
     recorded.message("gateway submit call", &submit);
@@ -242,7 +242,7 @@
         },
         due_in_ms: 3,
         retain_in_ms: u64::MAX,
-        tries_left: 5,
+        failures_left: 5,
         item: item("a", b"body"),
     };
     let elsewhere = vec![
@@ -509,10 +509,7 @@
         body: Bytes::from_static(b"message"),
     };
     recorded.message("stores chain frame", &frame);
-    assert_eq!(
-        ChainFrame::split(&frame.encode()),
-        Some((258, Bytes::from_static(b"message")))
-    );
+    assert_eq!(ChainFrame::decode_shared(&frame.encode()), Some(frame));
     recorded.finish("stores ");
 }
 
@@ -526,7 +523,7 @@
         sent: 3,
         due_ms: 4,
         retain_ms: 5,
-        tries: 6,
+        max_failures: 6,
         items: vec![
             item("a", b"body"),
             item("b", b""),
@@ -649,7 +646,7 @@
     assert_eq!((read.clock(), read.len()), (0x0a0c, 2));
     let job = read.batch_job("job-1").unwrap();
     assert_eq!(
-        (job.order.as_slice(), job.ended, job.tries),
+        (job.order.as_slice(), job.ended, job.max_failures),
         (&[2, 0][..], false, 6)
     );
     assert!(
@@ -747,7 +744,7 @@
     ];
     assert_eq!(sizes, [512, 900_000, 1_048_576, 200, 64, 256]);
     assert_eq!(
-        [MAX_LINE, MAX_BODY, MAX_LIST, MAX_LEASES],
+        [MAX_VALUE, MAX_BODY, MAX_LIST, MAX_LEASES],
         [16_384, 4_194_304, 4_096, 65_536]
     );
     let times = [
--- a/crates/batch/batch/tests/partition_leader.rs
+++ b/crates/batch/batch/tests/partition_leader.rs
@@ -53,7 +53,7 @@
         retain_ms: 20_000,
         max_queued: 0,
         excess_permille: 0,
-        tries: 2,
+        max_failures: 2,
         items: (0..items)
             .map(|n| item(&format!("{batch_job}-{n}"), 10))
             .collect(),
@@ -341,20 +341,20 @@
     head.submit(
         0,
         SubmitRequest {
-            tries: 3,
+            max_failures: 3,
             ..call("a", 1)
         },
     );
     let first = head.fetch(700, 1, 1).remove(0);
-    assert_eq!(first.tries_left, 3);
+    assert_eq!(first.failures_left, 3);
     head.complete(701, 1, &first, Outcome::Failed);
     head.complete(702, 1, &first, Outcome::Failed);
     let second = head.fetch(703, 2, 1).remove(0);
-    assert_eq!(second.tries_left, 2, "told twice, counted once");
+    assert_eq!(second.failures_left, 2, "told twice, counted once");
     head.complete(704, 1, &first, Outcome::Failed);
     head.complete(705, 2, &second, Outcome::Released);
     let third = head.fetch(706, 1, 1).remove(0);
-    assert_eq!(third.tries_left, 2, "a release is no failure");
+    assert_eq!(third.failures_left, 2, "a release is no failure");
     head.complete(707, 1, &third, Outcome::Failed);
     let fourth = head.fetch(708, 1, 1).remove(0);
     assert_eq!(head.read("a"), []);
@@ -379,7 +379,7 @@
     );
     head.complete(703, 1, &first, Outcome::Failed);
     let second = head.fetch(704, 1, 1).remove(0);
-    assert_eq!(second.tries_left, first.tries_left - 1);
+    assert_eq!(second.failures_left, first.failures_left - 1);
     head.complete(705, 1, &second, Outcome::Released);
     assert_eq!(
         head.leader
@@ -885,7 +885,7 @@
                     let failed = self
                         .fails
                         .get(&key)
-                        .is_some_and(|fails| *fails >= batch_job.tries);
+                        .is_some_and(|fails| *fails >= batch_job.max_failures);
                     let old = self.time >= batch_job.retain_ms;
                     assert!(
                         failed || old || self.impossible.contains(&key),
--- a/crates/batch/batch/tests/quota_leader.rs
+++ b/crates/batch/batch/tests/quota_leader.rs
@@ -213,7 +213,7 @@
         sent: 0,
         due_ms: 1,
         retain_ms: 0,
-        tries: 1,
+        max_failures: 1,
         items: vec![item],
     };
     Command::Accept(take).encode()
--- a/crates/batch/batch/tests/table.rs
+++ b/crates/batch/batch/tests/table.rs
@@ -34,7 +34,7 @@
         sent: clock,
         due_ms: 100,
         retain_ms: 1000,
-        tries: 2,
+        max_failures: 2,
         items: (0..items).map(item).collect(),
     })
 }
--- a/crates/batch/batch/tests/wire.rs
+++ b/crates/batch/batch/tests/wire.rs
@@ -56,7 +56,7 @@
         retain_ms: 3,
         max_queued: 4,
         excess_permille: 5,
-        tries: 6,
+        max_failures: 6,
         items: vec![item("a", b"body"), item("b", b"")],
     });
     for answer in [
@@ -146,7 +146,7 @@
             },
             due_in_ms: 3,
             retain_in_ms: 4,
-            tries_left: 5,
+            failures_left: 5,
             item: item("a", b"body"),
         }],
         redirects: vec![PartitionRedirect { partition: 4, to }],
@@ -331,7 +331,7 @@
         retain_ms: 0,
         max_queued: 0,
         excess_permille: 0,
-        tries: 1,
+        max_failures: 1,
         items,
     };
     assert!(!call(vec![item("a", b""); MAX_ITEMS]).encode().is_empty());
@@ -339,7 +339,7 @@
         .encode()
         .is_empty());
     let mut long = item("a", b"");
-    long.path = "/".repeat(MAX_LINE + 1).into();
+    long.path = "/".repeat(MAX_VALUE + 1).into();
     assert!(call(vec![long]).encode().is_empty());
     let mut many = item("a", b"");
     many.headers = vec![header("a", "b"); MAX_HEADERS + 1];
@@ -485,7 +485,7 @@
             retain_ms: 3,
             max_queued: 4,
             excess_permille: 0,
-            tries: 6,
+            max_failures: 6,
             items: vec![item("a", b"body"), item("b", b"")],
         };
         let mut bytes = call.encode().to_vec();
--- a/crates/gateway/gateway/src/client/batch_api.rs
+++ b/crates/gateway/gateway/src/client/batch_api.rs
@@ -400,7 +400,7 @@
         retain_ms: route.retain_ms,
         max_queued: route.max_queued,
         excess_permille: (excess.clamp(0.0, 1_000.0) * 1_000.0) as u32,
-        tries: route.tries,
+        max_failures: route.tries,
         items,
     };
     let patience = request
--- a/crates/gateway/gateway/tests/batch_jobs.rs
+++ b/crates/gateway/gateway/tests/batch_jobs.rs
@@ -50,7 +50,12 @@
             ("h.example", "bulk", "lot-1")
         );
         assert_eq!(
-            (call.due_ms, call.retain_ms, call.max_queued, call.tries),
+            (
+                call.due_ms,
+                call.retain_ms,
+                call.max_queued,
+                call.max_failures
+            ),
             (10_000, 60_000, 100_000, 2)
         );
         assert_eq!(
--- a/crates/gateway/gateway/tests/items.rs
+++ b/crates/gateway/gateway/tests/items.rs
@@ -36,7 +36,7 @@
         },
         due_in_ms: 10_000,
         retain_in_ms: 60_000,
-        tries_left: 2,
+        failures_left: 2,
         item: Item {
             id: format!("item-{index}").into(),
             path: "/bulk/3/91c4".into(),
