--- a/crates/control/controller/src/core/calls/config.rs
+++ b/crates/control/controller/src/core/calls/config.rs
@@ -76,8 +76,8 @@
     /// The version of this configuration, if it is valid and may follow the newest one.
     fn check_config(&self, body: &[u8]) -> Result<u64, Response> {
         let newest = self.chain.state_machine().config_version();
-        let checked =
-            Config::read(body).and_then(|config| config.check_follows(newest).map(|()| config.gen));
+        let checked = Config::read(body)
+            .and_then(|config| config.check_follows(newest).map(|()| config.version));
         checked.map_err(|error| {
             info!(self.log, "configuration rejected"; "code" => error.code(), "why" => %error);
             Response::error(400, error.code(), &error.to_string())
--- a/crates/dispatcher/fordrelay/src/tier/config.rs
+++ b/crates/dispatcher/fordrelay/src/tier/config.rs
@@ -34,9 +34,9 @@
     let config = Config::read(&body)?;
     eprintln!(
         "valid: version {}, {} routes, {} services",
-        config.gen,
+        config.version,
         config.routes.len(),
-        config.svcs.len()
+        config.services.len()
     );
     Ok((config, body.into()))
 }
@@ -63,7 +63,7 @@
     };
     say(format!(
         "acknowledged: version {} on top of {base}, {} by {by}{again}\n",
-        config.gen,
+        config.version,
         answer.status.as_u16()
     ))
 }
--- a/crates/gateway/gateway/src/client/batch_api.rs
+++ b/crates/gateway/gateway/src/client/batch_api.rs
@@ -21,7 +21,7 @@
 use hyper::{Method, Response, StatusCode};
 use peer_transport::CallError;
 use percent_encoding::percent_decode_str;
-use route_config::{Kind, Route};
+use route_config::{Route, RouteKind};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::time::{sleep_until, timeout_at, Duration, Instant};
@@ -338,7 +338,7 @@
     };
     let route = config
         .route(&request.host, request.target.path())
-        .filter(|route| route.kind == Kind::Bulk);
+        .filter(|route| route.kind == RouteKind::Bulk);
     let Some(route) = route else {
         return local_response(StatusCode::NOT_FOUND, "no route leads there\n");
     };
@@ -400,7 +400,7 @@
         retain_ms: route.retain_ms,
         max_queued: route.max_queued,
         excess_permille: (excess.clamp(0.0, 1_000.0) * 1_000.0) as u32,
-        max_failures: route.tries,
+        max_failures: route.max_attempts,
         items,
     };
     let patience = request
--- a/crates/gateway/gateway/src/client/frontend.rs
+++ b/crates/gateway/gateway/src/client/frontend.rs
@@ -13,7 +13,7 @@
 use hyper::body::{Body, Incoming};
 use hyper::header::{HeaderValue, CONNECTION, TRANSFER_ENCODING};
 use hyper::{Response, StatusCode};
-use route_config::Kind;
+use route_config::RouteKind;
 use std::rc::Rc;
 use tokio::time::{timeout, timeout_at, Duration, Instant};
 
@@ -182,7 +182,7 @@
         });
         match kind {
             None => Err(RequestError::NoRoute),
-            Some(Kind::Bulk) => Ok(batch_api::submit(gateway, &request).await),
+            Some(RouteKind::Bulk) => Ok(batch_api::submit(gateway, &request).await),
             Some(_) => Ok(forward::forward(gateway, request, asked.guard, claim).await),
         }
     }
--- a/crates/gateway/gateway/src/control.rs
+++ b/crates/gateway/gateway/src/control.rs
@@ -379,12 +379,12 @@
         return;
     };
     match Config::read(&body) {
-        Ok(config) if Stamp(config.gen, 0) == stamp => {
+        Ok(config) if Stamp(config.version, 0) == stamp => {
             *gateway.control.next.borrow_mut() = Some(Rc::new(config));
         }
         Ok(config) => {
             increment(&gateway.counts.odd);
-            warn!(gateway.log, "a configuration under another number"; "code" => codes::OTHER_NUMBER, "gen" => config.gen,
+            warn!(gateway.log, "a configuration under another number"; "code" => codes::OTHER_NUMBER, "gen" => config.version,
                 "stamp" => stamp.0);
         }
         Err(e) => {
@@ -400,8 +400,8 @@
     let Some(next) = control.next.borrow().clone() else {
         return;
     };
-    let held = gateway.config.borrow().as_ref().map(|c| c.gen);
-    if held.is_some_and(|held| held >= next.gen) || (held.is_none() && !fresh) {
+    let held = gateway.config.borrow().as_ref().map(|c| c.version);
+    if held.is_some_and(|held| held >= next.version) || (held.is_none() && !fresh) {
         return;
     }
     let active = control
@@ -409,7 +409,7 @@
         .borrow()
         .get(CONFIG_ACTIVE)
         .map(|state_entry| state_entry.stamp);
-    if active != Some(Stamp(next.gen, 0)) {
+    if active != Some(Stamp(next.version, 0)) {
         return;
     }
     put_into_force(gateway, next);
@@ -417,8 +417,8 @@
 
 /// This configuration holds from now on.
 pub fn put_into_force(gateway: &Rc<Gateway>, next: Rc<Config>) {
-    info!(gateway.log, "configuration in force"; "gen" => next.gen, "routes" => next.routes.len(),
-        "svcs" => next.svcs.len());
+    info!(gateway.log, "configuration in force"; "gen" => next.version, "routes" => next.routes.len(),
+        "svcs" => next.services.len());
     gateway.selector.configured(&next);
     crate::client::limits::apply(gateway, &next.limits);
     *gateway.config.borrow_mut() = Some(next);
--- a/crates/gateway/gateway/src/items.rs
+++ b/crates/gateway/gateway/src/items.rs
@@ -22,7 +22,7 @@
 };
 use hyper::header::HeaderValue;
 use hyper::http::response::Parts;
-use route_config::Kind;
+use route_config::RouteKind;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -367,7 +367,7 @@
             // By its path, as any request: a route may have moved.
             let route = config
                 .route(&self.leased.host, self.request.target.path())
-                .filter(|route| route.kind == Kind::Bulk);
+                .filter(|route| route.kind == RouteKind::Bulk);
             let Some(route) = route else {
                 sleep(UNEXPECTED_RESPONSE_PAUSE).await;
                 return None;
--- a/crates/gateway/gateway/src/items/fetch.rs
+++ b/crates/gateway/gateway/src/items/fetch.rs
@@ -3,7 +3,7 @@
 use crate::gateway::Gateway;
 use crate::items::{begin, partition_of, CALL_WITHIN, MAX_CONCURRENT_FETCHES};
 use batch::wire::{FetchRequest, FetchResponse, Message, PlacementMap, RouteDemand, FETCH};
-use route_config::{Config, Kind, Route};
+use route_config::{Config, Route, RouteKind};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -27,9 +27,10 @@
     for route in config
         .routes
         .iter()
-        .filter(|route| route.kind == Kind::Bulk)
+        .filter(|route| route.kind == RouteKind::Bulk)
     {
-        for (svc, _) in route.targets.iter().filter(|(_, weight)| *weight > 0.0) {
+        for target in route.targets.iter().filter(|target| target.weight > 0.0) {
+            let svc = &target.service;
             by_svc.entry(svc.as_str()).or_default().push(route);
         }
     }
--- a/crates/gateway/gateway/src/proxy/attempt.rs
+++ b/crates/gateway/gateway/src/proxy/attempt.rs
@@ -15,7 +15,7 @@
 use hyper::header::{HeaderValue, RETRY_AFTER};
 use hyper::http::response::Parts;
 use hyper::{Response, StatusCode};
-use route_config::{Kind, Route};
+use route_config::{Route, RouteKind};
 use std::rc::Rc;
 use tokio::time::{timeout, timeout_at, Duration, Instant};
 
@@ -64,22 +64,22 @@
             tries: u32::MAX,
             timeout_ms: MAX_ITEM_RUN_MS,
             target_ms: route.target_ms,
-            gap_ms: route.gap_aim_ms,
+            gap_ms: route.event_gap_target_ms,
         }
     }
 
     /// Terms of a request on a route.
     pub fn of(route: &Route) -> Self {
-        let streaming = route.kind == Kind::Streaming;
+        let streaming = route.kind == RouteKind::Streaming;
         let resumable = streaming && route.resumable;
         RouteTerms {
-            may_repeat: resumable || route.kind == Kind::Idempotent,
+            may_repeat: resumable || route.kind == RouteKind::Idempotent,
             resumable,
             work: if streaming { Work::Stream } else { Work::Unary },
-            tries: route.tries,
+            tries: route.max_attempts,
             timeout_ms: route.timeout_ms,
             target_ms: route.target_ms,
-            gap_ms: route.gap_aim_ms,
+            gap_ms: route.event_gap_target_ms,
         }
     }
 }
--- a/crates/gateway/gateway/src/proxy/forward.rs
+++ b/crates/gateway/gateway/src/proxy/forward.rs
@@ -157,7 +157,7 @@
             }
             Selection::Wait { until } => {
                 let place =
-                    place.get_or_insert_with(|| gateway.selector.queue(request, route.prio));
+                    place.get_or_insert_with(|| gateway.selector.queue(request, route.priority));
                 let until = until.min(now + left_ms - MIN_REMAINING_MS);
                 let until = gateway.clock.instant(until);
                 let _ = timeout_at(until, place.turn()).await;
--- a/crates/gateway/gateway/src/proxy/stream.rs
+++ b/crates/gateway/gateway/src/proxy/stream.rs
@@ -265,7 +265,7 @@
     let service = request.svc.borrow();
     service
         .as_ref()
-        .is_some_and(|service| route.leads_to(service))
+        .is_some_and(|service| route.routes_to(service))
 }
 
 /// Forwards a body of which some has arrived, byte for byte.
--- a/crates/gateway/gateway/src/selection/selector.rs
+++ b/crates/gateway/gateway/src/selection/selector.rs
@@ -11,7 +11,7 @@
 use crate::selection::queue::{Place, Queue, ITEMS};
 use compact_str::CompactString;
 use hyper::header::HeaderValue;
-use route_config::{Config, Kind, Route};
+use route_config::{Config, Route, RouteKind};
 use runner_registry::{Runner, RunnerState};
 use runner_selection::{
     Choice as PolicyChoice, Engines, Learned, Report, RunnerKey, SvcTerms, Want,
@@ -109,7 +109,7 @@
 
     fn terms(&self, svc: &str) -> SvcTerms {
         let config = self.0.config.borrow();
-        let Some(svc) = config.as_ref().and_then(|config| config.svc(svc)) else {
+        let Some(svc) = config.as_ref().and_then(|config| config.service(svc)) else {
             return SvcTerms::default();
         };
         SvcTerms {
@@ -210,7 +210,7 @@
         let whole = |tokens: u64| u32::try_from(tokens).unwrap_or(u32::MAX);
         let ms = |ms: u64| u32::try_from(ms).unwrap_or(u32::MAX);
         let (tokens_in, tokens_out) = request.tokens.map_or((0, 0), |(i, o)| (whole(i), whole(o)));
-        let bulk = ask.route.kind == Kind::Bulk;
+        let bulk = ask.route.kind == RouteKind::Bulk;
         Want {
             svc: self.svc_for(request, ask.route),
             prefix: request.parts.clone(),
@@ -224,10 +224,10 @@
             } else {
                 ms(ask.now.saturating_sub(request.came))
             },
-            prio: u8::try_from(ask.route.prio).unwrap_or(u8::MAX),
+            prio: u8::try_from(ask.route.priority).unwrap_or(u8::MAX),
             tried: ask.history.runners.clone(),
-            last_try: ask.history.sends + 1 >= ask.route.tries,
-            repeatable: bulk || ask.route.kind == Kind::Idempotent || ask.route.resumable,
+            last_try: ask.history.sends + 1 >= ask.route.max_attempts,
+            repeatable: bulk || ask.route.kind == RouteKind::Idempotent || ask.route.resumable,
         }
     }
 
@@ -235,9 +235,9 @@
     fn svc_for(&self, request: &Request, route: &Route) -> CompactString {
         let mut drawn = request.svc.borrow_mut();
         match &*drawn {
-            Some(svc) if route.leads_to(svc) => svc.clone(),
+            Some(svc) if route.routes_to(svc) => svc.clone(),
             _ => {
-                let svc = CompactString::from(route.pick(self.unit()));
+                let svc = CompactString::from(route.pick_service(self.unit()));
                 *drawn = Some(svc.clone());
                 svc
             }
--- a/crates/gateway/gateway/tests/control.rs
+++ b/crates/gateway/gateway/tests/control.rs
@@ -46,18 +46,18 @@
         assert!(gateway.config().is_none(), "prepared only");
         assert!(!gateway.is_ready());
         controller.activate(3);
-        until(|| gateway.config().is_some_and(|c| c.gen == 3)).await;
+        until(|| gateway.config().is_some_and(|c| c.version == 3)).await;
         controller.configuration(5, &CONFIG.replace("\"Gen\":1", "\"Gen\":5"));
         until(|| controller.confirmed("config/next", Stamp(5, 0)) == 1).await;
-        assert_eq!(gateway.config().unwrap().gen, 3);
+        assert_eq!(gateway.config().unwrap().version, 3);
         controller.activate(5);
-        until(|| gateway.config().is_some_and(|c| c.gen == 5)).await;
+        until(|| gateway.config().is_some_and(|c| c.version == 5)).await;
         let older = Config::read(CONFIG.as_bytes()).unwrap();
-        assert_eq!(older.gen, 1);
+        assert_eq!(older.version, 1);
         controller.activate(1);
         controller.configuration(1, CONFIG);
         in_step(&controller, 1).await;
-        assert_eq!(gateway.config().unwrap().gen, 5);
+        assert_eq!(gateway.config().unwrap().version, 5);
         assert!(controller.hellos.get() >= 1);
     });
 }
@@ -74,7 +74,7 @@
         in_step(&controller, 1).await;
         assert!(gateway.config().is_none() && !gateway.is_ready());
         controller.age.set(0);
-        until(|| gateway.config().is_some_and(|c| c.gen == 3)).await;
+        until(|| gateway.config().is_some_and(|c| c.version == 3)).await;
     });
 }
 
--- a/crates/gateway/route-config/tests/codes_and_defaults.rs
+++ b/crates/gateway/route-config/tests/codes_and_defaults.rs
@@ -1,7 +1,8 @@
-//! The numbers of faults with their names, and each default as a figure: operators' pages state them.
+//! The numbers of faults with their names, and each default as a figure: operators' pages state
+//! them.
 
-use route_config::{Backend, Config, Kind, Limits, CODES, MAX_BODY, MAX_DEPTH};
-use route_config::{MAX_MODELS, MAX_NAME, MAX_PATH, MAX_ROUTES, MAX_SVCS, MAX_TARGETS};
+use route_config::{Backend, Config, Limits, RouteKind, Target, CODES, MAX_BODY, MAX_DEPTH};
+use route_config::{MAX_MODELS, MAX_NAME, MAX_PATH, MAX_ROUTES, MAX_SERVICES, MAX_TARGETS};
 
 #[test]
 fn numbers_of_faults_have_these_names() {
@@ -48,12 +49,19 @@
 fn bounds_of_a_configuration() {
     assert_eq!((MAX_BODY, MAX_DEPTH), (4_194_304, 64));
     assert_eq!(
-        (MAX_ROUTES, MAX_SVCS, MAX_TARGETS, MAX_MODELS),
+        (MAX_ROUTES, MAX_SERVICES, MAX_TARGETS, MAX_MODELS),
         (10_000, 1_000, 100, 1_000)
     );
     assert_eq!((MAX_NAME, MAX_PATH), (255, 2_048));
 }
 
+fn target(service: &str, weight: f64) -> Target {
+    Target {
+        service: service.into(),
+        weight,
+    }
+}
+
 #[test]
 fn defaults_of_each_key() {
     let body = br#"{"Gen":1,"Svcs":[{"Name":"s"},{"Name":"t","Backend":{}}],
@@ -62,8 +70,13 @@
     let config = Config::read(body).unwrap();
     let plain = &config.routes[0];
     assert_eq!(
-        (plain.name.as_str(), plain.kind, plain.prio, plain.tries),
-        ("h/p/", Kind::Mutating, 0, 1)
+        (
+            plain.name.as_str(),
+            plain.kind,
+            plain.priority,
+            plain.max_attempts
+        ),
+        ("h/p/", RouteKind::Mutating, 0, 1)
     );
     assert_eq!(
         (
@@ -79,13 +92,13 @@
             plain.max_queued,
             plain.sticky,
             plain.resumable,
-            plain.gap_aim_ms
+            plain.event_gap_target_ms
         ),
         (0, false, false, None)
     );
     assert_eq!(
         config.routes[1].targets,
-        [("s".into(), 1.0), ("t".into(), 3.0)]
+        [target("s", 1.0), target("t", 3.0)]
     );
     assert_eq!(
         (config.routes[2].due_ms, config.routes[2].retain_ms),
@@ -98,7 +111,7 @@
         idle_timeout_ms: 15_000,
     };
     assert_eq!(config.limits, limits);
-    assert_eq!(config.svcs[0].max_conns, 100);
+    assert_eq!(config.services[0].max_conns, 100);
     let backend = Backend {
         slots: 8,
         kv_capacity: 0,
@@ -107,5 +120,5 @@
         stride: 0,
         models: vec![],
     };
-    assert_eq!(config.svcs[1].backend, Some(backend));
+    assert_eq!(config.services[1].backend, Some(backend));
 }
--- a/crates/gateway/route-config/tests/matching.rs
+++ b/crates/gateway/route-config/tests/matching.rs
@@ -22,15 +22,15 @@
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_wins() {
-    let told = [
+fn longest_prefix_of_the_host_wins() {
+    let routes = [
         ("a.example", "/"),
         ("a.example", "/x/"),
         ("a.example", "/x/y/"),
         ("b.example", "/x/"),
         ("[fe80::1]", "/z/"),
     ];
-    let config = config(&told.map(|(host, prefix)| (host.into(), prefix.into())));
+    let config = config(&routes.map(|(host, prefix)| (host.into(), prefix.into())));
     for (host, path, route) in [
         ("a.example", "/", Some("a.example/")),
         ("a.example", "/xx/", Some("a.example/")),
@@ -54,21 +54,21 @@
 }
 
 #[test]
-fn a_split_is_followed_by_its_weights() {
+fn services_are_picked_by_weight() {
     let body = r#"{"Gen":1,"Svcs":[{"Name":"a"},{"Name":"b"},{"Name":"c"}],"Routes":[{"Host":"h","Prefix":"/","Split":
         [{"Svc":"a","Weight":0},{"Svc":"b","Weight":75},{"Svc":"c","Weight":25},{"Svc":"a","Weight":0}]}]}"#;
     let config = Config::read(body.as_bytes()).unwrap();
     let route = config.route("h", "/").unwrap();
     let counted = |name| {
         (0..1_000)
-            .filter(|n| route.pick(f64::from(*n) / 1_000.0) == name)
+            .filter(|n| route.pick_service(f64::from(*n) / 1_000.0) == name)
             .count()
     };
     assert_eq!((counted("a"), counted("b"), counted("c")), (0, 750, 250));
     for odd in [1.0, 2.0, -1.0, f64::NAN, f64::INFINITY, f64::NEG_INFINITY] {
-        assert!(["b", "c"].contains(&route.pick(odd)), "{odd}");
+        assert!(["b", "c"].contains(&route.pick_service(odd)), "{odd}");
     }
-    assert!(route.leads_to("b") && !route.leads_to("a") && !route.leads_to("d"));
+    assert!(route.routes_to("b") && !route.routes_to("a") && !route.routes_to("d"));
 }
 
 /// Paths of a few letters, so that many begin others.
@@ -77,13 +77,13 @@
 }
 
 proptest! {
-    /// The table says what a look at all prefixes says.
+    /// The table finds what a linear search over all prefixes finds.
     #[test]
-    fn the_table_is_right(prefixes in proptest::collection::btree_set(path(), 0..30), paths in proptest::collection::vec(path(), 1..30)) {
+    fn route_table_agrees_with_a_linear_search(prefixes in proptest::collection::btree_set(path(), 0..30), paths in proptest::collection::vec(path(), 1..30)) {
         let prefixes: std::collections::BTreeSet<String> =
             prefixes.iter().map(|p| if p.ends_with('/') { p.clone() } else { format!("{p}/") }).collect();
-        let told: Vec<_> = prefixes.iter().map(|prefix| ("h".to_owned(), prefix.clone())).collect();
-        let config = config(&told);
+        let routes: Vec<_> = prefixes.iter().map(|prefix| ("h".to_owned(), prefix.clone())).collect();
+        let config = config(&routes);
         for path in &paths {
             let longest = prefixes.iter().filter(|prefix| path.starts_with(prefix.as_str())).max_by_key(|prefix| prefix.len());
             prop_assert_eq!(config.route("h", path).map(|route| route.prefix.to_string()), longest.cloned());
@@ -91,7 +91,7 @@
     }
 
     #[test]
-    fn any_host_and_path_is_looked_for(host in "\\PC*", path in "\\PC*") {
+    fn any_host_and_path_can_be_looked_up(host in "\\PC*", path in "\\PC*") {
         let config = config(&[("h".into(), "/".into()), ("h".into(), "/a/".into())]);
         let _ = config.route(&host, &path);
     }
--- a/crates/gateway/route-config/tests/reading.rs
+++ b/crates/gateway/route-config/tests/reading.rs
@@ -1,13 +1,12 @@
 //! What a valid configuration comes to, and that none is refused for what it may carry.
 
 #![expect(clippy::unwrap_used, reason = "a test ends at the first surprise")]
-#![expect(clippy::too_many_lines, reason = "not revised yet")]
 
-use route_config::{Backend, Config, Kind, Limits, MAX_ROUTES};
+use route_config::{Backend, Config, Limits, RouteKind, Target, MAX_ROUTES};
 use rstest::rstest;
 
 /// One with everything that a configuration may say.
-const WHOLE: &str = r#"{"Gen":12,
+const COMPLETE: &str = r#"{"Gen":12,
 "Routes":[
  {"Name":"r-chat","Host":"Talk.example:80","Prefix":"/chat/","Kind":"streaming","TimeoutMs":4500,"TargetMs":250,"Prio":1,
   "Split":[{"Svc":"big","Weight":70},{"Svc":"new","Weight":30}],"Tries":3,"Sticky":true,"Resumable":true,"gap_aim_ms":180},
@@ -28,33 +27,45 @@
         .unwrap()
 }
 
+fn target(service: &str, weight: f64) -> Target {
+    Target {
+        service: service.into(),
+        weight,
+    }
+}
+
 #[test]
-fn all_that_is_told_is_read() {
-    let config = Config::read(WHOLE.as_bytes()).unwrap();
-    assert_eq!(config.gen, 12);
+fn every_member_of_a_route_is_read() {
+    let config = Config::read(COMPLETE.as_bytes()).unwrap();
+    assert_eq!(config.version, 12);
     let chat = &config.routes[0];
     assert_eq!(
         (chat.name.as_str(), chat.host.as_str(), chat.prefix.as_str()),
         ("r-chat", "talk.example", "/chat/")
     );
     assert_eq!(
-        (chat.kind, chat.timeout_ms, chat.target_ms, chat.prio),
-        (Kind::Streaming, 4_500, 250, 1)
+        (chat.kind, chat.timeout_ms, chat.target_ms, chat.priority),
+        (RouteKind::Streaming, 4_500, 250, 1)
     );
     assert_eq!(
-        (chat.tries, chat.sticky, chat.resumable, chat.gap_aim_ms),
+        (
+            chat.max_attempts,
+            chat.sticky,
+            chat.resumable,
+            chat.event_gap_target_ms
+        ),
         (3, true, true, Some(180))
     );
-    assert_eq!(chat.targets, [("big".into(), 70.0), ("new".into(), 30.0)]);
+    assert_eq!(chat.targets, [target("big", 70.0), target("new", 30.0)]);
     let look = &config.routes[1];
     assert_eq!(
-        (look.kind, look.targets.as_slice(), look.gap_aim_ms),
-        (Kind::Idempotent, &[("new".into(), 1.0)][..], None)
+        (look.kind, look.targets.as_slice(), look.event_gap_target_ms),
+        (RouteKind::Idempotent, &[target("new", 1.0)][..], None)
     );
     let buy = &config.routes[2];
     assert_eq!(
-        (buy.kind, buy.timeout_ms, buy.target_ms, buy.tries),
-        (Kind::Mutating, 1_501, 1_501, 1)
+        (buy.kind, buy.timeout_ms, buy.target_ms, buy.max_attempts),
+        (RouteKind::Mutating, 1_501, 1_501, 1)
     );
     let batch_jobs = &config.routes[3];
     assert_eq!(
@@ -64,18 +75,27 @@
             batch_jobs.retain_ms,
             batch_jobs.max_queued
         ),
-        (Kind::Bulk, 30_000, 45_500, 120_000)
+        (RouteKind::Bulk, 30_000, 45_500, 120_000)
     );
     assert_eq!(
-        (batch_jobs.tries, batch_jobs.gap_aim_ms, batch_jobs.sticky),
+        (
+            batch_jobs.max_attempts,
+            batch_jobs.event_gap_target_ms,
+            batch_jobs.sticky
+        ),
         (4, Some(300), true)
     );
-    let big = config.svc("big").unwrap();
+}
+
+#[test]
+fn every_member_of_a_service_is_read() {
+    let config = Config::read(COMPLETE.as_bytes()).unwrap();
+    let big = config.service("big").unwrap();
     assert_eq!(
         (
             big.health_path.as_str(),
             big.max_conns,
-            big.proto.as_str(),
+            big.protocol.as_str(),
             big.tls
         ),
         ("/health", 300, "h1", false)
@@ -89,8 +109,13 @@
         models: vec!["m".into(), "n".into()],
     };
     assert_eq!(big.backend, Some(backend));
-    assert_eq!(config.svc("new").unwrap().backend, None);
-    assert!(config.svc("old").is_none());
+    assert_eq!(config.service("new").unwrap().backend, None);
+    assert!(config.service("old").is_none());
+}
+
+#[test]
+fn every_limit_is_read() {
+    let config = Config::read(COMPLETE.as_bytes()).unwrap();
     let limits = Limits {
         max_header_bytes: 8_192,
         max_body_bytes: 1_048_576,
@@ -101,7 +126,7 @@
 }
 
 #[test]
-fn what_is_missing_has_a_default() {
+fn missing_members_have_defaults() {
     let config = routes(
         r#"{"Host":"h","Prefix":"/p/","Svc":"s"},{"Host":"h","Prefix":"/q/","Svc":"s","Kind":"bulk","DueMs":5000}"#,
     );
@@ -113,15 +138,15 @@
             plain.timeout_ms,
             plain.target_ms
         ),
-        ("h/p/", Kind::Mutating, 30_000, 30_000)
+        ("h/p/", RouteKind::Mutating, 30_000, 30_000)
     );
     assert_eq!(
         (
             plain.due_ms,
             plain.retain_ms,
             plain.max_queued,
-            plain.prio,
-            plain.tries
+            plain.priority,
+            plain.max_attempts
         ),
         (0, 0, 0, 0, 1)
     );
@@ -129,12 +154,12 @@
         (config.routes[1].due_ms, config.routes[1].retain_ms),
         (5_000, 10_000)
     );
-    let svc = config.svc("s").unwrap();
+    let svc = config.service("s").unwrap();
     assert_eq!(
         (
             svc.health_path.as_str(),
             svc.max_conns,
-            svc.proto.as_str(),
+            svc.protocol.as_str(),
             svc.tls
         ),
         ("/healthz", 100, "h1", false)
@@ -148,8 +173,8 @@
 
 #[rstest]
 #[case::no_routes(r#"{"Gen":1,"Routes":[],"Svcs":[]}"#)]
-#[case::lists_of_nothing(r#"{"Gen":1,"Routes":null,"Svcs":null,"Limits":null}"#)]
-#[case::idle_route(r#"{"Gen":1,"Svcs":[{"Name":"s"},{"Name":"t"}],"Routes":[{"Host":"h","Prefix":"/","Split":[{"Svc":"s","Weight":0},{"Svc":"t","Weight":0.01}]}]}"#)]
+#[case::null_lists(r#"{"Gen":1,"Routes":null,"Svcs":null,"Limits":null}"#)]
+#[case::route_without_weight(r#"{"Gen":1,"Svcs":[{"Name":"s"},{"Name":"t"}],"Routes":[{"Host":"h","Prefix":"/","Split":[{"Svc":"s","Weight":0},{"Svc":"t","Weight":0.01}]}]}"#)]
 #[case::service_and_empty_split(
     r#"{"Gen":1,"Svcs":[{"Name":"s"}],"Routes":[{"Host":"h","Prefix":"/","Svc":"s","Split":[]}]}"#
 )]
@@ -162,32 +187,32 @@
 #[case::one_service_twice_in_a_split(r#"{"Gen":1,"Svcs":[{"Name":"s"}],"Routes":[{"Host":"h","Prefix":"/","Split":[{"Svc":"s","Weight":1},{"Svc":"s","Weight":2}]}]}"#)]
 #[case::one_name_for_two_routes(r#"{"Gen":1,"Svcs":[{"Name":"s"}],"Routes":[{"Name":"r","Host":"h","Prefix":"/a/","Svc":"s"},{"Name":"r","Host":"h","Prefix":"/b/","Svc":"s"}]}"#)]
 #[case::unknown_members(r#"{"Gen":1,"Tenants":[{"Name":"a","Quotas":{"r":[[5]]}}],"Svcs":[{"Name":"s","Weights":"w-2","Backend":{"Odd":[1]}}],"Routes":[{"Host":"h","Prefix":"/","Svc":"s","Tenants":{"a":{"MaxQueued":5}}}],"Limits":{"MaxFun":-1}}"#)]
-#[case::no_times_but_the_vital(r#"{"Gen":1,"Svcs":[{"Name":"s","MaxConns":0}],"Routes":[{"Host":"h","Prefix":"/","Svc":"s","TargetMs":0,"Tries":0,"gap_aim_ms":0,"MaxQueued":0}],"Limits":{"MaxBodyBytes":0}}"#)]
-#[case::figures_as_others_write_them(r#"{"Gen":1e3,"Svcs":[{"Name":"s","MaxConns":2.0E1}],"Routes":[{"Host":"h","Prefix":"/","Svc":"s","TimeoutMs":5000.0,"Prio":-0}]}"#)]
+#[case::zeros_where_allowed(r#"{"Gen":1,"Svcs":[{"Name":"s","MaxConns":0}],"Routes":[{"Host":"h","Prefix":"/","Svc":"s","TargetMs":0,"Tries":0,"gap_aim_ms":0,"MaxQueued":0}],"Limits":{"MaxBodyBytes":0}}"#)]
+#[case::numbers_in_other_notations(r#"{"Gen":1e3,"Svcs":[{"Name":"s","MaxConns":2.0E1}],"Routes":[{"Host":"h","Prefix":"/","Svc":"s","TimeoutMs":5000.0,"Prio":-0}]}"#)]
 #[case::escapes(
     "{\"Gen\":1,\"Routes\":[],\"Svcs\":[{\"Name\":\"\\u00e9\\ud83d\\ude00\\\"/\"}]}\r\n\t "
 )]
-#[case::mark_of_the_encoding("\u{feff}{\"Gen\":1,\"Routes\":[],\"Svcs\":[]}")]
+#[case::byte_order_mark("\u{feff}{\"Gen\":1,\"Routes\":[],\"Svcs\":[]}")]
 #[case::models_by_name(
     r#"{"Gen":1,"Routes":[],"Svcs":[{"Name":"s","Backend":{"Models":["m","n"]}}]}"#
 )]
-fn what_is_valid_is_never_refused(#[case] body: &str) {
+fn valid_configurations_are_never_rejected(#[case] body: &str) {
     assert_eq!(Config::read(body.as_bytes()).err(), None);
 }
 
 #[test]
-fn figures_of_others_are_the_same_figures() {
+fn numbers_in_other_notations_are_the_same_numbers() {
     let config =
         Config::read(br#"{"Gen":1.2e1,"Routes":[],"Svcs":[{"Name":"s","MaxConns":2.0E1}]}"#)
             .unwrap();
-    assert_eq!((config.gen, config.svcs[0].max_conns), (12, 20));
+    assert_eq!((config.version, config.services[0].max_conns), (12, 20));
     let exact = Config::read(br#"{"Gen":9007199254740991,"Routes":[],"Svcs":[]}"#).unwrap();
-    assert_eq!(exact.gen, 9_007_199_254_740_991);
+    assert_eq!(exact.version, 9_007_199_254_740_991);
 }
 
 /// As many routes as there may be, with all their members, within the bounds of the body.
 #[test]
-fn the_largest_one_is_read() {
+fn largest_configuration_is_read() {
     let route = |n: usize| {
         format!(
             r#"{{"Name":"r-{n:05}","Host":"host-{}.example","Prefix":"/p{n:05}/","Kind":"streaming","TimeoutMs":5000,"TargetMs":200,"Prio":0,"Split":[{{"Svc":"s","Weight":90}},{{"Svc":"t","Weight":10}}],"Tries":2,"Sticky":true,"Resumable":true,"gap_aim_ms":250}}"#,
--- a/crates/gateway/route-config/tests/refusals.rs
+++ b/crates/gateway/route-config/tests/rejections.rs
@@ -1,4 +1,4 @@
-//! What is said of each fault, and that nothing else comes of any bytes.
+//! The text of each fault, and that any bytes are read or rejected.
 
 #![expect(clippy::unwrap_used, reason = "a test ends at the first surprise")]
 
@@ -7,29 +7,29 @@
 
 const VALID: &str = r#"{"Gen":5,"Routes":[{"Name":"r","Host":"h.example","Prefix":"/p/","Kind":"streaming","TimeoutMs":800,"TargetMs":90,"Prio":0,"Split":[{"Svc":"a","Weight":80},{"Svc":"b","Weight":20}],"Tries":2,"Sticky":true,"Resumable":true,"gap_aim_ms":150},{"Name":"l","Host":"h.example","Prefix":"/l/","Kind":"bulk","TimeoutMs":900,"DueMs":9000,"RetainS":20,"MaxQueued":5000,"Svc":"a"}],"Svcs":[{"Name":"a","HealthPath":"/h","MaxConns":30,"Backend":{"Slots":4,"KvCapacity":9000,"Models":[{"Name":"m"}]}},{"Name":"b"}],"Limits":{"MaxHeaderBytes":900,"MaxBodyBytes":5000,"HeaderTimeoutMs":400,"IdleTimeoutMs":800}}"#;
 
-fn refused(body: &str) -> String {
+fn rejection(body: &str) -> String {
     Config::read(body.as_bytes()).unwrap_err().to_string()
 }
 
 /// The valid one with something else instead of a part of it.
 fn with(part: &str, instead: &str) -> String {
     assert!(VALID.contains(part), "{part}");
-    refused(&VALID.replacen(part, instead, 1))
+    rejection(&VALID.replacen(part, instead, 1))
 }
 
 #[test]
-fn the_valid_one_is_valid() {
+fn valid_configuration_is_accepted() {
     assert_eq!(Config::read(VALID.as_bytes()).err(), None);
 }
 
 #[test]
-fn a_body_that_cannot_be_read_whole_is_refused() {
-    insta::assert_snapshot!(refused(""), @"C203 the body: Unexpected end of JSON");
-    insta::assert_snapshot!(refused(&VALID[..VALID.len() - 1]), @"C203 the body: Unexpected end of JSON");
-    insta::assert_snapshot!(refused(&VALID[..300]), @"C203 the body: Unexpected end of JSON");
-    insta::assert_snapshot!(refused(&format!("{VALID}{{}}")), @"C203 the body: Unexpected character: { at (1:597)");
-    insta::assert_snapshot!(refused("[]"), @"C207 the body: must be an object");
-    insta::assert_snapshot!(refused("null"), @"C207 the body: must be an object");
+fn malformed_bodies_are_rejected() {
+    insta::assert_snapshot!(rejection(""), @"C203 the body: Unexpected end of JSON");
+    insta::assert_snapshot!(rejection(&VALID[..VALID.len() - 1]), @"C203 the body: Unexpected end of JSON");
+    insta::assert_snapshot!(rejection(&VALID[..300]), @"C203 the body: Unexpected end of JSON");
+    insta::assert_snapshot!(rejection(&format!("{VALID}{{}}")), @"C203 the body: Unexpected character: { at (1:597)");
+    insta::assert_snapshot!(rejection("[]"), @"C207 the body: must be an object");
+    insta::assert_snapshot!(rejection("null"), @"C207 the body: must be an object");
     insta::assert_snapshot!(with("800", "NaN"), @"C203 the body: Unexpected character: N at (1:97)");
     insta::assert_snapshot!(with("800", "0800"), @"C203 the body: Unexpected character: 8 at (1:98)");
     insta::assert_snapshot!(with("\"r\"", "\"\\ud800\""), @r##"C203 the body: Unexpected character: " at (1:35)"##);
@@ -39,18 +39,18 @@
 }
 
 #[test]
-fn what_would_take_too_much_is_refused() {
-    insta::assert_snapshot!(refused(&" ".repeat(MAX_BODY + 1)), @"C201 the body: is 4194305 bytes long");
-    insta::assert_snapshot!(refused(&"[".repeat(MAX_BODY)), @"C204 the body: is nested more than 64 deep");
-    insta::assert_snapshot!(refused(&"{\"a\":".repeat(100_000)), @"C204 the body: is nested more than 64 deep");
-    insta::assert_snapshot!(refused(&format!("[{}{{}}]", "{},".repeat(1_000_000))), @"C201 the body: takes more than 64 MiB of memory to read");
-    insta::assert_snapshot!(refused(&format!("[{}0]", "0,".repeat(2_000_000))), @"C201 the body: takes more than 64 MiB of memory to read");
+fn oversized_bodies_are_rejected() {
+    insta::assert_snapshot!(rejection(&" ".repeat(MAX_BODY + 1)), @"C201 the body: is 4194305 bytes long");
+    insta::assert_snapshot!(rejection(&"[".repeat(MAX_BODY)), @"C204 the body: is nested more than 64 deep");
+    insta::assert_snapshot!(rejection(&"{\"a\":".repeat(100_000)), @"C204 the body: is nested more than 64 deep");
+    insta::assert_snapshot!(rejection(&format!("[{}{{}}]", "{},".repeat(1_000_000))), @"C201 the body: takes more than 64 MiB of memory to read");
+    insta::assert_snapshot!(rejection(&format!("[{}0]", "0,".repeat(2_000_000))), @"C201 the body: takes more than 64 MiB of memory to read");
     let members: Vec<String> = (0..1_025).map(|n| format!("\"{n}\":0")).collect();
-    insta::assert_snapshot!(refused(&format!("{{{}}}", members.join(","))), @"C205 the body: has an object of more than 1,024 members");
+    insta::assert_snapshot!(rejection(&format!("{{{}}}", members.join(","))), @"C205 the body: has an object of more than 1,024 members");
 }
 
 #[test]
-fn what_the_operators_page_calls_invalid_is_refused() {
+fn configurations_that_the_operators_page_calls_invalid_are_rejected() {
     insta::assert_snapshot!(with("\"Svc\":\"b\",\"Weight\":20", "\"Svc\":\"c\",\"Weight\":20"), @r##"C215 Routes[0].Split[1].Svc: there is no service "c""##);
     insta::assert_snapshot!(with("\"MaxQueued\":5000,\"Svc\":\"a\"", "\"Svc\":\"c\""), @r##"C215 Routes[1].Svc: there is no service "c""##);
     insta::assert_snapshot!(with("\"MaxQueued\":5000,\"Svc\":\"a\"", "\"Split\":[{\"Svc\":\"a\"}],\"Svc\":\"c\""), @r##"C215 Routes[1].Svc: there is no service "c""##);
@@ -70,8 +70,8 @@
 }
 
 #[test]
-fn what_says_nothing_is_refused() {
-    insta::assert_snapshot!(refused("{}"), @"C208 Gen: is missing");
+fn missing_and_malformed_members_are_rejected() {
+    insta::assert_snapshot!(rejection("{}"), @"C208 Gen: is missing");
     insta::assert_snapshot!(with("\"Routes\"", "\"routes\""), @"C208 Routes: is missing");
     insta::assert_snapshot!(with("\"Svcs\"", "\"svcs\""), @"C208 Svcs: is missing");
     insta::assert_snapshot!(with("\"Gen\":5", "\"Gen\":\"5\""), @"C207 Gen: must be a figure");
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn numbers_are_unique_and_rise() {
+fn codes_are_unique_and_ascending() {
     assert!(CODES.windows(2).all(|pair| pair[0].0 < pair[1].0));
     assert!(CODES
         .iter()
@@ -153,8 +153,8 @@
     })
 }
 
-/// Every number that is said is in the table, and the status is one that ends a call.
-fn holds(body: &[u8]) -> Result<(), TestCaseError> {
+/// Every code is in the table, and the status is one that ends a call.
+fn assert_read_or_rejected(body: &[u8]) -> Result<(), TestCaseError> {
     if let Err(error) = Config::read(body) {
         prop_assert!(CODES.iter().any(|(code, ..)| *code == error.code()));
         prop_assert!(matches!(error.status(), 400 | 413) && !error.path().is_empty());
@@ -164,41 +164,41 @@
 
 proptest! {
     #[test]
-    fn any_bytes_are_read_or_refused(body in proptest::collection::vec(any::<u8>(), 0..200)) {
-        holds(&body)?;
+    fn any_bytes_are_read_or_rejected(body in proptest::collection::vec(any::<u8>(), 0..200)) {
+        assert_read_or_rejected(&body)?;
     }
 
     #[test]
-    fn any_value_is_read_or_refused(body in value()) {
-        holds(body.as_bytes())?;
+    fn any_value_is_read_or_rejected(body in value()) {
+        assert_read_or_rejected(body.as_bytes())?;
     }
 
-    /// A valid one that was cut, or that has another byte somewhere, is read or refused.
+    /// A valid one that was truncated, or that has another byte somewhere, is read or rejected.
     #[test]
-    fn a_spoilt_one_is_read_or_refused(at in 0..VALID.len(), with in any::<u8>(), cut in any::<bool>()) {
+    fn corrupt_configuration_is_read_or_rejected(at in 0..VALID.len(), with in any::<u8>(), cut in any::<bool>()) {
         let mut body = VALID.as_bytes().to_vec();
         body[at] = with;
         if cut {
             body.truncate(at);
             prop_assert!(Config::read(&body).is_err());
         }
-        holds(&body)?;
+        assert_read_or_rejected(&body)?;
     }
 
     /// Any value in the place of a member's value.
     #[test]
-    fn any_value_of_any_member_is_read_or_refused(n in 0_usize..40, value in value()) {
+    fn any_value_of_any_member_is_read_or_rejected(n in 0_usize..40, value in value()) {
         let at = VALID.match_indices(':').map(|(at, _)| at + 1).nth(n).unwrap_or(7);
         let rest = &VALID[at..];
         let end = rest.find([',', '}', ']']).unwrap_or(rest.len());
-        holds(format!("{}{value}{}", &VALID[..at], &rest[end..]).as_bytes())?;
+        assert_read_or_rejected(format!("{}{value}{}", &VALID[..at], &rest[end..]).as_bytes())?;
     }
 }
 
-/// Each number of the table is said of something.
+/// Each code of the table stands in an expected text.
 #[test]
-fn each_number_is_in_use() {
-    let source = include_str!("refusals.rs");
+fn each_code_is_in_use() {
+    let source = include_str!("rejections.rs");
     let missing: Vec<u16> = CODES
         .iter()
         .map(|(code, ..)| *code)
