--- a/crates/dispatcher/fordrelay/src/lib.rs
+++ b/crates/dispatcher/fordrelay/src/lib.rs
@@ -26,7 +26,7 @@
     Check(Files, bool),
     Levels(LevelsArgs),
     Maintenance(MaintenanceArgs),
-    Tier(tier::TierArgs),
+    Tier(tier::TierCommand),
     Version,
 }
 
@@ -194,7 +194,7 @@
         Command::Check(files, json) => commands::check(&files, json),
         Command::Levels(args) => commands::levels(args),
         Command::Maintenance(args) => commands::maintenance(args),
-        Command::Tier(args) => return tier::run(args),
+        Command::Tier(command) => return tier::run(command),
         Command::Version => {
             println!("fordrelay {}", env!("CARGO_PKG_VERSION"));
             Ok(())
--- a/crates/dispatcher/fordrelay/src/tier/args.rs
+++ b/crates/dispatcher/fordrelay/src/tier/args.rs
@@ -5,100 +5,135 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// How long a configuration is sent if nothing else is said.
-const SPAN: Duration = Duration::from_secs(30);
+/// How long a configuration is retried unless another time is given.
+const DEFAULT_PUT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What is asked for.
+/// A subcommand with its arguments.
 #[derive(Debug, Clone)]
-pub enum TierArgs {
-    /// Have a configuration in force.
-    ConfigPut {
-        /// Where it stands.
-        file: PathBuf,
-        /// Whom to ask.
-        ctl: Vec<SocketAddr>,
-        /// The version on which it builds, if it is not the current one.
-        base: Option<u64>,
-        /// For how long it is sent.
-        span: Duration,
-    },
+pub enum TierCommand {
+    /// Apply a configuration.
+    ConfigPut(ConfigPut),
     /// Print the newest configuration.
     ConfigGet {
-        /// Whom to ask.
+        /// Addresses of controllers.
         ctl: Vec<SocketAddr>,
     },
-    /// Check a configuration here.
+    /// Validate a configuration locally.
     ConfigCheck {
-        /// Where it stands.
+        /// The file.
         file: PathBuf,
     },
-    /// Empty a machine of stores, or say how far that is.
-    Retire {
-        /// Its name.
-        node: String,
-        /// Seconds within which it is to be empty.
-        over: Option<f64>,
-        /// Go on until it is.
-        follow: bool,
-        /// Whom to ask.
-        ctl: Vec<SocketAddr>,
-    },
+    /// Retire a storage machine, or print how far that is.
+    Retire(Retire),
     /// Print the results of a batch job.
-    LotRead {
-        /// Which.
-        lot: Lot,
-        /// The position of the first.
+    BatchRead {
+        /// The job.
+        job: BatchJob,
+        /// The position of the first result.
         start: u64,
-        /// Go on until all are there.
-        follow: bool,
+        /// When to stop.
+        wait: Wait,
     },
-    /// End a batch job.
-    LotEnd {
-        /// Which.
-        lot: Lot,
+    /// Cancel a batch job.
+    BatchCancel {
+        /// The job.
+        job: BatchJob,
     },
     /// Print the body of an item.
-    LotBody {
-        /// Of which batch job.
-        lot: Lot,
-        /// Its id.
+    BatchItemBody {
+        /// The job.
+        job: BatchJob,
+        /// The id of the item.
         item: String,
     },
     /// Print the state of controllers.
     Status {
-        /// Whom to ask.
+        /// Addresses of controllers.
         ctl: Vec<SocketAddr>,
-        /// As JSON.
-        json: bool,
+        /// How it is printed.
+        format: Format,
     },
-    /// Check a settings file here.
+    /// Check a settings file locally.
     SettingsCheck {
-        /// Where it stands.
+        /// The file.
         file: PathBuf,
     },
     /// Print all result codes.
-    Codes,
+    ResultCodes,
+}
+
+/// Applies a configuration.
+#[derive(Debug, Clone)]
+pub struct ConfigPut {
+    /// The file.
+    pub file: PathBuf,
+    /// Addresses of controllers.
+    pub ctl: Vec<SocketAddr>,
+    /// The version on which it builds, if that isn't the current one.
+    pub base: Option<u64>,
+    /// How long it is retried.
+    pub timeout: Duration,
+}
+
+/// Retires a storage machine, or asks how far that is.
+#[derive(Debug, Clone)]
+pub struct Retire {
+    /// The name of the machine.
+    pub node: String,
+    /// Seconds within which it is to be empty; none only asks.
+    pub over_s: Option<f64>,
+    /// When to stop.
+    pub wait: Wait,
+    /// Addresses of controllers.
+    pub ctl: Vec<SocketAddr>,
 }
 
 /// A batch job.
 #[derive(Debug, Clone)]
-pub struct Lot {
+pub struct BatchJob {
     /// Its id.
     pub id: String,
     /// The host of its route.
     pub host: String,
-    /// Whom to ask.
+    /// Addresses of dispatchers.
     pub edge: Vec<SocketAddr>,
 }
 
+/// When a command that observes something stops.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Wait {
+    /// After what is there now.
+    No,
+    /// Once it is complete (`--follow`).
+    UntilComplete,
+}
+
+impl Wait {
+    fn from_switch(follow: bool) -> Self {
+        if follow {
+            Wait::UntilComplete
+        } else {
+            Wait::No
+        }
+    }
+}
+
+/// How the state of controllers is printed.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Format {
+    /// A line a key.
+    Table,
+    /// A line a controller (`--json`).
+    Json,
+}
+
 fn addrs(name: &'static str, help: &'static str) -> impl Parser<Vec<SocketAddr>> {
     long(name)
         .help(help)
         .argument::<String>("ADDR[,ADDR..]")
         .parse(|text| {
-            text.split(',')
-                .map(|addr| addr.trim().parse())
-                .collect::<Result<Vec<SocketAddr>, _>>()
+            let addrs = text.split(',').map(|addr| addr.trim().parse());
+            addrs.collect::<Result<Vec<SocketAddr>, _>>()
         })
 }
 
@@ -109,62 +144,68 @@
     )
 }
 
-fn config() -> impl Parser<TierArgs> {
+fn config() -> impl Parser<TierCommand> {
     let base = long("base")
         .help("The version on which it builds; the current one if it is not given")
         .argument::<u64>("N")
         .optional();
-    let span = long("for")
+    let timeout = long("for")
         .help("For how long it is sent until there is a clear answer, as in '30s'")
         .argument::<String>("SPAN")
         .parse(|text| humantime::parse_duration(&text))
-        .fallback(SPAN);
-    let c = ctl();
+        .fallback(DEFAULT_PUT_TIMEOUT);
+    let ctl_of_put = ctl();
     let file = positional::<PathBuf>("FILE").help("The configuration, in JSON");
-    let put = construct!(c, base, span, file)
-        .map(|(ctl, base, span, file)| TierArgs::ConfigPut {
-            file,
-            ctl,
-            base,
-            span,
+    let put = construct!(ctl_of_put, base, timeout, file)
+        .map(|(ctl, base, timeout, file)| {
+            TierCommand::ConfigPut(ConfigPut {
+                file,
+                ctl,
+                base,
+                timeout,
+            })
         })
         .to_options()
         .descr("Has a configuration in force")
         .command("put");
     let get = ctl()
-        .map(|ctl| TierArgs::ConfigGet { ctl })
+        .map(|ctl| TierCommand::ConfigGet { ctl })
         .to_options()
         .descr("Prints the newest configuration")
         .command("get");
     let check = positional::<PathBuf>("FILE")
         .help("The configuration, in JSON")
-        .map(|file| TierArgs::ConfigCheck { file })
+        .map(|file| TierCommand::ConfigCheck { file })
         .to_options()
         .descr("Says whether a configuration is valid, without asking anyone")
         .command("check");
     construct!([put, get, check])
 }
 
-fn retire() -> impl Parser<TierArgs> {
-    let over = long("over")
+fn retire() -> impl Parser<TierCommand> {
+    let over_s = long("over")
         .help(
             "Begin it: seconds within which the machine is to be empty; without this, only say how far it is",
         )
         .argument::<f64>("S")
         .guard(|s| s.is_finite() && *s >= 0.0, "must be 0 or more")
         .optional();
-    let follow = long("follow").help("Go on until it is complete").switch();
+    let wait = long("follow")
+        .help("Go on until it is complete")
+        .switch()
+        .map(Wait::from_switch);
     let ctl = ctl();
     let node = positional::<String>("NODE").help("The name of a storage machine");
-    construct!(TierArgs::Retire {
-        over,
-        follow,
+    construct!(Retire {
+        over_s,
+        wait,
         ctl,
         node
     })
+    .map(TierCommand::Retire)
 }
 
-fn lot() -> impl Parser<Lot> {
+fn batch_job() -> impl Parser<BatchJob> {
     let host = long("host")
         .help("The host of its route")
         .argument::<String>("H");
@@ -173,40 +214,59 @@
         "Addresses of dispatchers; the next one is asked where one fails",
     );
     let id = positional::<String>("ID").help("The id of the batch job");
-    construct!(Lot { host, edge, id })
+    construct!(BatchJob { host, edge, id })
 }
 
-fn lots() -> impl Parser<TierArgs> {
+fn batch_jobs() -> impl Parser<TierCommand> {
     let start = long("start")
         .help("The position of the first result; 0 if it is not given")
         .argument::<u64>("N")
         .fallback(0);
-    let follow = long("follow")
+    let wait = long("follow")
         .help("Go on until all results are there")
-        .switch();
-    let l = lot();
-    let read = construct!(start, follow, l)
-        .map(|(start, follow, lot)| TierArgs::LotRead { lot, start, follow })
+        .switch()
+        .map(Wait::from_switch);
+    let job = batch_job();
+    let read = construct!(start, wait, job)
+        .map(|(start, wait, job)| TierCommand::BatchRead { job, start, wait })
         .to_options()
         .descr("Prints its results, a line of JSON for each")
         .command("read");
-    let end = lot()
-        .map(|lot| TierArgs::LotEnd { lot })
+    let cancel = batch_job()
+        .map(|job| TierCommand::BatchCancel { job })
         .to_options()
         .descr("Ends it")
         .command("end");
-    let l = lot();
+    let job = batch_job();
     let item = positional::<String>("ITEM").help("The id of an item that has no result yet");
-    let body = construct!(l, item)
-        .map(|(lot, item)| TierArgs::LotBody { lot, item })
+    let item_body = construct!(job, item)
+        .map(|(job, item)| TierCommand::BatchItemBody { job, item })
         .to_options()
         .descr("Prints the body of an item")
         .command("body");
-    construct!([read, end, body])
+    construct!([read, cancel, item_body])
+}
+
+fn status() -> impl Parser<TierCommand> {
+    let format = long("json")
+        .help("Print JSON, a line for each controller")
+        .switch()
+        .map(|json| if json { Format::Json } else { Format::Table });
+    let ctl = ctl();
+    construct!(ctl, format).map(|(ctl, format)| TierCommand::Status { ctl, format })
+}
+
+fn settings() -> impl Parser<TierCommand> {
+    positional::<PathBuf>("FILE")
+        .help("A settings file, in TOML")
+        .map(|file| TierCommand::SettingsCheck { file })
+        .to_options()
+        .descr("Prints what a settings file comes to, defaults included, or the first fault")
+        .command("check")
 }
 
-/// The whole of it.
-pub fn args() -> impl Parser<TierArgs> {
+/// The parser of all subcommands.
+pub fn args() -> impl Parser<TierCommand> {
     let config = config()
         .to_options()
         .descr("Puts, gets or checks a configuration")
@@ -215,32 +275,21 @@
         .to_options()
         .descr("Empties a storage machine, or says how far that is")
         .command("retire");
-    let lots = lots()
+    let batch_jobs = batch_jobs()
         .to_options()
         .descr("Reads or ends a batch job")
         .command("lots");
-    let json = long("json")
-        .help("Print JSON, a line for each controller")
-        .switch();
-    let c = ctl();
-    let status = construct!(c, json)
-        .map(|(ctl, json)| TierArgs::Status { ctl, json })
+    let status = status()
         .to_options()
         .descr("Prints what each controller believes")
         .command("status");
-    let check = positional::<PathBuf>("FILE")
-        .help("A settings file, in TOML")
-        .map(|file| TierArgs::SettingsCheck { file })
-        .to_options()
-        .descr("Prints what a settings file comes to, defaults included, or the first fault")
-        .command("check");
-    let settings = check
+    let settings = settings()
         .to_options()
         .descr("Checks a settings file")
         .command("settings");
-    let codes = pure(TierArgs::Codes)
+    let result_codes = pure(TierCommand::ResultCodes)
         .to_options()
         .descr("Prints all result codes, as Markdown")
         .command("codes");
-    construct!([config, retire, lots, status, settings, codes])
+    construct!([config, retire, batch_jobs, status, settings, result_codes])
 }
--- a/crates/dispatcher/fordrelay/src/tier/config.rs
+++ b/crates/dispatcher/fordrelay/src/tier/config.rs
@@ -1,8 +1,9 @@
-//! Configurations: put, got, checked.
+//! Configurations: apply, print, validate.
 
-use super::call::{Answered, Call};
-use super::fault::Fault;
-use super::say;
+use super::args::ConfigPut;
+use super::client::{Answered, Call};
+use super::error::TierError;
+use super::output::print;
 use bytes::Bytes;
 use hyper::Method;
 use route_config::{Config, MAX_BODY};
@@ -12,25 +13,25 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// How long one that is in force is asked for.
-const READ_SPAN: Duration = Duration::from_secs(10);
+/// How long reading the current configuration is retried.
+const READ_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The part of a configuration that says which one it is.
+/// The part of a configuration that says which version it is.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 struct Version {
     gen: u64,
 }
 
-/// Says whether a file is a valid configuration.
-pub fn check(file: &Path) -> Result<(Config, Bytes), Fault> {
-    let unread = |e: std::io::Error| Fault::NoFile(format!("{}: {e}", file.display()));
+/// Validates a file, and gives the configuration with its bytes.
+pub fn check(file: &Path) -> Result<(Config, Bytes), TierError> {
+    let unreadable = |e: std::io::Error| TierError::NoFile(format!("{}: {e}", file.display()));
     let mut body = Vec::new();
-    let opened = std::fs::File::open(file).map_err(unread)?;
+    let opened = std::fs::File::open(file).map_err(unreadable)?;
     opened
         .take(MAX_BODY as u64 + 1)
         .read_to_end(&mut body)
-        .map_err(unread)?;
+        .map_err(unreadable)?;
     let config = Config::read(&body)?;
     eprintln!(
         "valid: version {}, {} routes, {} services",
@@ -41,54 +42,58 @@
     Ok((config, body.into()))
 }
 
-/// Has the configuration of a file in force.
-pub async fn put(
-    file: &Path,
-    ctl: &[SocketAddr],
-    base: Option<u64>,
-    span: Duration,
-) -> Result<(), Fault> {
-    let (config, body) = check(file)?;
-    let base = match base {
+/// Validates the configuration of a file and has the controllers apply it.
+pub async fn put(args: &ConfigPut) -> Result<(), TierError> {
+    let (config, body) = check(&args.file)?;
+    let base = match args.base {
         Some(base) => base,
-        None => current(ctl).await?,
+        None => current_version(&args.ctl).await?,
     };
     config.check_follows(base)?;
-    let call = Call::change(Method::POST, "/-/config/replace".to_owned(), body, span);
+    let call = Call::change(
+        Method::POST,
+        "/-/config/replace".to_owned(),
+        body,
+        args.timeout,
+    );
     let call = call.header("fordrelay-base-version", base.to_string());
-    let Answered { by, answer, tries } = call.anywhere(ctl).await?;
-    let again = match tries {
+    let Answered {
+        by,
+        answer,
+        attempts,
+    } = call.send_to_any(&args.ctl).await?;
+    let retried = match attempts {
         0 => String::new(),
-        tries => format!(", after {tries} tries without a clear answer"),
+        attempts => format!(", after {attempts} tries without a clear answer"),
     };
-    say(format!(
-        "acknowledged: version {} on top of {base}, {} by {by}{again}\n",
+    print(format!(
+        "acknowledged: version {} on top of {base}, {} by {by}{retried}\n",
         config.version,
         answer.status.as_u16()
     ))
 }
 
-/// The version that is current; 0 if there is none yet.
-async fn current(ctl: &[SocketAddr]) -> Result<u64, Fault> {
+/// The current version; 0 if there is none yet.
+async fn current_version(ctl: &[SocketAddr]) -> Result<u64, TierError> {
     match newest(ctl).await {
         Ok(Answered { by, answer, .. }) => {
             let read = serde_json::from_slice::<Version>(&answer.body);
             read.map(|version| version.gen)
-                .map_err(|e| Fault::Unreadable(format!("the configuration of {by}: {e}")))
+                .map_err(|e| TierError::Unreadable(format!("the configuration of {by}: {e}")))
         }
-        Err(Fault::Refused { status: 404, .. }) => Ok(0),
-        Err(fault) => Err(fault),
+        Err(TierError::Refused { status: 404, .. }) => Ok(0),
+        Err(error) => Err(error),
     }
 }
 
-async fn newest(ctl: &[SocketAddr]) -> Result<Answered, Fault> {
-    Call::get("/-/config/get".to_owned(), READ_SPAN)
-        .anywhere(ctl)
+async fn newest(ctl: &[SocketAddr]) -> Result<Answered, TierError> {
+    Call::get("/-/config/get".to_owned(), READ_TIMEOUT)
+        .send_to_any(ctl)
         .await
 }
 
 /// Prints the newest configuration as it was sent.
-pub async fn get(ctl: &[SocketAddr]) -> Result<(), Fault> {
+pub async fn get(ctl: &[SocketAddr]) -> Result<(), TierError> {
     let Answered { answer, .. } = newest(ctl).await?;
-    say(&answer.body)
+    print(&answer.body)
 }
--- a/crates/dispatcher/fordrelay/src/tier/fault.rs
+++ b/crates/dispatcher/fordrelay/src/tier/error.rs
@@ -1,9 +1,9 @@
-//! Why a command did not do what it was asked for.
+//! Why a command failed.
 
 use route_config::ConfigError;
 use tier_settings::SettingsError;
 
-/// The numbers of the command's own faults, each with its name and what it means.
+/// The codes of the command's own errors, each with its name and what it means.
 pub const CODES: &[(u16, &str, &str)] = &[
     (301, "not-reached", "No address answered, and nothing was done."),
     (
@@ -11,7 +11,11 @@
         "unclear",
         "There was no clear answer: what was asked for may have been done. Ask again unchanged, or look.",
     ),
-    (303, "another-version", "Another version is current than the one the configuration builds on (412)."),
+    (
+        303,
+        "another-version",
+        "Another version is current than the one the configuration builds on (412).",
+    ),
     (304, "invalid", "What was sent is invalid or too large (400, 413, 422)."),
     (305, "unknown", "There is no such thing (404, 410)."),
     (306, "conflict", "It is under way already, or too few machines would be left (409)."),
@@ -23,47 +27,48 @@
     (312, "program", "The program itself could not go on."),
 ];
 
-/// Why not.
+/// Why a command failed. The texts are those that the operators' pages give.
 #[derive(Debug, thiserror::Error)]
-pub enum Fault {
-    /// Nobody there.
+pub enum TierError {
+    /// No address answered.
     #[error("O301 not-reached: {0}")]
     NotReached(String),
-    /// Nobody knows.
+    /// The outcome of an operation is unknown.
     #[error("O302 unclear: {0}")]
-    Unclear(String),
-    /// A no.
-    #[error("O{code} {name}: {said}", code = number(*.status), name = name(number(*.status)))]
+    Unknown(String),
+    /// The answer was an error status.
+    #[error("O{code} {name}: {text}", code = code_of(*.status), name = name_of(code_of(*.status)))]
     Refused {
-        /// Its status.
+        /// The status.
         status: u16,
-        /// Who says so, and why.
-        said: String,
-        /// It came after a try without a clear answer, so that it may be about what that try did.
-        repeated: bool,
+        /// Which address answered what.
+        text: String,
+        /// An attempt with an unknown outcome came before it, so that it may be about what that
+        /// attempt did.
+        after_unknown: bool,
     },
-    /// An answer without sense.
+    /// An answer that can't be decoded.
     #[error("O308 unreadable: {0}")]
     Unreadable(String),
     /// A file that can't be read.
     #[error("O309 no-file: {0}")]
     NoFile(String),
-    /// Some did not answer.
+    /// Some addresses did not answer.
     #[error("O311 not-all: {0}")]
     NotAll(String),
     /// What the system says.
     #[error("O312 program: {0}")]
-    Program(std::io::Error),
-    /// A configuration that is none.
-    #[error("{0}")]
+    Program(#[source] std::io::Error),
+    /// An invalid configuration.
+    #[error(transparent)]
     Config(#[from] ConfigError),
-    /// Settings that are none.
-    #[error("{0}")]
+    /// Invalid settings.
+    #[error(transparent)]
     Settings(#[from] SettingsError),
 }
 
-/// The number of a refusal by its status.
-fn number(status: u16) -> u16 {
+/// The code of an error status.
+fn code_of(status: u16) -> u16 {
     match status {
         412 => 303,
         400 | 413 | 422 => 304,
@@ -74,9 +79,9 @@
     }
 }
 
-fn name(number: u16) -> &'static str {
+fn name_of(code: u16) -> &'static str {
     CODES
         .iter()
-        .find(|(code, ..)| *code == number)
+        .find(|(known, ..)| *known == code)
         .map_or("", |(_, name, _)| name)
 }
--- a/crates/dispatcher/fordrelay/src/tier/mod.rs
+++ b/crates/dispatcher/fordrelay/src/tier/mod.rs
@@ -1,80 +1,65 @@
 //! The operators' command for the serving tier: `fordrelay tier ...`.
 //!
-//! What the tier says goes to stdout, as it came where it is data; what the command says about it goes to stderr. The
-//! command ends with 0 if all is done, with 1 if it was refused or not done, and with 3 if that is unclear.
+//! Data of the tier goes to stdout as it came; what the command says about it goes to stderr. The
+//! command exits with 0 if it succeeded, with 1 if it was refused or failed, and with 3 if the
+//! outcome is unknown.
 
 mod args;
-mod call;
-mod codes;
+mod batch_jobs;
+mod client;
 mod config;
-mod fault;
-mod lots;
+mod error;
+mod output;
+mod result_codes;
 mod retire;
-mod show;
+mod settings;
 mod status;
 
-pub use args::{args, TierArgs};
-use fault::Fault;
-use std::io::{ErrorKind, Write};
+pub use args::{args, TierCommand};
+use error::TierError;
+use output::print;
+use std::io::ErrorKind;
 use std::process::ExitCode;
 
-/// How the command ends if it is not known whether what was asked for happened.
-const UNCLEAR: u8 = 3;
+/// The exit code if it is unknown whether an operation happened.
+const EXIT_UNKNOWN: u8 = 3;
 
-/// Does what is asked for, and says why not.
-pub fn run(args: TierArgs) -> ExitCode {
-    match done(args) {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            // Whoever reads has read enough.
-            if matches!(&fault, Fault::Program(e) if e.kind() == ErrorKind::BrokenPipe) {
-                return ExitCode::SUCCESS;
-            }
-            eprintln!("fordrelay: {fault}");
-            match fault {
-                Fault::Unclear(_) => ExitCode::from(UNCLEAR),
-                _ => ExitCode::FAILURE,
-            }
-        }
+/// Runs the command and prints its error.
+pub fn run(command: TierCommand) -> ExitCode {
+    let Err(error) = execute(command) else {
+        return ExitCode::SUCCESS;
+    };
+    // A reader that closed its end has read enough.
+    if matches!(&error, TierError::Program(e) if e.kind() == ErrorKind::BrokenPipe) {
+        return ExitCode::SUCCESS;
+    }
+    eprintln!("fordrelay: {error}");
+    match error {
+        TierError::Unknown(_) => ExitCode::from(EXIT_UNKNOWN),
+        _ => ExitCode::FAILURE,
     }
 }
 
-fn done(args: TierArgs) -> Result<(), Fault> {
-    // Alone with its calls, one after the other.
+fn execute(command: TierCommand) -> Result<(), TierError> {
+    // One call after the other needs no further thread.
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .map_err(Fault::Program)?;
-    match args {
-        TierArgs::ConfigPut {
-            file,
-            ctl,
-            base,
-            span,
-        } => runtime.block_on(config::put(&file, &ctl, base, span)),
-        TierArgs::ConfigGet { ctl } => runtime.block_on(config::get(&ctl)),
-        TierArgs::ConfigCheck { file } => config::check(&file).map(|_| ()),
-        TierArgs::Retire {
-            node,
-            over,
-            follow,
-            ctl,
-        } => runtime.block_on(retire::retire(&node, over, follow, &ctl)),
-        TierArgs::LotRead { lot, start, follow } => {
-            runtime.block_on(lots::read(&lot, start, follow))
+        .map_err(TierError::Program)?;
+    match command {
+        TierCommand::ConfigPut(put) => runtime.block_on(config::put(&put)),
+        TierCommand::ConfigGet { ctl } => runtime.block_on(config::get(&ctl)),
+        TierCommand::ConfigCheck { file } => config::check(&file).map(|_| ()),
+        TierCommand::Retire(args) => runtime.block_on(retire::retire(&args)),
+        TierCommand::BatchRead { job, start, wait } => {
+            runtime.block_on(batch_jobs::read(&job, start, wait))
+        }
+        TierCommand::BatchCancel { job } => runtime.block_on(batch_jobs::cancel(&job)),
+        TierCommand::BatchItemBody { job, item } => {
+            runtime.block_on(batch_jobs::item_body(&job, &item))
         }
-        TierArgs::LotEnd { lot } => runtime.block_on(lots::end(&lot)),
-        TierArgs::LotBody { lot, item } => runtime.block_on(lots::body(&lot, &item)),
-        TierArgs::Status { ctl, json } => runtime.block_on(status::status(&ctl, json)),
-        TierArgs::SettingsCheck { file } => show::settings(&file),
-        TierArgs::Codes => say(codes::page()),
+        TierCommand::Status { ctl, format } => runtime.block_on(status::status(&ctl, format)),
+        TierCommand::SettingsCheck { file } => settings::check(&file),
+        TierCommand::ResultCodes => print(result_codes::page()),
     }
 }
-
-/// Prints something whole, at once.
-fn say(text: impl AsRef<[u8]>) -> Result<(), Fault> {
-    let mut out = std::io::stdout().lock();
-    out.write_all(text.as_ref())
-        .and_then(|()| out.flush())
-        .map_err(Fault::Program)
-}
--- a/crates/dispatcher/fordrelay/src/tier/status.rs
+++ b/crates/dispatcher/fordrelay/src/tier/status.rs
@@ -1,57 +1,67 @@
-//! What each controller believes.
+//! The state of each controller.
 
-use super::call::{refused, why, Call};
-use super::fault::Fault;
-use super::say;
+use super::args::Format;
+use super::client::{reason, refused, Call};
+use super::error::TierError;
+use super::output::print;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Each is asked once: who does not answer is a part of what is asked for.
-const ONCE: Duration = Duration::ZERO;
+/// Each controller gets one attempt: who does not answer is a part of the result.
+const NO_RETRY: Duration = Duration::ZERO;
 
-/// Prints it for each address.
-pub async fn status(ctl: &[SocketAddr], json: bool) -> Result<(), Fault> {
-    let call = Call::get("/-/status".to_owned(), ONCE);
-    let mut silent = Vec::new();
+/// Prints the state of the controller at each address.
+pub async fn status(ctl: &[SocketAddr], format: Format) -> Result<(), TierError> {
+    let call = Call::get("/-/status".to_owned(), NO_RETRY);
+    let mut failed = Vec::new();
     for addr in ctl {
-        let told = match call.at(*addr).await {
-            Ok((_, answer)) if answer.status.is_success() => {
-                serde_json::from_slice::<Value>(&answer.body)
-                    .map_err(|e| format!("O308 unreadable: {e}"))
-            }
-            Ok((by, answer)) => Err(refused(by, &answer, false).to_string()),
-            Err(e) => Err(Fault::NotReached(why(&e)).to_string()),
-        };
-        match told {
-            Ok(told) if json => say(format!("{told}\n"))?,
-            Ok(told) => say(table(*addr, &told))?,
-            Err(why) => {
-                eprintln!("{addr}: {why}");
-                silent.push(addr.to_string());
+        match read(&call, *addr).await {
+            Ok(state) if format == Format::Json => print(format!("{state}\n"))?,
+            Ok(state) => print(table(*addr, &state))?,
+            Err(error) => {
+                eprintln!("{addr}: {error}");
+                failed.push(addr.to_string());
             }
         }
     }
-    match silent.is_empty() {
+    match failed.is_empty() {
         true => Ok(()),
-        false => Err(Fault::NotAll(silent.join(", "))),
+        false => Err(TierError::NotAll(failed.join(", "))),
+    }
+}
+
+async fn read(call: &Call, addr: SocketAddr) -> Result<Value, TierError> {
+    let (by, answer) = call
+        .send_to(addr)
+        .await
+        .map_err(|e| TierError::NotReached(reason(&e)))?;
+    if !answer.status.is_success() {
+        return Err(refused(by, &answer, false));
     }
+    serde_json::from_slice(&answer.body).map_err(|e| TierError::Unreadable(e.to_string()))
+}
+
+/// A row of the table.
+struct Row {
+    key: String,
+    value: String,
 }
 
-/// One controller's, a line for each key.
-fn table(addr: SocketAddr, told: &Value) -> String {
-    let mut lines = Vec::new();
-    flat("", told, &mut lines);
-    let width = lines.iter().map(|(key, _)| key.len()).max().unwrap_or(0);
-    let lines: String = lines
-        .iter()
-        .map(|(key, value)| format!("  {key:width$} = {value}\n"))
-        .collect();
+/// One controller's state, a line for each key.
+fn table(addr: SocketAddr, state: &Value) -> String {
+    let mut rows = Vec::new();
+    flatten("", state, &mut rows);
+    let width = rows.iter().map(|row| row.key.len()).max().unwrap_or(0);
+    let line = |Row { key, value }: &Row| format!("  {key:width$} = {value}\n");
+    let lines: String = rows.iter().map(line).collect();
     format!("{addr}\n{lines}")
 }
 
-/// Names within names with a point between them; lists of plain values on one line, others an entry a line.
-fn flat(key: &str, value: &Value, lines: &mut Vec<(String, String)>) {
+/// Names within names with a point between them; lists of plain values on one line, others an entry
+/// a line.
+fn flatten(key: &str, value: &Value, rows: &mut Vec<Row>) {
+    let mut row = |key: String, value: String| rows.push(Row { key, value });
     match value {
         Value::Object(members) => {
             for (name, value) in members {
@@ -60,26 +70,24 @@
                 } else {
                     format!("{key}.{name}")
                 };
-                flat(&key, value, lines);
+                flatten(&key, value, rows);
             }
         }
         Value::Array(list) if list.iter().any(Value::is_object) => {
             for (n, entry) in list.iter().enumerate() {
                 let mut inner = Vec::new();
-                flat("", entry, &mut inner);
-                let inner: Vec<String> = inner
-                    .into_iter()
-                    .map(|(key, value)| format!("{key}={value}"))
-                    .collect();
-                lines.push((format!("{key}[{n}]"), inner.join(" ")));
+                flatten("", entry, &mut inner);
+                let pair = |Row { key, value }: Row| format!("{key}={value}");
+                let pairs: Vec<String> = inner.into_iter().map(pair).collect();
+                row(format!("{key}[{n}]"), pairs.join(" "));
             }
         }
-        Value::Array(list) if list.is_empty() => lines.push((key.to_owned(), "none".to_owned())),
+        Value::Array(list) if list.is_empty() => row(key.to_owned(), "none".to_owned()),
         Value::Array(list) => {
             let list: Vec<String> = list.iter().map(plain).collect();
-            lines.push((key.to_owned(), list.join(",")));
+            row(key.to_owned(), list.join(","));
         }
-        value => lines.push((key.to_owned(), plain(value))),
+        value => row(key.to_owned(), plain(value)),
     }
 }
 
--- a/crates/dispatcher/fordrelay/tests/tier/batch.rs
+++ b/crates/dispatcher/fordrelay/tests/tier/batch_jobs.rs
@@ -1,6 +1,6 @@
 //! Batch jobs.
 
-use crate::standin::{says, Nobody, StandIn};
+use crate::stub_server::{respond, ClosedPort, StubServer};
 use crate::tier;
 
 #[test]
@@ -10,7 +10,7 @@
         r#"{"Total":4,"NextCursor":3,"Results":[]}"#,
         r#"{"Total":4,"NextCursor":4,"Results":[{"Id":"c"}]}"#,
     ];
-    let edge = StandIn::new(pages.map(|page| says("200 OK", page)).into());
+    let edge = StubServer::new(pages.map(|page| respond("200 OK", page)).into());
     let addr = edge.addr.to_string();
     let args = [
         "lots",
@@ -23,27 +23,30 @@
         "--edge",
         &addr,
     ];
-    let said = tier(&[&args[..], &["--follow"]].concat());
-    assert_eq!((said.end, said.err.as_str()), (0, "4 of 4 results\n"));
-    insta::assert_snapshot!(said.out, @r##"
+    let output = tier(&[&args[..], &["--follow"]].concat());
+    assert_eq!(
+        (output.exit_code, output.err.as_str()),
+        (0, "4 of 4 results\n")
+    );
+    insta::assert_snapshot!(output.out, @r##"
         {"Id":"a","State":"complete","Message":"x\ny"}
         {"Id":"b","State":"abandoned"}
         {"Id":"c"}
         "##);
-    let asked = |start: u8| {
+    let requests = |start: u8| {
         format!("GET /-/lots/7f%2F1?StartAfter={start} host=h.example fordrelay-wait-ms=1000")
     };
-    assert_eq!(edge.asked(), [asked(1), asked(3), asked(3)]);
+    assert_eq!(edge.requests(), [requests(1), requests(3), requests(3)]);
 }
 
 #[test]
-fn what_is_there_is_printed_and_how_many_are_missing_is_said() {
+fn available_results_are_printed_with_their_count() {
     let page = r#"{"Total":4,"NextCursor":1,"Results":[{"Id":"a"}]}"#;
     let rest = r#"{"Total":4,"NextCursor":1,"Results":[]}"#;
-    let edge = StandIn::new(vec![says("200 OK", page), says("200 OK", rest)]);
-    let gone = Nobody::new();
+    let edge = StubServer::new(vec![respond("200 OK", page), respond("200 OK", rest)]);
+    let gone = ClosedPort::new();
     let edges = format!("{},{}", gone.addr, edge.addr);
-    let said = tier(&[
+    let output = tier(&[
         "lots",
         "read",
         "7f",
@@ -53,21 +56,21 @@
         &edges,
     ]);
     assert_eq!(
-        (said.end, said.out.as_str(), said.err.as_str()),
+        (output.exit_code, output.out.as_str(), output.err.as_str()),
         (0, "{\"Id\":\"a\"}\n", "1 of 4 results\n")
     );
 }
 
 #[test]
-fn pages_that_cannot_be_are_refused() {
+fn inconsistent_pages_are_rejected() {
     for page in [
         r#"{"Total":4,"NextCursor":3,"Results":[1]}"#,
         r#"{"Total":0,"NextCursor":1,"Results":[1]}"#,
         "{}",
         "",
     ] {
-        let edge = StandIn::new(vec![says("200 OK", page)]);
-        let said = tier(&[
+        let edge = StubServer::new(vec![respond("200 OK", page)]);
+        let output = tier(&[
             "lots",
             "read",
             "7f",
@@ -77,35 +80,40 @@
             &edge.addr.to_string(),
         ]);
         assert!(
-            said.end == 1 && said.out.is_empty() && said.err.contains("O308 unreadable"),
+            output.exit_code == 1
+                && output.out.is_empty()
+                && output.err.contains("O308 unreadable"),
             "{page}: {}",
-            said.err
+            output.err
         );
     }
 }
 
 #[test]
-fn one_is_ended_and_a_body_is_read() {
-    let edge = StandIn::new(vec![
-        says("200 OK", ""),
-        says("200 OK", "the bytes\n"),
-        says("404 Not Found", ""),
+fn a_job_is_cancelled_and_an_item_body_is_read() {
+    let edge = StubServer::new(vec![
+        respond("200 OK", ""),
+        respond("200 OK", "the bytes\n"),
+        respond("404 Not Found", ""),
     ]);
     let addr = edge.addr.to_string();
     let at = ["--host", "h.example", "--edge", &addr];
     let ended = tier(&[&["lots", "end", "7f"], &at[..]].concat());
-    assert_eq!((ended.end, ended.out), (0, format!("ended, by {addr}\n")));
+    assert_eq!(
+        (ended.exit_code, ended.out),
+        (0, format!("ended, by {addr}\n"))
+    );
     let body = tier(&[&["lots", "body", "7f", "i&1"], &at[..]].concat());
-    assert_eq!((body.end, body.out.as_str()), (0, "the bytes\n"));
+    assert_eq!((body.exit_code, body.out.as_str()), (0, "the bytes\n"));
     let none = tier(&[&["lots", "read", "70"], &at[..]].concat());
     assert_eq!(
         none.err,
         format!("fordrelay: O305 unknown: {addr} answers 404 Not Found\n")
     );
-    let asked = [
+    let requests = [
         "DELETE /-/lots/7f host=h.example",
         "GET /-/items/7f?Id=i%261 host=h.example",
         "GET /-/lots/70?StartAfter=0 host=h.example",
     ];
-    assert_eq!(edge.asked(), asked);
+    assert_eq!(edge.requests(), requests);
 }
--- a/crates/dispatcher/fordrelay/tests/tier/config.rs
+++ b/crates/dispatcher/fordrelay/tests/tier/config.rs
@@ -1,78 +1,81 @@
-//! Configurations, put and got.
+//! Applying and printing configurations.
 
-use crate::standin::{elsewhere, says, Answer, Nobody, StandIn};
+use crate::stub_server::{redirect_to, respond, Answer, ClosedPort, StubServer};
 use crate::{tier, Temp};
 
 const SEVENTH: &str = r#"{"Gen":7,"Routes":[{"Name":"r","Host":"h.example","Prefix":"/p/","Kind":"idempotent","TimeoutMs":500,"Svc":"s"}],"Svcs":[{"Name":"s"}]}"#;
 const VALID: &str = "valid: version 7, 1 routes, 1 services\n";
 
 #[test]
-fn the_base_is_read_first_and_the_file_is_sent_as_it_is() {
+fn the_base_version_is_read_first_and_the_file_is_sent_unchanged() {
     let file = Temp::new("first", SEVENTH);
-    let controller = StandIn::new(vec![
-        says("200 OK", r#"{"Gen":5,"Routes":[]}"#),
-        says("200 OK", ""),
+    let controller = StubServer::new(vec![
+        respond("200 OK", r#"{"Gen":5,"Routes":[]}"#),
+        respond("200 OK", ""),
     ]);
     let addr = controller.addr.to_string();
-    let said = tier(&["config", "put", file.path(), "--ctl", &addr]);
-    assert_eq!((said.end, said.err.as_str()), (0, VALID));
+    let output = tier(&["config", "put", file.path(), "--ctl", &addr]);
+    assert_eq!((output.exit_code, output.err.as_str()), (0, VALID));
     assert_eq!(
-        said.out,
+        output.out,
         format!("acknowledged: version 7 on top of 5, 200 by {addr}\n")
     );
     let put = format!("POST /-/config/replace host=ADDR fordrelay-base-version=5 {SEVENTH}");
     assert_eq!(
-        controller.asked(),
+        controller.requests(),
         ["GET /-/config/get host=ADDR".to_owned(), put]
     );
 }
 
 #[test]
-fn where_there_is_none_yet_the_base_is_0() {
+fn without_a_configuration_the_base_version_is_0() {
     let file = Temp::new("none", SEVENTH);
-    let controller = StandIn::new(vec![says("404 Not Found", ""), says("200 OK", "")]);
-    let said = tier(&[
+    let controller = StubServer::new(vec![respond("404 Not Found", ""), respond("200 OK", "")]);
+    let output = tier(&[
         "config",
         "put",
         file.path(),
         "--ctl",
         &controller.addr.to_string(),
     ]);
-    assert_eq!(said.end, 0, "{}", said.err);
+    assert_eq!(output.exit_code, 0, "{}", output.err);
     assert!(
-        said.out.starts_with("acknowledged: version 7 on top of 0"),
+        output
+            .out
+            .starts_with("acknowledged: version 7 on top of 0"),
         "{}",
-        said.out
+        output.out
     );
 }
 
-/// One is gone, one says nothing, one is not able to, and one sends on to one that sends on.
+/// One refuses connections, one sends nothing, one is unable, and one redirects to one that
+/// redirects.
 #[test]
-fn the_next_one_is_asked_with_the_same_until_there_is_a_clear_answer() {
+fn the_next_address_is_tried_until_the_outcome_is_known() {
     let file = Temp::new("next", SEVENTH);
-    let silent = StandIn::new(vec![Answer::Nothing]);
-    let unable = StandIn::new(vec![says("503 Service Unavailable", "no majority")]);
-    let head = StandIn::new(vec![says("200 OK", "")]);
-    let second = StandIn::new(vec![elsewhere(head.addr, "/-/config/replace")]);
-    let first = StandIn::new(vec![elsewhere(second.addr, "/-/config/replace")]);
-    let gone = Nobody::new();
+    let silent = StubServer::new(vec![Answer::Disconnect]);
+    let unable = StubServer::new(vec![respond("503 Service Unavailable", "no majority")]);
+    let head = StubServer::new(vec![respond("200 OK", "")]);
+    let second = StubServer::new(vec![redirect_to(head.addr, "/-/config/replace")]);
+    let first = StubServer::new(vec![redirect_to(second.addr, "/-/config/replace")]);
+    let gone = ClosedPort::new();
     let ctl = format!(
         "{},{},{},{}",
         gone.addr, silent.addr, unable.addr, first.addr
     );
-    let said = tier(&["config", "put", file.path(), "--base", "6", "--ctl", &ctl]);
-    assert_eq!((said.end, said.err.as_str()), (0, VALID));
+    let output = tier(&["config", "put", file.path(), "--base", "6", "--ctl", &ctl]);
+    assert_eq!((output.exit_code, output.err.as_str()), (0, VALID));
     let tail = format!(
         "200 by {}, after 3 tries without a clear answer\n",
         head.addr
     );
     assert_eq!(
-        said.out,
+        output.out,
         format!("acknowledged: version 7 on top of 6, {tail}")
     );
     for one in [silent, unable, first, second, head] {
         assert_eq!(
-            one.asked(),
+            one.requests(),
             [format!(
                 "POST /-/config/replace host=ADDR fordrelay-base-version=6 {SEVENTH}"
             )]
@@ -81,7 +84,7 @@
 }
 
 #[test]
-fn a_no_ends_the_call_with_its_code() {
+fn a_final_refusal_ends_the_call_with_its_code() {
     let file = Temp::new("no", SEVENTH);
     for (status, text, code) in [
         (
@@ -99,29 +102,32 @@
         ("409 Conflict", "", "O306 conflict"),
         ("403 Forbidden", "", "O307 refused"),
     ] {
-        let controller = StandIn::new(vec![says(status, text)]);
+        let controller = StubServer::new(vec![respond(status, text)]);
         let addr = controller.addr.to_string();
-        let said = tier(&["config", "put", file.path(), "--base", "5", "--ctl", &addr]);
+        let output = tier(&["config", "put", file.path(), "--base", "5", "--ctl", &addr]);
         let colon = if text.is_empty() { "" } else { ": " };
         let text = text.replace("\r\n", "  ");
         let fault = format!("{VALID}fordrelay: {code}: {addr} answers {status}{colon}{text}\n");
-        assert_eq!((said.end, said.out.as_str(), said.err), (1, "", fault));
-        assert_eq!(controller.asked().len(), 1);
+        assert_eq!(
+            (output.exit_code, output.out.as_str(), output.err),
+            (1, "", fault)
+        );
+        assert_eq!(controller.requests().len(), 1);
     }
 }
 
-/// Another 4xx may be the word of one only: the third one's stands.
+/// Another 4xx may be one server's alone: the third one is final.
 #[test]
-fn the_third_other_no_ends_the_call() {
+fn the_third_refusal_ends_the_call() {
     let file = Temp::new("third", SEVENTH);
-    let controllers: Vec<StandIn> = (0..3)
-        .map(|_| StandIn::new(vec![says("404 Not Found", "")]))
+    let controllers: Vec<StubServer> = (0..3)
+        .map(|_| StubServer::new(vec![respond("404 Not Found", "")]))
         .collect();
     let ctl: Vec<String> = controllers
         .iter()
         .map(|controller| controller.addr.to_string())
         .collect();
-    let said = tier(&[
+    let output = tier(&[
         "config",
         "put",
         file.path(),
@@ -130,19 +136,19 @@
         "--ctl",
         &ctl.join(","),
     ]);
-    assert_eq!(said.end, 1);
+    assert_eq!(output.exit_code, 1);
     assert!(
-        said.err.contains("O305 unknown") && said.err.contains(&ctl[2]),
+        output.err.contains("O305 unknown") && output.err.contains(&ctl[2]),
         "{}",
-        said.err
+        output.err
     );
     assert!(controllers
         .into_iter()
-        .all(|controller| controller.asked().len() == 1));
+        .all(|controller| controller.requests().len() == 1));
 }
 
 #[test]
-fn no_clear_answer_is_said_apart_from_no_answer() {
+fn an_unknown_outcome_differs_from_no_answer() {
     let file = Temp::new("unclear", SEVENTH);
     let put = |ctl: String| {
         tier(&[
@@ -157,18 +163,18 @@
             &ctl,
         ])
     };
-    let nobody = Nobody::new();
+    let nobody = ClosedPort::new();
     let gone = put(nobody.addr.to_string());
-    assert_eq!(gone.end, 1);
+    assert_eq!(gone.exit_code, 1);
     assert!(
         gone.err
             .contains("O301 not-reached: can't reach 127.0.0.1:"),
         "{}",
         gone.err
     );
-    let silent = StandIn::new(vec![Answer::Nothing]);
+    let silent = StubServer::new(vec![Answer::Disconnect]);
     let unclear = put(silent.addr.to_string());
-    assert_eq!(unclear.end, 3);
+    assert_eq!(unclear.exit_code, 3);
     assert!(
         unclear
             .err
@@ -176,27 +182,27 @@
         "{}",
         unclear.err
     );
-    let busy = StandIn::new(vec![says("429 Too Many Requests", "")]);
+    let busy = StubServer::new(vec![respond("429 Too Many Requests", "")]);
     let refused = put(busy.addr.to_string());
-    assert_eq!(refused.end, 1);
+    assert_eq!(refused.exit_code, 1);
     assert!(
         refused.err.contains("O310 not-now: 127.0.0.1:"),
         "{}",
         refused.err
     );
-    let failing = StandIn::new(vec![says("500 Internal Server Error", "")]);
-    assert_eq!(put(failing.addr.to_string()).end, 3);
+    let failing = StubServer::new(vec![respond("500 Internal Server Error", "")]);
+    assert_eq!(put(failing.addr.to_string()).exit_code, 3);
 }
 
-/// Sent on a third time, it is no answer.
+/// A third redirect is an error.
 #[test]
-fn nobody_is_sent_on_for_ever() {
+fn redirects_are_bounded() {
     let file = Temp::new("circle", SEVENTH);
-    let gone = Nobody::new();
-    let last = StandIn::new(vec![elsewhere(gone.addr, "/-/config/replace")]);
-    let second = StandIn::new(vec![elsewhere(last.addr, "/-/config/replace")]);
-    let first = StandIn::new(vec![elsewhere(second.addr, "/-/config/replace")]);
-    let said = tier(&[
+    let gone = ClosedPort::new();
+    let last = StubServer::new(vec![redirect_to(gone.addr, "/-/config/replace")]);
+    let second = StubServer::new(vec![redirect_to(last.addr, "/-/config/replace")]);
+    let first = StubServer::new(vec![redirect_to(second.addr, "/-/config/replace")]);
+    let output = tier(&[
         "config",
         "put",
         file.path(),
@@ -207,20 +213,20 @@
         "--ctl",
         &first.addr.to_string(),
     ]);
-    assert_eq!(said.end, 1);
+    assert_eq!(output.exit_code, 1);
     assert!(
-        said.err.contains("O307 refused") && said.err.contains("307 Temporary Redirect"),
+        output.err.contains("O307 refused") && output.err.contains("307 Temporary Redirect"),
         "{}",
-        said.err
+        output.err
     );
 }
 
-/// What is invalid or old is found here: nobody is asked to take it.
+/// An invalid or outdated configuration is found locally and not sent.
 #[test]
-fn what_is_invalid_is_not_sent() {
+fn invalid_configurations_are_not_sent() {
     let file = Temp::new("invalid", &SEVENTH.replace("500", "0"));
-    let gone = Nobody::new();
-    let said = tier(&[
+    let gone = ClosedPort::new();
+    let output = tier(&[
         "config",
         "put",
         file.path(),
@@ -228,49 +234,49 @@
         &gone.addr.to_string(),
     ]);
     assert_eq!(
-        (said.end, said.err.as_str()),
+        (output.exit_code, output.err.as_str()),
         (1, "fordrelay: C214 Routes[0].TimeoutMs: is 0\n")
     );
     let old = Temp::new("old", SEVENTH);
-    let controller = StandIn::new(vec![says("200 OK", r#"{"Gen":7}"#)]);
-    let said = tier(&[
+    let controller = StubServer::new(vec![respond("200 OK", r#"{"Gen":7}"#)]);
+    let output = tier(&[
         "config",
         "put",
         old.path(),
         "--ctl",
         &controller.addr.to_string(),
     ]);
-    assert_eq!((said.end, said.out.as_str()), (1, ""));
+    assert_eq!((output.exit_code, output.out.as_str()), (1, ""));
     assert_eq!(
-        said.err,
+        output.err,
         format!("{VALID}fordrelay: C219 Gen: is 7, and the current version is 7\n")
     );
 }
 
 #[test]
-fn the_newest_is_printed_byte_for_byte() {
+fn the_newest_configuration_is_printed_byte_for_byte() {
     let body = "{\"Gen\":7,\n \"Routes\":[\"\u{e9}\"]}";
-    let controller = StandIn::new(vec![says("200 OK", body)]);
-    let gone = Nobody::new();
-    let said = tier(&[
+    let controller = StubServer::new(vec![respond("200 OK", body)]);
+    let gone = ClosedPort::new();
+    let output = tier(&[
         "config",
         "get",
         "--ctl",
         &format!("{},{}", gone.addr, controller.addr),
     ]);
     assert_eq!(
-        (said.end, said.out.as_str(), said.err.as_str()),
+        (output.exit_code, output.out.as_str(), output.err.as_str()),
         (0, body, "")
     );
-    let odd = StandIn::new(vec![says("200 OK", "[]")]);
+    let odd = StubServer::new(vec![respond("200 OK", "[]")]);
     let file = Temp::new("odd", SEVENTH);
-    let said = tier(&["config", "put", file.path(), "--ctl", &odd.addr.to_string()]);
+    let output = tier(&["config", "put", file.path(), "--ctl", &odd.addr.to_string()]);
     assert!(
-        said.end == 1
-            && said
+        output.exit_code == 1
+            && output
                 .err
                 .contains("O308 unreadable: the configuration of 127.0.0.1:"),
         "{}",
-        said.err
+        output.err
     );
 }
--- a/crates/dispatcher/fordrelay/tests/tier/state.rs
+++ b/crates/dispatcher/fordrelay/tests/tier/controllers.rs
@@ -1,18 +1,18 @@
-//! Machines that are emptied, and what controllers believe.
+//! Retiring machines, and the state of controllers.
 
-use crate::standin::{says, Answer, Nobody, StandIn};
+use crate::stub_server::{respond, Answer, ClosedPort, StubServer};
 use crate::tier;
 
 #[test]
-fn a_machine_is_emptied_and_followed_until_it_is() {
-    let mut answers = vec![says("200 OK", "")];
+fn a_machine_is_retired_and_followed_to_completion() {
+    let mut answers = vec![respond("200 OK", "")];
     answers.extend(
         ["rolling", "rolling", "complete"]
-            .map(|state| says("200 OK", &format!("{{\"State\":\"{state}\"}}"))),
+            .map(|state| respond("200 OK", &format!("{{\"State\":\"{state}\"}}"))),
     );
-    let controller = StandIn::new(answers);
+    let controller = StubServer::new(answers);
     let addr = controller.addr.to_string();
-    let said = tier(&[
+    let output = tier(&[
         "retire",
         "storage-a-1",
         "--over",
@@ -21,14 +21,14 @@
         "--ctl",
         &addr,
     ]);
-    assert_eq!((said.end, said.err.as_str()), (0, ""));
+    assert_eq!((output.exit_code, output.err.as_str()), (0, ""));
     assert_eq!(
-        said.out,
+        output.out,
         format!("begun, by {addr}\nrolling, by {addr}\ncomplete, by {addr}\n")
     );
     let get = "GET /-/retire/storage-a-1/get host=ADDR";
     assert_eq!(
-        controller.asked(),
+        controller.requests(),
         [
             "POST /-/retire/storage-a-1/begin host=ADDR {\"OverS\":12.5}",
             get,
@@ -39,35 +39,38 @@
 }
 
 #[test]
-fn how_far_it_is_can_be_asked_alone() {
-    let controller = StandIn::new(vec![
-        says("200 OK", "{\"State\":\"rolling\"}"),
-        says("200 OK", "{}"),
+fn progress_can_be_queried_alone() {
+    let controller = StubServer::new(vec![
+        respond("200 OK", "{\"State\":\"rolling\"}"),
+        respond("200 OK", "{}"),
     ]);
     let addr = controller.addr.to_string();
-    let said = tier(&["retire", "s", "--ctl", &addr]);
-    assert_eq!((said.end, said.out), (0, format!("rolling, by {addr}\n")));
+    let output = tier(&["retire", "s", "--ctl", &addr]);
+    assert_eq!(
+        (output.exit_code, output.out),
+        (0, format!("rolling, by {addr}\n"))
+    );
     let odd = tier(&["retire", "s", "--ctl", &addr]);
     assert!(
-        odd.end == 1 && odd.err.contains("O308 unreadable: how far it is"),
+        odd.exit_code == 1 && odd.err.contains("O308 unreadable: how far it is"),
         "{}",
         odd.err
     );
 }
 
-/// A conflict is a no, unless it may be about an order of ours that was taken without an answer.
+/// A conflict is a refusal, unless it may be about an earlier attempt with an unknown outcome.
 #[test]
-fn a_conflict_after_silence_is_ours() {
-    let few = StandIn::new(vec![says("409 Conflict", "too few would be left")]);
-    let said = tier(&["retire", "s", "--over", "9", "--ctl", &few.addr.to_string()]);
-    assert_eq!(said.end, 1);
+fn a_conflict_after_an_unknown_outcome_is_success() {
+    let few = StubServer::new(vec![respond("409 Conflict", "too few would be left")]);
+    let output = tier(&["retire", "s", "--over", "9", "--ctl", &few.addr.to_string()]);
+    assert_eq!(output.exit_code, 1);
     assert!(
-        said.err.contains("O306 conflict") && said.err.contains("too few would be left"),
+        output.err.contains("O306 conflict") && output.err.contains("too few would be left"),
         "{}",
-        said.err
+        output.err
     );
-    let silent = StandIn::new(vec![Answer::Nothing, says("409 Conflict", "")]);
-    let said = tier(&[
+    let silent = StubServer::new(vec![Answer::Disconnect, respond("409 Conflict", "")]);
+    let output = tier(&[
         "retire",
         "s",
         "--over",
@@ -76,7 +79,7 @@
         &silent.addr.to_string(),
     ]);
     assert_eq!(
-        (said.end, said.out.as_str()),
+        (output.exit_code, output.out.as_str()),
         (0, "begun, by a try without an answer\n")
     );
 }
@@ -86,12 +89,12 @@
 "Stores":[],"Lag":[0,12],"Odd":null}"#;
 
 #[test]
-fn each_controller_says_what_it_believes() {
-    let controller = StandIn::new(vec![says("200 OK", STATUS), says("200 OK", STATUS)]);
+fn each_controllers_state_is_printed() {
+    let controller = StubServer::new(vec![respond("200 OK", STATUS), respond("200 OK", STATUS)]);
     let addr = controller.addr.to_string();
-    let said = tier(&["status", "--ctl", &addr]);
-    assert_eq!((said.end, said.err.as_str()), (0, ""));
-    insta::assert_snapshot!(said.out.replace(&addr, "ADDR"), @r##"
+    let output = tier(&["status", "--ctl", &addr]);
+    assert_eq!((output.exit_code, output.err.as_str()), (0, ""));
+    insta::assert_snapshot!(output.out.replace(&addr, "ADDR"), @r##"
         ADDR
           Chain            = edge-a-1,edge-b-1
           Config.Active    = 5
@@ -118,23 +121,23 @@
 }
 
 #[test]
-fn those_that_do_not_answer_are_named() {
-    let nobody = Nobody::new();
+fn controllers_that_do_not_answer_are_named() {
+    let nobody = ClosedPort::new();
     let (gone, controller) = (
         nobody.addr.to_string(),
-        StandIn::new(vec![says("200 OK", "{\"View\":1}")]),
+        StubServer::new(vec![respond("200 OK", "{\"View\":1}")]),
     );
-    let refusing = StandIn::new(vec![says("404 Not Found", "")]);
+    let refusing = StubServer::new(vec![respond("404 Not Found", "")]);
     let ctl = format!("{gone},{},{}", controller.addr, refusing.addr);
-    let said = tier(&["status", "--ctl", &ctl]);
+    let output = tier(&["status", "--ctl", &ctl]);
     assert_eq!(
-        (said.end, said.out),
+        (output.exit_code, output.out),
         (1, format!("{}\n  View = 1\n", controller.addr))
     );
     let last = format!("fordrelay: O311 not-all: {gone}, {}\n", refusing.addr);
     assert!(
-        said.err.ends_with(&last) && said.err.contains("O301") && said.err.contains("O305"),
+        output.err.ends_with(&last) && output.err.contains("O301") && output.err.contains("O305"),
         "{}",
-        said.err
+        output.err
     );
 }
--- a/crates/dispatcher/fordrelay/tests/tier/forms.rs
+++ b/crates/dispatcher/fordrelay/tests/tier/exit_codes.rs
@@ -1,21 +1,22 @@
-//! The exit codes and the `--json` forms that scripts of the operators go by.
+//! The exit codes and the `--json` forms that operators' scripts depend on.
 
-use crate::standin::{says, Answer, Nobody, StandIn};
+use crate::stub_server::{respond, Answer, ClosedPort, StubServer};
 use crate::{tier, Temp};
 use std::process::{Command, Stdio};
 
-/// An object a line for each controller that answers, its keys in alphabetical order, numbers as they came.
+/// An object a line for each controller that answers, its keys in alphabetical order, numbers as
+/// they came.
 #[test]
 fn status_as_json_is_a_line_for_each_controller() {
-    let first = StandIn::new(vec![says(
+    let first = StubServer::new(vec![respond(
         "200 OK",
         "{\"View\": 9, \"Chain\": [\"a\", \"b\"],\n \"Config\": {\"Gen\": 7}, \"X\": 0.5}",
     )]);
-    let second = StandIn::new(vec![says(
+    let second = StubServer::new(vec![respond(
         "200 OK",
         "{\"View\":8,\"Odd\":null,\"Text\":\"k\u{e9}\\n\"}",
     )]);
-    let said = tier(&[
+    let output = tier(&[
         "status",
         "--json",
         "--ctl",
@@ -24,28 +25,34 @@
     let lines = "{\"Chain\":[\"a\",\"b\"],\"Config\":{\"Gen\":7},\"View\":9,\"X\":0.5}\n\
         {\"Odd\":null,\"Text\":\"k\u{e9}\\n\",\"View\":8}\n";
     assert_eq!(
-        (said.end, said.out.as_str(), said.err.as_str()),
+        (output.exit_code, output.out.as_str(), output.err.as_str()),
         (0, lines, "")
     );
 }
 
 #[test]
 fn status_as_json_ends_with_1_if_one_does_not_answer() {
-    let (gone, odd) = (Nobody::new(), StandIn::new(vec![says("200 OK", "no json")]));
-    let controller = StandIn::new(vec![says("200 OK", "{\"View\":1}")]);
+    let (gone, odd) = (
+        ClosedPort::new(),
+        StubServer::new(vec![respond("200 OK", "no json")]),
+    );
+    let controller = StubServer::new(vec![respond("200 OK", "{\"View\":1}")]);
     let ctl = format!("{},{},{}", gone.addr, odd.addr, controller.addr);
-    let said = tier(&["status", "--json", "--ctl", &ctl]);
-    assert_eq!((said.end, said.out.as_str()), (1, "{\"View\":1}\n"));
-    let lines: Vec<&str> = said.err.lines().collect();
+    let output = tier(&["status", "--json", "--ctl", &ctl]);
+    assert_eq!(
+        (output.exit_code, output.out.as_str()),
+        (1, "{\"View\":1}\n")
+    );
+    let lines: Vec<&str> = output.err.lines().collect();
     assert!(
         lines[0].starts_with(&format!("{}: O301 not-reached: ", gone.addr)),
         "{}",
-        said.err
+        output.err
     );
     assert!(
         lines[1].starts_with(&format!("{}: O308 unreadable: ", odd.addr)),
         "{}",
-        said.err
+        output.err
     );
     assert_eq!(
         lines[2],
@@ -53,35 +60,35 @@
     );
 }
 
-/// Where it is not known whether an order was taken, each command that orders something ends with 3.
+/// A command that changes something ends with 3 if it is unknown whether that happened.
 #[test]
-fn an_order_without_a_clear_answer_ends_with_3() {
+fn an_operation_with_an_unknown_outcome_ends_with_3() {
     let silent = || {
-        StandIn::new(
+        StubServer::new(
             (0..100)
-                .map(|_| says("500 Internal Server Error", ""))
+                .map(|_| respond("500 Internal Server Error", ""))
                 .collect(),
         )
     };
     let one = silent();
-    let said = tier(&["retire", "s", "--over", "9", "--ctl", &one.addr.to_string()]);
-    assert_eq!((said.end, said.out.as_str()), (3, ""));
+    let output = tier(&["retire", "s", "--over", "9", "--ctl", &one.addr.to_string()]);
+    assert_eq!((output.exit_code, output.out.as_str()), (3, ""));
     assert!(
-        said.err.starts_with("fordrelay: O302 unclear: "),
+        output.err.starts_with("fordrelay: O302 unclear: "),
         "{}",
-        said.err
+        output.err
     );
 }
 
 #[test]
 fn a_refusal_ends_with_1_in_each_command() {
     let refused = |args: &[&str], at: &str, status: &'static str, code: &str| {
-        let one = StandIn::new(vec![says(status, "why")]);
+        let one = StubServer::new(vec![respond(status, "why")]);
         let addr = one.addr.to_string();
-        let said = tier(&[args, &[at, &addr]].concat());
+        let output = tier(&[args, &[at, &addr]].concat());
         let fault = format!("fordrelay: {code}: {addr} answers {status}: why\n");
         assert_eq!(
-            (said.end, said.out.as_str(), said.err),
+            (output.exit_code, output.out.as_str(), output.err),
             (1, "", fault),
             "{args:?}"
         );
@@ -116,31 +123,32 @@
 
 #[test]
 fn a_file_that_cannot_be_read_ends_with_1() {
-    let said = tier(&["settings", "check", "/nowhere/at/all"]);
-    assert_eq!((said.end, said.out.as_str()), (1, ""));
+    let output = tier(&["settings", "check", "/nowhere/at/all"]);
+    assert_eq!((output.exit_code, output.out.as_str()), (1, ""));
     assert!(
-        said.err.starts_with("fordrelay: S102 /nowhere/at/all: "),
+        output.err.starts_with("fordrelay: S102 /nowhere/at/all: "),
         "{}",
-        said.err
+        output.err
     );
-    let said = tier(&["config", "put", "/nowhere/at/all", "--ctl", "127.0.0.1:1"]);
-    assert_eq!((said.end, said.out.as_str()), (1, ""));
+    let output = tier(&["config", "put", "/nowhere/at/all", "--ctl", "127.0.0.1:1"]);
+    assert_eq!((output.exit_code, output.out.as_str()), (1, ""));
     assert!(
-        said.err
+        output
+            .err
             .starts_with("fordrelay: O309 no-file: /nowhere/at/all: "),
         "{}",
-        said.err
+        output.err
     );
 }
 
 #[test]
 fn the_codes_end_with_0_and_begin_with_their_head() {
-    let said = tier(&["codes"]);
-    assert_eq!((said.end, said.err.as_str()), (0, ""));
-    assert!(said
+    let output = tier(&["codes"]);
+    assert_eq!((output.exit_code, output.err.as_str()), (0, ""));
+    assert!(output
         .out
         .starts_with("# Result codes\n\nWritten by `fordrelay tier codes`; a test compares."));
-    insta::assert_snapshot!(said.out.split("## The operators' command\n").nth(1).unwrap(), @r##"
+    insta::assert_snapshot!(output.out.split("## The operators' command\n").nth(1).unwrap(), @r##"
         | code | name | meaning |
         | --- | --- | --- |
         | O301 | not-reached | No address answered, and nothing was done. |
@@ -158,13 +166,13 @@
         "##);
 }
 
-/// A reader that goes away early is no fault.
+/// A reader that closes its end early is no error.
 #[test]
 fn a_reader_that_closes_its_end_early_ends_with_0() {
     let mut child = Command::new(env!("CARGO_BIN_EXE_fordrelay"))
         .args(["tier", "lots", "body", "x", "i", "--host", "h", "--edge"])
         .arg({
-            let edge = StandIn::new(vec![Answer::Says(
+            let edge = StubServer::new(vec![Answer::Status(
                 "200 OK",
                 String::new(),
                 "x".repeat(1 << 20),
@@ -183,7 +191,7 @@
     );
 }
 
-/// What is printed of a file that says all it may.
+/// What is printed of a file with all keys.
 #[test]
 fn all_keys_of_a_settings_file_are_printed() {
     let file = Temp::new(
@@ -194,9 +202,9 @@
 [Limits]\nCpuFrac = 0.5\nNcpu = 2\nRamMb = 512\nNofile = 2048\nLinkMbps = 12.5\nDiskMb = 7
 [FaultBudget]\nNodes = 2\nZones = 1\nRegions = 1\n",
     );
-    let said = tier(&["settings", "check", file.path()]);
-    assert_eq!((said.end, said.err.as_str()), (0, ""));
-    insta::assert_snapshot!(said.out.split("[Bounds]").next().unwrap(), @r##"
+    let output = tier(&["settings", "check", file.path()]);
+    assert_eq!((output.exit_code, output.err.as_str()), (0, ""));
+    insta::assert_snapshot!(output.out.split("[Bounds]").next().unwrap(), @r##"
         Node = "n"
         Role = "r"
         MachineClass = "edge"
--- a/crates/dispatcher/fordrelay/tests/tier/offline.rs
+++ b/crates/dispatcher/fordrelay/tests/tier/local.rs
@@ -1,40 +1,42 @@
-//! What the command says without asking anyone.
+//! Subcommands that call no server.
 
 use crate::{tier, Temp};
 
 #[test]
-fn a_configuration_is_checked() {
+fn a_configuration_is_validated() {
     let file = Temp::new("check", r#"{"Gen":3,"Routes":[],"Svcs":[]}"#);
-    let said = tier(&["config", "check", file.path()]);
+    let output = tier(&["config", "check", file.path()]);
     assert_eq!(
-        (said.end, said.err.as_str()),
+        (output.exit_code, output.err.as_str()),
         (0, "valid: version 3, 0 routes, 0 services\n")
     );
     let file = Temp::new("cut", r#"{"Gen":3,"Routes":["#);
-    let said = tier(&["config", "check", file.path()]);
+    let output = tier(&["config", "check", file.path()]);
     assert_eq!(
-        (said.end, said.err.as_str()),
+        (output.exit_code, output.err.as_str()),
         (1, "fordrelay: C203 the body: Unexpected end of JSON\n")
     );
-    let said = tier(&["config", "check", "/nowhere/at/all"]);
+    let output = tier(&["config", "check", "/nowhere/at/all"]);
     assert!(
-        said.end == 1
-            && said
+        output.exit_code == 1
+            && output
                 .err
                 .starts_with("fordrelay: O309 no-file: /nowhere/at/all: "),
         "{}",
-        said.err
+        output.err
     );
 }
 
+/// A settings file that leaves most keys to their defaults.
+const SETTINGS: &str = "Node = 'a-1'\nRole = 'r'\nIp = '10.0.0.1'\nPortRange = [70, 75]\nServes = ['ctl']\nPeers = ['10.0.0.2:9']
+[Zones]\nz = 'y'\n[Bind]\nCtl = '10.0.0.1:9'\n[Limits]\nDiskMb = 64\n[Bounds]\nSyncS = 2.5\n";
+
 #[test]
 fn settings_are_checked_and_printed_with_their_defaults() {
-    let text = "Node = 'a-1'\nRole = 'r'\nIp = '10.0.0.1'\nPortRange = [70, 75]\nServes = ['ctl']\nPeers = ['10.0.0.2:9']
-[Zones]\nz = 'y'\n[Bind]\nCtl = '10.0.0.1:9'\n[Limits]\nDiskMb = 64\n[Bounds]\nSyncS = 2.5\n";
-    let file = Temp::new("settings", text);
-    let said = tier(&["settings", "check", file.path()]);
-    assert_eq!((said.end, said.err.as_str()), (0, ""));
-    insta::assert_snapshot!(said.out, @r##"
+    let file = Temp::new("settings", SETTINGS);
+    let output = tier(&["settings", "check", file.path()]);
+    assert_eq!((output.exit_code, output.err.as_str()), (0, ""));
+    insta::assert_snapshot!(output.out, @r##"
         Node = "a-1"
         Role = "r"
         MachineClass = ""
@@ -84,33 +86,36 @@
         SettleMs = 1000
         QuotaExcess = 0.1
         "##);
-    // What is printed is such a file itself, and says the same.
-    let again = Temp::new("again", &said.out);
-    assert_eq!(tier(&["settings", "check", again.path()]).out, said.out);
-    let narrow = Temp::new("narrow", &text.replace("75", "71"));
-    let said = tier(&["settings", "check", narrow.path()]);
+    // What is printed is such a file itself, with the same settings.
+    let again = Temp::new("again", &output.out);
+    assert_eq!(tier(&["settings", "check", again.path()]).out, output.out);
+}
+
+#[test]
+fn settings_with_too_few_ports_are_refused() {
+    let narrow = Temp::new("narrow", &SETTINGS.replace("75", "71"));
+    let output = tier(&["settings", "check", narrow.path()]);
     assert_eq!(
-        (said.end, said.err.as_str()),
+        (output.exit_code, output.err.as_str()),
         (1, "fordrelay: S109 PortRange: has no port for a Store\n")
     );
 }
 
-/// The page begins with what the command prints, renewed by `fordrelay tier codes`; what the programs of the tier say
-/// beside that may follow.
+/// The page begins with what the command prints, renewed by `fordrelay tier codes`; the codes of
+/// the tier's programs may follow.
 #[test]
 fn the_page_of_result_codes_is_what_the_program_says() {
     let page = concat!(env!("CARGO_MANIFEST_DIR"), "/../../../docs/result-codes.md");
-    let (page, said) = (std::fs::read_to_string(page).unwrap(), tier(&["codes"]).out);
+    let (page, output) = (std::fs::read_to_string(page).unwrap(), tier(&["codes"]).out);
     assert!(
-        page.starts_with(&said),
-        "docs/result-codes.md does not begin with:\n{said}"
+        page.starts_with(&output),
+        "docs/result-codes.md does not begin with:\n{output}"
     );
 }
 
-/// What the programs of the tier say by number: each number stands in the page once, and each one in their sources stands in
-/// the page.
+/// The codes in the sources of the tier's programs: each is in the page, once.
 #[test]
-fn every_number_means_one_thing_and_stands_in_the_page() {
+fn each_code_has_one_meaning_and_is_in_the_page() {
     let root = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../..");
     let page = std::fs::read_to_string(root.join("docs/result-codes.md")).unwrap();
     let listed: Vec<u32> = page
@@ -124,7 +129,7 @@
         .filter(|code| listed.iter().filter(|other| *other == code).count() > 1)
         .collect();
     assert!(twice.is_empty(), "two meanings of one number: {twice:?}");
-    let mut said = 0;
+    let mut output = 0;
     for place in ["control/controller", "batch/batch-store", "gateway/gateway"] {
         let mut folders = vec![root.join("crates").join(place).join("src")];
         while let Some(folder) = folders.pop() {
@@ -139,7 +144,7 @@
                 for code in after("\"code\" => ")
                     .chain(after("u16 = ").filter(|code| (1_000..4_000).contains(code)))
                 {
-                    said += 1;
+                    output += 1;
                     assert!(
                         once.contains(&code),
                         "{code} of {} isn't in the page",
@@ -149,7 +154,7 @@
             }
         }
     }
-    assert!(said > 30, "only {said} numbers were found");
+    assert!(output > 30, "only {output} numbers were found");
 }
 
 /// The number that a text begins with.
@@ -163,7 +168,7 @@
 }
 
 #[test]
-fn a_command_line_that_makes_no_sense_is_refused() {
+fn invalid_command_lines_are_refused() {
     for args in [
         &["config", "put", "f", "--ctl", "here"][..],
         &["config", "put", "f", "--ctl", "127.0.0.1:1", "--base", "-1"],
@@ -173,9 +178,9 @@
         &["status"],
         &[],
     ] {
-        let said = tier(args);
+        let output = tier(args);
         assert!(
-            said.end == 1 && said.out.is_empty() && !said.err.is_empty(),
+            output.exit_code == 1 && output.out.is_empty() && !output.err.is_empty(),
             "{args:?}"
         );
     }
--- a/crates/dispatcher/fordrelay/tests/tier/main.rs
+++ b/crates/dispatcher/fordrelay/tests/tier/main.rs
@@ -1,41 +1,40 @@
-//! `fordrelay tier` against stand-ins on loopback.
+//! `fordrelay tier` against stub servers on loopback.
 
 #![expect(clippy::unwrap_used, reason = "a test ends at the first surprise")]
-#![expect(clippy::too_many_lines, reason = "not revised yet")]
 
-mod batch;
+mod batch_jobs;
 mod config;
-mod forms;
-mod offline;
-mod standin;
-mod state;
+mod controllers;
+mod exit_codes;
+mod local;
+mod stub_server;
 
 use std::path::PathBuf;
 use std::process::Command;
 
-/// What the command said, and how it ended.
-struct Said {
+/// The output and the exit code of the command.
+struct Output {
     out: String,
     err: String,
-    end: i32,
+    exit_code: i32,
 }
 
 /// Runs the command to its end.
-fn tier(args: &[&str]) -> Said {
+fn tier(args: &[&str]) -> Output {
     let output = Command::new(env!("CARGO_BIN_EXE_fordrelay"))
         .arg("tier")
         .args(args)
         .output()
         .unwrap();
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).unwrap();
-    Said {
+    Output {
         out: text(output.stdout),
         err: text(output.stderr),
-        end: output.status.code().unwrap(),
+        exit_code: output.status.code().unwrap(),
     }
 }
 
-/// A file that is gone when the test is.
+/// A file that is removed with the test.
 struct Temp(PathBuf);
 
 impl Temp {
--- a/crates/dispatcher/fordrelay/tests/tier/standin.rs
+++ b/crates/dispatcher/fordrelay/tests/tier/stub_server.rs
@@ -1,39 +1,39 @@
-//! One who answers each call with what is written down for it.
+//! A server that gives each call a prepared answer.
 
 use socket2::{Domain, Socket, Type};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener};
 use std::thread::JoinHandle;
 
-/// Answers so many calls, one a connection, and keeps what was asked.
-pub struct StandIn {
+/// Answers so many calls, one a connection, and records the requests.
+pub struct StubServer {
     pub addr: SocketAddr,
     calls: JoinHandle<Vec<String>>,
 }
 
-/// What a call is answered with.
+/// The answer to a call.
 pub enum Answer {
     /// A status, further header lines, and a body.
-    Says(&'static str, String, String),
-    /// The connection ends without one, once the call was read.
-    Nothing,
+    Status(&'static str, String, String),
+    /// The connection ends without an answer, once the call was read.
+    Disconnect,
 }
 
 /// A status and a body.
-pub fn says(status: &'static str, body: &str) -> Answer {
-    Answer::Says(status, String::new(), body.to_owned())
+pub fn respond(status: &'static str, body: &str) -> Answer {
+    Answer::Status(status, String::new(), body.to_owned())
 }
 
-/// That another is to be asked.
-pub fn elsewhere(addr: SocketAddr, path: &str) -> Answer {
-    Answer::Says(
+/// A redirect to another server.
+pub fn redirect_to(addr: SocketAddr, path: &str) -> Answer {
+    Answer::Status(
         "307 Temporary Redirect",
         format!("Location: http://{addr}{path}\r\n"),
         String::new(),
     )
 }
 
-impl StandIn {
+impl StubServer {
     pub fn new(answers: Vec<Answer>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let addr = listener.local_addr().unwrap();
@@ -43,11 +43,11 @@
                 .map(|answer| serve(&listener, answer))
                 .collect()
         });
-        StandIn { addr, calls }
+        StubServer { addr, calls }
     }
 
-    /// What was asked, once all the answers are given: method and path, the headers that mean something, the body.
-    pub fn asked(self) -> Vec<String> {
+    /// The requests, once all answers are given: method and path, the relevant headers, the body.
+    pub fn requests(self) -> Vec<String> {
         self.calls.join().unwrap()
     }
 }
@@ -55,7 +55,7 @@
 fn serve(listener: &TcpListener, answer: &Answer) -> String {
     let (mut stream, _) = listener.accept().unwrap();
     let mut reader = BufReader::new(stream.try_clone().unwrap());
-    let (mut asked, mut length) = (String::new(), 0);
+    let (mut requests, mut length) = (String::new(), 0);
     loop {
         let mut line = String::new();
         assert!(
@@ -66,19 +66,21 @@
         let (name, value) = line.split_once(": ").unwrap_or(("", line));
         match name {
             "" if line.is_empty() => break,
-            "" => asked.push_str(line.trim_end_matches(" HTTP/1.1")),
+            "" => requests.push_str(line.trim_end_matches(" HTTP/1.1")),
             "content-length" => length = value.parse().unwrap(),
-            "host" => asked.push_str(
+            "host" => requests.push_str(
                 &format!(" host={value}")
                     .replace(&listener.local_addr().unwrap().to_string(), "ADDR"),
             ),
-            name if name.starts_with("fordrelay-") => asked.push_str(&format!(" {name}={value}")),
+            name if name.starts_with("fordrelay-") => {
+                requests.push_str(&format!(" {name}={value}"))
+            }
             _ => {}
         }
     }
     let mut body = vec![0; length];
     reader.read_exact(&mut body).unwrap();
-    if let Answer::Says(status, headers, body) = answer {
+    if let Answer::Status(status, headers, body) = answer {
         let length = body.len();
         write!(
             stream,
@@ -86,23 +88,23 @@
         )
         .unwrap();
     }
-    format!("{asked} {}", String::from_utf8(body).unwrap())
+    format!("{requests} {}", String::from_utf8(body).unwrap())
         .trim_end()
         .to_owned()
 }
 
-/// An address at which nobody is, and nobody else can be meanwhile.
-pub struct Nobody {
+/// An address that refuses connections, reserved meanwhile.
+pub struct ClosedPort {
     pub addr: SocketAddr,
     _held: Socket,
 }
 
-impl Nobody {
+impl ClosedPort {
     pub fn new() -> Self {
         let held = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         held.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
             .unwrap();
-        Nobody {
+        ClosedPort {
             addr: held.local_addr().unwrap().as_socket().unwrap(),
             _held: held,
         }
