--- a/crates/gateway/gateway/src/proxy/in_flight.rs
+++ b/crates/gateway/gateway/src/proxy/in_flight.rs
@@ -4,7 +4,7 @@
 use crate::selection::selector::{Key, RunnerSelector};
 use compact_str::CompactString;
 use hyper::HeaderMap;
-use runner_selection::{End, SendId};
+use runner_selection::{AttemptId, Outcome};
 use std::rc::Rc;
 use tokio::sync::Notify;
 
@@ -36,7 +36,7 @@
     pub(crate) selector: RunnerSelector,
     pub(crate) key: Key,
     pub(crate) svc: CompactString,
-    pub(crate) id: Option<SendId>,
+    pub(crate) id: Option<AttemptId>,
     pub(crate) overdue: Rc<Notify>,
 }
 
@@ -67,7 +67,7 @@
                 .0
                 .engines
                 .borrow_mut()
-                .load(now, self.key, running, waiting, slots);
+                .load_reported(now, self.key, running, waiting, slots);
         }
     }
 
@@ -75,7 +75,11 @@
     pub fn first_token(&mut self) {
         if let Some(id) = self.id {
             let now = self.selector.now();
-            self.selector.0.engines.borrow_mut().first_token(now, id);
+            self.selector
+                .0
+                .engines
+                .borrow_mut()
+                .first_token_received(now, id);
         }
     }
 
@@ -83,7 +87,7 @@
     pub fn event(&self) {
         if let Some(id) = self.id {
             let now = self.selector.now();
-            self.selector.0.engines.borrow_mut().event(now, id);
+            self.selector.0.engines.borrow_mut().event_received(now, id);
         }
     }
 
@@ -95,22 +99,26 @@
     /// Ends the attempt and wakes the next request that waits for the service.
     pub fn end(&mut self, outcome: AttemptOutcome) {
         self.finish(match outcome {
-            AttemptOutcome::Completed => End::Ok,
-            AttemptOutcome::Failed => End::Failed,
-            AttemptOutcome::Rejected => End::Refused,
-            AttemptOutcome::Misdirected => End::WrongRunner,
-            AttemptOutcome::ConnectFailed => End::ConnectFailed,
-            AttemptOutcome::NotSent => End::NotRun,
-            AttemptOutcome::Broken => End::Broken,
-            AttemptOutcome::TimedOut => End::TimedOut,
-            AttemptOutcome::Abandoned => End::ClientLeft,
+            AttemptOutcome::Completed => Outcome::Completed,
+            AttemptOutcome::Failed => Outcome::ServerError,
+            AttemptOutcome::Rejected => Outcome::Rejected,
+            AttemptOutcome::Misdirected => Outcome::Misdirected,
+            AttemptOutcome::ConnectFailed => Outcome::ConnectFailed,
+            AttemptOutcome::NotSent => Outcome::NotRun,
+            AttemptOutcome::Broken => Outcome::ConnectionLost,
+            AttemptOutcome::TimedOut => Outcome::TimedOut,
+            AttemptOutcome::Abandoned => Outcome::ClientDisconnected,
         });
     }
 
-    fn finish(&mut self, end: End) {
+    fn finish(&mut self, end: Outcome) {
         if let Some(id) = self.id.take() {
             let now = self.selector.now();
-            self.selector.0.engines.borrow_mut().ended(now, id, end);
+            self.selector
+                .0
+                .engines
+                .borrow_mut()
+                .attempt_ended(now, id, end);
             self.selector.0.calls.borrow_mut().remove(&id.0);
             self.selector.0.queue.call(&self.svc, 1);
         }
@@ -119,6 +127,6 @@
 
 impl Drop for InFlightAttempt {
     fn drop(&mut self) {
-        self.finish(End::ClientLeft);
+        self.finish(Outcome::ClientDisconnected);
     }
 }
--- a/crates/gateway/gateway/src/selection/load_report.rs
+++ b/crates/gateway/gateway/src/selection/load_report.rs
@@ -8,7 +8,7 @@
 use http_body_util::Full;
 use hyper::header::{HeaderValue, HOST};
 use hyper::{Request, StatusCode, Uri};
-use runner_selection::Report;
+use runner_selection::LoadReport;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -28,7 +28,7 @@
     gateway.selector.reported(key, report);
 }
 
-async fn fetch(gateway: &Rc<Gateway>, key: Key, addr: SocketAddr) -> Option<Report> {
+async fn fetch(gateway: &Rc<Gateway>, key: Key, addr: SocketAddr) -> Option<LoadReport> {
     let mut upstream = match gateway.selector.idle(key) {
         Some(upstream) => upstream,
         None if !gateway.selector.may_open(key) => return None,
@@ -68,11 +68,11 @@
 }
 
 /// What a report says.
-pub fn read(text: &[u8]) -> Option<Report> {
+pub fn read(text: &[u8]) -> Option<LoadReport> {
     let value: Value = serde_json::from_slice(text).ok()?;
     let figure = |name: &str| value.get(name).and_then(Value::as_u64);
     let small = |name: &str| figure(name).map(|n| u32::try_from(n).unwrap_or(u32::MAX));
-    Some(Report {
+    Some(LoadReport {
         queued: small("Queued")?,
         active: small("Active")?,
         kv_in_use: figure("KvInUse").unwrap_or(0),
--- a/crates/gateway/gateway/src/selection/selector.rs
+++ b/crates/gateway/gateway/src/selection/selector.rs
@@ -14,7 +14,8 @@
 use route_config::{Config, Route, RouteKind};
 use runner_registry::{Runner, RunnerState};
 use runner_selection::{
-    Choice as PolicyChoice, Engines, Learned, Report, RunnerKey, SvcTerms, Want,
+    Balancer, Choice as PolicyChoice, LoadReport, RequestProfile, RunnerKey, ServiceEstimates,
+    ServiceTerms,
 };
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -35,7 +36,7 @@
 }
 
 pub(crate) struct Inner {
-    pub(crate) engines: RefCell<Engines>,
+    pub(crate) engines: RefCell<Balancer>,
     runners: RefCell<HashMap<CompactString, Rc<Runner>>>,
     config: RefCell<Option<Rc<Config>>>,
     pool: Pool,
@@ -55,7 +56,7 @@
     /// Nothing is known yet.
     pub fn new(seed: u64, zone: &str, clock: Clock) -> Self {
         RunnerSelector(Rc::new(Inner {
-            engines: RefCell::new(Engines::new(seed, zone)),
+            engines: RefCell::new(Balancer::new(seed, zone)),
             runners: RefCell::default(),
             config: RefCell::default(),
             pool: Pool::default(),
@@ -92,7 +93,7 @@
         self.0
             .engines
             .borrow_mut()
-            .share(u32::try_from(dispatchers).unwrap_or(u32::MAX));
+            .set_dispatcher_count(u32::try_from(dispatchers).unwrap_or(u32::MAX));
     }
 
     /// A configuration is in force from now on.
@@ -103,16 +104,16 @@
             self.0
                 .engines
                 .borrow_mut()
-                .runner(now, runner, self.terms(&runner.service));
+                .update_runner(now, runner, self.terms(&runner.service));
         }
     }
 
-    fn terms(&self, svc: &str) -> SvcTerms {
+    fn terms(&self, svc: &str) -> ServiceTerms {
         let config = self.0.config.borrow();
         let Some(svc) = config.as_ref().and_then(|config| config.service(svc)) else {
-            return SvcTerms::default();
+            return ServiceTerms::default();
         };
-        SvcTerms {
+        ServiceTerms {
             max_conns: svc.max_conns,
             kv_capacity: svc
                 .backend
@@ -136,7 +137,7 @@
         self.0
             .engines
             .borrow_mut()
-            .runner(now, runner, self.terms(&runner.service));
+            .update_runner(now, runner, self.terms(&runner.service));
         let before = runners.insert(runner.id.clone(), Rc::new(runner.clone()));
         drop(runners);
         // Connections to an address that it has left lead elsewhere.
@@ -157,12 +158,12 @@
     /// A runner is gone.
     pub fn gone(&self, id: &str) {
         self.close(id);
-        self.0.engines.borrow_mut().remove(id);
+        self.0.engines.borrow_mut().remove_runner(id);
         self.0.runners.borrow_mut().remove(id);
     }
 
     fn close(&self, id: &str) {
-        let key = self.0.engines.borrow().key(id);
+        let key = self.0.engines.borrow().runner_key(id);
         if let Some(key) = key {
             self.0.pool.close(key);
         }
@@ -175,17 +176,17 @@
 
     /// Whether anything new may go to the runner.
     pub fn usable(&self, key: Key) -> bool {
-        self.0.engines.borrow().usable(key)
+        self.0.engines.borrow().is_up(key)
     }
 
     /// The runner's id, for the log.
     pub fn name(&self, key: Key) -> CompactString {
-        self.0.engines.borrow().id(key).into()
+        self.0.engines.borrow().runner_id(key).into()
     }
 
     /// What was learned of a service.
-    pub fn learned(&self, svc: &str) -> Option<Learned> {
-        self.0.engines.borrow().learned(svc)
+    pub fn learned(&self, svc: &str) -> Option<ServiceEstimates> {
+        self.0.engines.borrow().service_estimates(svc)
     }
 
     /// A place among those who wait.
@@ -205,29 +206,29 @@
         self.0.queue.call_all();
     }
 
-    fn want(&self, ask: &SelectionRequest<'_>) -> Want {
+    fn want(&self, ask: &SelectionRequest<'_>) -> RequestProfile {
         let request = ask.request;
         let whole = |tokens: u64| u32::try_from(tokens).unwrap_or(u32::MAX);
         let ms = |ms: u64| u32::try_from(ms).unwrap_or(u32::MAX);
         let (tokens_in, tokens_out) = request.tokens.map_or((0, 0), |(i, o)| (whole(i), whole(o)));
         let bulk = ask.route.kind == RouteKind::Bulk;
-        Want {
-            svc: self.svc_for(request, ask.route),
-            prefix: request.parts.clone(),
-            tokens_in,
-            tokens_out,
+        RequestProfile {
+            service: self.svc_for(request, ask.route),
+            prompt_parts: request.parts.clone(),
+            prompt_tokens: tokens_in,
+            max_output_tokens: tokens_out,
             target_ms: ms(ask.route.target_ms),
-            left_ms: ms(ask.left_ms),
+            remaining_ms: ms(ask.left_ms),
             // What resumes amid its response has waited for nothing.
             waited_ms: if ask.response_started {
                 0
             } else {
                 ms(ask.now.saturating_sub(request.came))
             },
-            prio: u8::try_from(ask.route.priority).unwrap_or(u8::MAX),
-            tried: ask.history.runners.clone(),
-            last_try: ask.history.sends + 1 >= ask.route.max_attempts,
-            repeatable: bulk || ask.route.kind == RouteKind::Idempotent || ask.route.resumable,
+            priority: u8::try_from(ask.route.priority).unwrap_or(u8::MAX),
+            attempted: ask.history.runners.clone(),
+            is_last_attempt: ask.history.sends + 1 >= ask.route.max_attempts,
+            retryable: bulk || ask.route.kind == RouteKind::Idempotent || ask.route.resumable,
         }
     }
 
@@ -254,22 +255,28 @@
                 None => Selection::Wait { until: ask.now + 1 },
             },
             PolicyChoice::Wait { until } => Selection::Wait { until },
-            PolicyChoice::Refuse { retry_after_ms } => Selection::Reject {
+            PolicyChoice::Reject { retry_after_ms } => Selection::Reject {
                 after_ms: retry_after_ms,
             },
         }
     }
 
-    fn chosen(&self, now: u64, key: Key, want: &Want, item: bool) -> Option<SelectedRunner> {
+    fn chosen(
+        &self,
+        now: u64,
+        key: Key,
+        want: &RequestProfile,
+        item: bool,
+    ) -> Option<SelectedRunner> {
         let mut engines = self.0.engines.borrow_mut();
-        let id = HeaderValue::from_str(engines.id(key))
+        let id = HeaderValue::from_str(engines.runner_id(key))
             .ok()
             .filter(|id| !id.is_empty())?;
-        let addr = engines.addr(key);
-        let send = engines.sent(now, key, want, item);
+        let addr = engines.runner_addr(key);
+        let send = engines.attempt_started(now, key, want, item);
         drop(engines);
         let overdue = Rc::new(Notify::new());
-        if want.repeatable {
+        if want.retryable {
             self.0
                 .calls
                 .borrow_mut()
@@ -278,7 +285,7 @@
         let in_flight = InFlightAttempt {
             selector: self.clone(),
             key,
-            svc: want.svc.clone(),
+            svc: want.service.clone(),
             id: Some(send),
             overdue,
         };
@@ -299,33 +306,33 @@
 
     /// How many items of a service may be fetched now.
     pub fn item_capacity(&self, now: u64, svc: &str) -> u32 {
-        self.0.engines.borrow().item_room(now, svc)
+        self.0.engines.borrow().item_capacity(now, svc)
     }
 
     /// Time passes: tells sends whose runner seems to hang, and the runners whose reports are worth their price.
     pub fn tick(&self, now: u64) -> Vec<(Key, SocketAddr)> {
         let mut engines = self.0.engines.borrow_mut();
-        for late in engines.overdue(now) {
+        for late in engines.overdue_attempts(now) {
             if let Some(call) = self.0.calls.borrow().get(&late.0) {
                 call.notify_one();
             }
         }
-        let asked = engines.ask_reports(now);
+        let asked = engines.runners_to_probe(now);
         asked
             .into_iter()
-            .map(|key| (key, engines.addr(key)))
+            .map(|key| (key, engines.runner_addr(key)))
             .collect()
     }
 
     /// A runner's report, or that none came.
-    pub fn reported(&self, key: Key, report: Option<Report>) {
+    pub fn reported(&self, key: Key, report: Option<LoadReport>) {
         let now = self.now();
         let mut engines = self.0.engines.borrow_mut();
         match report {
-            Some(report) => engines.report(now, key, report),
-            None => engines.report_lost(now, key),
+            Some(report) => engines.report_received(now, key, report),
+            None => engines.report_failed(now, key),
         }
-        let id = CompactString::from(engines.id(key));
+        let id = CompactString::from(engines.runner_id(key));
         drop(engines);
         if let Some(runner) = self.0.runners.borrow().get(&id) {
             self.0.queue.call(&runner.service, WOKEN_ON_UPDATE);
@@ -349,7 +356,7 @@
 
     /// Whether one more connection may be opened to the runner.
     pub fn may_open(&self, key: Key) -> bool {
-        self.0.pool.open(key) < self.0.engines.borrow().connections(key) as usize
+        self.0.pool.open(key) < self.0.engines.borrow().connection_limit(key) as usize
     }
 
     /// How long a connection to a runner is waited for.
--- a/crates/gateway/gateway/tests/connections.rs
+++ b/crates/gateway/gateway/tests/connections.rs
@@ -688,7 +688,7 @@
                 .expect("the service is known")
         };
         let before = learned();
-        assert_eq!(before.others, 0.0);
+        assert_eq!(before.load_by_others, 0.0);
         let said = rig
             .ask(&request(
                 "/change/",
@@ -698,7 +698,11 @@
             ))
             .await;
         assert!(status(&said) == 503 && reused.count() > 0, "{said}");
-        assert_eq!(learned().others, 0.0, "another runner's load was counted");
+        assert_eq!(
+            learned().load_by_others,
+            0.0,
+            "another runner's load was counted"
+        );
         assert_eq!(
             learned().slots,
             before.slots,
@@ -720,7 +724,7 @@
         ))
         .await;
         assert!(own.count() > 0);
-        assert_eq!((learned().others, learned().slots), (0.0, alone));
+        assert_eq!((learned().load_by_others, learned().slots), (0.0, alone));
     });
 }
 
--- a/crates/gateway/runner-selection/src/ask.rs
+++ b/crates/gateway/runner-selection/src/ask.rs
@@ -3,39 +3,42 @@
 use crate::constants::{
     HUNG_LEAST_MS, REPORTS_BURST, REPORTS_PER_S, REPORT_AGE_MS, REPORT_FILL, SCAN,
 };
-use crate::engines::{Engines, Sending};
-use crate::health::Fit;
-use crate::{Ms, RunnerKey, SendId};
+use crate::engines::{Attempt, Balancer};
+use crate::health::Availability;
+use crate::{AttemptId, Millis, RunnerKey};
 
-impl Engines {
+impl Balancer {
     /// Runners that are worth a `/-/report` now: each is priced as a probe. Those that were in trouble go
     /// first, since a report that comes ends their avoidance without a request at stake; then those that have
     /// said nothing lately in a fleet that is filled well.
-    pub fn ask_reports(&mut self, now: Ms) -> Vec<RunnerKey> {
-        let (credit, since) = self.reports;
+    pub fn runners_to_probe(&mut self, now: Millis) -> Vec<RunnerKey> {
+        let (credit, since) = self.probe_credit;
         let earned = now.saturating_sub(since) as f64 / 1_000.0 * REPORTS_PER_S;
         let mut credit = (credit + earned).min(REPORTS_BURST);
         let mut asked = Vec::new();
         if credit >= 1.0 {
-            let mut wanted: Vec<(bool, Ms, RunnerKey)> = Vec::new();
-            for at in 0..self.svcs.len() {
-                let Some(svc) = self.svcs.get(at).filter(|s| s.llm) else {
+            let mut wanted: Vec<(bool, Millis, RunnerKey)> = Vec::new();
+            for at in 0..self.services.len() {
+                let Some(svc) = self.services.get(at).filter(|s| s.llm) else {
                     continue;
                 };
-                let busy = svc.live > 0 || svc.live_mean >= 0.1;
-                let filled =
-                    svc.others(now) + f64::from(svc.live) / svc.slots.max(1.0) >= REPORT_FILL;
-                for key in self.drawn(at, SCAN) {
-                    let Some(r) = self.at(key).filter(|r| r.up) else {
+                let busy = svc.live_in_flight > 0 || svc.mean_live_in_flight >= 0.1;
+                let filled = svc.load_by_others(now)
+                    + f64::from(svc.live_in_flight) / svc.slots.max(1.0)
+                    >= REPORT_FILL;
+                for key in self.sample(at, SCAN) {
+                    let Some(r) = self.get(key).filter(|r| r.up) else {
                         continue;
                     };
-                    let age = now.saturating_sub(r.told.map_or(0, |t| t.at));
+                    let age = now.saturating_sub(r.reported.map_or(0, |t| t.at));
                     let lately = r
-                        .asked
+                        .last_probe_at
                         .is_some_and(|a| now.saturating_sub(a) < REPORT_AGE_MS);
-                    match r.health.fit(now) {
-                        Fit::Trial => wanted.push((true, age, key)),
-                        Fit::Yes if busy && filled && age >= REPORT_AGE_MS && !lately => {
+                    match r.health.availability(now) {
+                        Availability::Probe => wanted.push((true, age, key)),
+                        Availability::Healthy
+                            if busy && filled && age >= REPORT_AGE_MS && !lately =>
+                        {
                             wanted.push((false, age, key))
                         }
                         _ => {}
@@ -45,45 +48,46 @@
             wanted.sort_unstable_by(|a, b| b.cmp(a));
             for (trial, _, key) in wanted.into_iter().take(credit as usize) {
                 credit -= 1.0;
-                if let Some(r) = self.at_mut(key) {
-                    r.asked = Some(now);
+                if let Some(r) = self.get_mut(key) {
+                    r.last_probe_at = Some(now);
                     if trial {
-                        r.health.trial = Some(u64::MAX);
+                        r.health.probe = Some(u64::MAX);
                     }
                 }
                 asked.push(key);
             }
         }
-        self.reports = (credit, now);
+        self.probe_credit = (credit, now);
         asked
     }
 
     /// A report that was asked for didn't come.
-    pub fn report_lost(&mut self, now: Ms, key: RunnerKey) {
-        self.strike(now, key, 0.0);
+    pub fn report_failed(&mut self, now: Millis, key: RunnerKey) {
+        self.eject(now, key, 0.0);
     }
 
     /// Repeatable sendings without a first token for far longer than their peers, whose runner has shown no
     /// sign of life since: each is told once. They may be sent again elsewhere at once.
-    pub fn overdue(&mut self, now: Ms) -> Vec<SendId> {
-        let waits = |s: &Sending| s.first.is_none() && !s.told && now > s.limit;
+    pub fn overdue_attempts(&mut self, now: Millis) -> Vec<AttemptId> {
+        let waits =
+            |s: &Attempt| s.first_token_at.is_none() && !s.reported_overdue && now > s.hung_at;
         let old = self
-            .sends
+            .attempts
             .iter()
-            .take_while(|(_, s)| now.saturating_sub(s.sent) as f64 >= HUNG_LEAST_MS);
+            .take_while(|(_, s)| now.saturating_sub(s.started_at) as f64 >= HUNG_LEAST_MS);
         let late: Vec<u64> = old.filter(|(_, s)| waits(s)).map(|(id, _)| *id).collect();
         let mut silent = Vec::new();
         for id in late {
-            let Some((key, sent)) = self.sends.get(&id).map(|s| (s.key, s.sent)) else {
+            let Some((key, sent)) = self.attempts.get(&id).map(|s| (s.runner, s.started_at)) else {
                 continue;
             };
-            if self.at(key).is_some_and(|r| r.heard > sent) {
+            if self.get(key).is_some_and(|r| r.last_activity_at > sent) {
                 continue;
             }
-            self.look(now, &[key]);
-            if let Some(sending) = self.sends.get_mut(&id) {
-                sending.told = true;
-                silent.extend(sending.repeatable.then_some(SendId(id)));
+            self.eject_hung(now, &[key]);
+            if let Some(sending) = self.attempts.get_mut(&id) {
+                sending.reported_overdue = true;
+                silent.extend(sending.retryable.then_some(AttemptId(id)));
             }
         }
         silent
--- a/crates/gateway/runner-selection/src/constants.rs
+++ b/crates/gateway/runner-selection/src/constants.rs
@@ -1,6 +1,6 @@
 //! Every constant of the choice, with its reason.
 
-use crate::Ms;
+use crate::Millis;
 
 // The sleepers; spans are multiples of the mean run of a request, as in the old program.
 /// A runner of some dozens of slots frees one much more often than this: one refusal costs little.
@@ -20,7 +20,7 @@
 pub const BASE_MS: f64 = 10.0;
 /// Neutral guess of reading one token of a prompt: 100 tokens a millisecond, the middle of known engines.
 pub const PER_TOKEN_MS: f64 = 0.01;
-/// Engines slower or faster than this are not known; a fit outside is noise.
+/// Balancer slower or faster than this are not known; a fit outside is noise.
 pub const PER_TOKEN_RANGE: (f64, f64) = (0.0005, 0.5);
 pub const BASE_RANGE: (f64, f64) = (0.5, 1_000.0);
 /// First tokens that the fit of reading speed remembers: some seconds of one dispatcher's traffic.
@@ -53,7 +53,7 @@
 pub const FADE_RUNS: f64 = 1.0;
 pub const FADE_RANGE_MS: (f64, f64) = (100.0, 3_000.0);
 /// `/-/report` speaks of some hundred milliseconds before.
-pub const REPORT_LAG_MS: Ms = 100;
+pub const REPORT_LAG_MS: Millis = 100;
 
 /// A word of which less than this is left is none: one request may go and see, whatever was said then.
 pub const SILENT: f64 = 0.2;
@@ -103,11 +103,11 @@
 pub const KEPT_SHARE: f64 = 0.6;
 /// Runners remembered for a part.
 pub const HOLDERS: usize = 4;
-/// Parts of one prompt that are looked at.
+/// PrefixTable of one prompt that are looked at.
 pub const MAX_PROMPT_PARTS: usize = 32;
 /// Tokens of a prompt and its answer are believed up to here, where the memory of the runners isn't known.
 pub const MAX_TOKENS: f64 = 2.0e6;
-/// Parts remembered for a service: some kilobytes of kinds, and the sessions of half a minute.
+/// PrefixTable remembered for a service: some kilobytes of kinds, and the sessions of half a minute.
 pub const MAX_PARTS: usize = 4_096;
 /// A part of fewer tokens isn't remembered: it costs nothing to read.
 pub const LEAST_PART: u32 = 64;
@@ -117,7 +117,7 @@
 /// priced as late.
 pub const WAIT_SHARE: f64 = 0.2;
 /// A wait ends for another look after this at the latest, since answers bring news.
-pub const WAIT_MOST_MS: Ms = 25;
+pub const WAIT_MOST_MS: Millis = 25;
 /// Where no place is free and its turn is expected beyond this share of the objective, a request is refused
 /// at once: a late answer earns a third and makes the next ones late, too; one that comes back and is in time
 /// then earns two thirds. The wait is known roughly, and the prompt is still to be read, so it is well below
@@ -195,7 +195,7 @@
 pub const REPORTS_PER_S: f64 = 2.0;
 pub const REPORTS_BURST: f64 = 4.0;
 /// A load told longer ago than this is worth a report where it matters.
-pub const REPORT_AGE_MS: Ms = 1_500;
+pub const REPORT_AGE_MS: Millis = 1_500;
 /// It matters in a fleet that is filled beyond this share.
 pub const REPORT_FILL: f64 = 0.4;
 
--- a/crates/gateway/runner-selection/src/health.rs
+++ b/crates/gateway/runner-selection/src/health.rs
@@ -3,29 +3,29 @@
 use crate::constants::{
     AVOID_FIRST_MS, AVOID_FORGET, AVOID_JITTER, AVOID_MOST_MS, AVOID_UP, TRIAL_GRACE, WAIT_MOST_MS,
 };
-use crate::Ms;
+use crate::Millis;
 use dispatch_policy::{Sleeper, SleeperTerms};
 use rand_pcg::Pcg64Mcg;
 
 /// Whether a runner gets anything.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Fit {
-    Yes,
+pub(crate) enum Availability {
+    Healthy,
     /// One repeatable request or item, to see.
-    Trial,
+    Probe,
     /// Not before then.
-    Avoid(Ms),
+    Ejected(Millis),
 }
 
 /// The avoidance is a sleeper of its own kind: a strike is a failure, an answer a success.
 #[derive(Debug, Default)]
 pub(crate) struct Health {
-    avoid: Sleeper,
+    backoff: Sleeper,
     /// When the last strike came; what was sent before says no more.
-    pub(crate) struck: Option<Ms>,
-    pub(crate) errors: u32,
+    pub(crate) ejected_at: Option<Millis>,
+    pub(crate) consecutive_errors: u32,
     /// The sending that tries it, or a report asked for: then, without a sending's number.
-    pub(crate) trial: Option<u64>,
+    pub(crate) probe: Option<u64>,
 }
 
 fn terms() -> SleeperTerms {
@@ -41,42 +41,42 @@
 }
 
 impl Health {
-    pub(crate) fn fit(&self, now: Ms) -> Fit {
-        let forgotten = self.avoid.open_at as f64 + self.avoid.interval * AVOID_FORGET;
-        if self.avoid.interval == 0.0 || now as f64 >= forgotten {
-            Fit::Yes
-        } else if !self.avoid.open(now) {
-            Fit::Avoid(self.avoid.open_at)
-        } else if self.trial.is_none() {
-            Fit::Trial
+    pub(crate) fn availability(&self, now: Millis) -> Availability {
+        let forgotten = self.backoff.open_at as f64 + self.backoff.interval * AVOID_FORGET;
+        if self.backoff.interval == 0.0 || now as f64 >= forgotten {
+            Availability::Healthy
+        } else if !self.backoff.open(now) {
+            Availability::Ejected(self.backoff.open_at)
+        } else if self.probe.is_none() {
+            Availability::Probe
         } else {
-            Fit::Avoid(now + WAIT_MOST_MS)
+            Availability::Ejected(now + WAIT_MOST_MS)
         }
     }
 
     /// Whether a live request may be the trial: a report is cheaper and goes first.
-    pub(crate) fn live_trial(&self, now: Ms) -> bool {
-        now as f64 >= self.avoid.open_at as f64 + self.avoid.interval * TRIAL_GRACE
+    pub(crate) fn allows_live_probe(&self, now: Millis) -> bool {
+        now as f64 >= self.backoff.open_at as f64 + self.backoff.interval * TRIAL_GRACE
     }
 
-    pub(crate) fn avoided_until(&self) -> Ms {
-        self.avoid.open_at
+    pub(crate) fn ejected_until(&self) -> Millis {
+        self.backoff.open_at
     }
 
     /// Requests that were under way together fail together: that is one strike.
-    pub(crate) fn strike(&mut self, now: Ms, least: f64, rng: &mut Pcg64Mcg) {
-        self.trial = None;
-        if self.avoid.interval == 0.0 || self.avoid.open(now) {
-            self.struck = Some(now);
-            self.avoid.failure(now, &terms(), rng);
+    pub(crate) fn eject(&mut self, now: Millis, least: f64, rng: &mut Pcg64Mcg) {
+        self.probe = None;
+        if self.backoff.interval == 0.0 || self.backoff.open(now) {
+            self.ejected_at = Some(now);
+            self.backoff.failure(now, &terms(), rng);
         }
-        self.avoid.interval = self.avoid.interval.max(least);
-        self.avoid.open_at = self.avoid.open_at.max(now + least as Ms);
+        self.backoff.interval = self.backoff.interval.max(least);
+        self.backoff.open_at = self.backoff.open_at.max(now + least as Millis);
     }
 
     /// It has answered.
-    pub(crate) fn well(&mut self, rng: &mut Pcg64Mcg) {
-        (self.trial, self.errors) = (None, 0);
-        self.avoid.success(&terms(), rng);
+    pub(crate) fn recover(&mut self, rng: &mut Pcg64Mcg) {
+        (self.probe, self.consecutive_errors) = (None, 0);
+        self.backoff.success(&terms(), rng);
     }
 }
--- a/crates/gateway/runner-selection/src/lib.rs
+++ b/crates/gateway/runner-selection/src/lib.rs
@@ -1,16 +1,16 @@
 //! Which runner a request or an item goes to; no I/O.
 //!
-//! One [`Engines`] a dispatcher holds what it knows of the runners: what they told of their load, what it has
+//! One [`Balancer`] a dispatcher holds what it knows of the runners: what they told of their load, what it has
 //! in flight there itself, what their memory probably holds, how long first tokens took, and whether they
 //! answer. Live requests go where the first token is expected soonest, and long shared parts of prompts to
 //! their homes (by rendezvous, with bounded load). Items of batch jobs take the room that live requests leave: the
 //! sleepers of `decide` say when a runner may be pushed to again, and a draw weighted by room says which one.
 //!
-//! How it is called: for a live request [`Engines::choose`], then [`Engines::sent`] for what is sent; for
-//! items [`Engines::item_room`] before some are fetched, [`Engines::choose_item`] for each, then `sent`. Of
-//! an answer [`Engines::load`], where it tells one, [`Engines::first_token`], [`Engines::event`] and
-//! [`Engines::ended`]. Some ten times a second [`Engines::overdue`] and [`Engines::ask_reports`]; a report's
-//! answer goes to [`Engines::report`], its absence to [`Engines::report_lost`].
+//! How it is called: for a live request [`Balancer::choose`], then [`Balancer::sent`] for what is sent; for
+//! items [`Balancer::item_room`] before some are fetched, [`Balancer::choose_item`] for each, then `sent`. Of
+//! an answer [`Balancer::load`], where it tells one, [`Balancer::first_token`], [`Balancer::event`] and
+//! [`Balancer::ended`]. Some ten times a second [`Balancer::overdue`] and [`Balancer::ask_reports`]; a report's
+//! answer goes to [`Balancer::report`], its absence to [`Balancer::report_lost`].
 //!
 //! Time comes in as milliseconds on a steady clock, randomness as a seed.
 
@@ -32,8 +32,11 @@
 mod service;
 mod want;
 
-pub use engines::Engines;
-pub use want::{Choice, End, Learned, Report, RunnerKey, SendId, SvcTerms, Want};
+pub use engines::Balancer;
+pub use want::{
+    AttemptId, Choice, LoadReport, Outcome, RequestProfile, RunnerKey, ServiceEstimates,
+    ServiceTerms,
+};
 
 /// Milliseconds on a steady clock.
-pub type Ms = u64;
+pub type Millis = u64;
--- a/crates/gateway/runner-selection/src/live.rs
+++ b/crates/gateway/runner-selection/src/live.rs
@@ -6,31 +6,31 @@
     READ_WEIGHT, RETRY_NOBODY_MS, RETRY_RANGE_MS, RETRY_SHARE, RETRY_SPREAD, SCAN, SESSIONS,
     STEER_MS, WAIT_MOST_MS, WAIT_SHARE, ZONE_MS, ZONE_PER_TOKEN_MS,
 };
-use crate::engines::Engines;
-use crate::health::Fit;
-use crate::parts::Parts;
+use crate::engines::Balancer;
+use crate::health::Availability;
+use crate::parts::PrefixTable;
 use crate::runner::Runner;
-use crate::service::Svc;
-use crate::{Choice, Ms, RunnerKey, Want};
+use crate::service::Service;
+use crate::{Choice, Millis, RequestProfile, RunnerKey};
 
 /// What sending it to one runner would mean.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Estimate {
     /// Time to the first token.
-    pub(crate) first: f64,
+    pub(crate) first_token_ms: f64,
     /// ... of it until its turn comes.
-    wait: f64,
+    wait_ms: f64,
     /// ... with what is laid on others, and what steers: the least is chosen.
-    cost: f64,
+    cost_ms: f64,
     /// Slots that seem free there.
-    room: f64,
+    free_slots: f64,
     /// It has said nothing for long, and nothing is under way that would make it.
-    silent: bool,
+    is_unknown: bool,
 }
 
 /// What the parts of a prompt say of where it should go.
 #[derive(Debug, Default)]
-pub(crate) struct Steering {
+pub(crate) struct PrefixAffinity {
     /// Homes that are fit for it, and the tokens up to the end of the part.
     homes: Vec<(RunnerKey, f64)>,
     /// Ids of the parts that are worth remembering, and the tokens up to the end of each.
@@ -39,234 +39,251 @@
 
 /// Tokens that a runner has of a prompt.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct Kept {
+pub(crate) struct CachedTokens {
     /// By what is likely there now.
     pub(crate) likely: f64,
     /// ... of it by the others' requests alone.
-    pub(crate) trusted: f64,
+    pub(crate) at_home: f64,
     /// As it should be, so that copies come together.
-    steered: f64,
+    for_affinity: f64,
 }
 
 /// One request's question.
-struct Question<'a> {
-    now: Ms,
+struct Query<'a> {
+    now: Millis,
     at: usize,
-    want: &'a Want,
-    steering: Steering,
+    want: &'a RequestProfile,
+    steering: PrefixAffinity,
 }
 
 /// Why none of the runners that were looked at takes it.
 #[derive(Debug, Default)]
-struct Shut {
+struct Unavailable {
     /// The first to open of those whose sleepers are shut or whose connections are all in use.
-    until: Option<Ms>,
+    opens_at: Option<Millis>,
     /// Those avoided, and until when.
-    avoided: Vec<(Ms, RunnerKey)>,
+    ejected: Vec<(Millis, RunnerKey)>,
 }
 
 /// The objective; a route without one has all the time that its client waits.
-fn target(want: &Want) -> u32 {
+fn target(want: &RequestProfile) -> u32 {
     if want.target_ms == 0 {
-        want.left_ms.saturating_add(want.waited_ms)
+        want.remaining_ms.saturating_add(want.waited_ms)
     } else {
         want.target_ms
     }
 }
 
-impl Engines {
+impl Balancer {
     /// Where a live request goes now.
-    pub fn choose(&mut self, now: Ms, want: &Want) -> Choice {
+    pub fn choose(&mut self, now: Millis, want: &RequestProfile) -> Choice {
         let known = self
-            .svc_at(want.svc.as_str())
-            .filter(|at| self.svcs.get(*at).is_some_and(|s| s.slots > 0.0));
+            .service_index(want.service.as_str())
+            .filter(|at| self.services.get(*at).is_some_and(|s| s.slots > 0.0));
         let Some(at) = known else {
-            return self.later(now, want, None);
+            return self.wait_or_reject(now, want, None);
         };
-        let Some(svc) = self.svcs.get_mut(at) else {
-            return self.later(now, want, None);
+        let Some(svc) = self.services.get_mut(at) else {
+            return self.wait_or_reject(now, want, None);
         };
-        svc.target += (f64::from(target(want)) - svc.target) / MEMORY;
-        let steering = self.steering(now, at, want);
-        let pool = self.pool(at, &steering, want);
-        let question = Question {
+        svc.target_ms += (f64::from(target(want)) - svc.target_ms) / MEMORY;
+        let steering = self.affinity(now, at, want);
+        let pool = self.candidates(at, &steering, want);
+        let question = Query {
             now,
             at,
             want,
             steering,
         };
-        self.look(now, &pool);
-        let mut shut = Shut::default();
-        let tried = want.tried.get(..MAX_TRIED).unwrap_or(&want.tried);
+        self.eject_hung(now, &pool);
+        let mut shut = Unavailable::default();
+        let tried = want.attempted.get(..MAX_TRIED).unwrap_or(&want.attempted);
         let mut found = self.estimates(&question, &pool, &mut shut, &|key| !tried.contains(&key));
-        if found.iter().all(|(_, e)| e.room < 1.0)
-            && pool.len() < self.svcs.get(at).map_or(0, |s| s.members.len())
+        if found.iter().all(|(_, e)| e.free_slots < 1.0)
+            && pool.len() < self.services.get(at).map_or(0, |s| s.members.len())
         {
             // A few drawn ones may all be full or out: one wider look.
-            let wider = self.drawn(at, SCAN);
+            let wider = self.sample(at, SCAN);
             found = self.estimates(&question, &wider, &mut shut, &|key| !tried.contains(&key));
         }
         if found.is_empty() && !tried.is_empty() {
             found = self.estimates(&question, &pool, &mut shut, &|key| tried.contains(&key));
         }
-        let crowded = found.iter().all(|(_, e)| e.room < 1.0);
-        let many_out = shut.avoided.len() as f64 > PANIC_SHARE * pool.len() as f64;
-        if (found.is_empty() && shut.until.is_none()) || (crowded && many_out) {
+        let crowded = found.iter().all(|(_, e)| e.free_slots < 1.0);
+        let many_out = shut.ejected.len() as f64 > PANIC_SHARE * pool.len() as f64;
+        if (found.is_empty() && shut.opens_at.is_none()) || (crowded && many_out) {
             // Trouble is a guess. Rather than nobody, or the few that are left and full: whose time is
             // up first.
-            if let Some((until, runner)) = shut.avoided.iter().min().copied() {
-                return match self.later(now, want, Some(until)) {
+            if let Some((until, runner)) = shut.ejected.iter().min().copied() {
+                return match self.wait_or_reject(now, want, Some(until)) {
                     Choice::Wait { until } if found.is_empty() => Choice::Wait { until },
                     _ => Choice::Send { runner },
                 };
             }
         }
         if found.is_empty() {
-            return self.later(now, want, shut.until);
+            return self.wait_or_reject(now, want, shut.opens_at);
         }
         let least = found
             .iter()
-            .map(|(_, e)| e.first)
+            .map(|(_, e)| e.first_token_ms)
             .fold(f64::INFINITY, f64::min);
-        let patience = if want.prio == 0 {
+        let patience = if want.priority == 0 {
             PATIENCE.0
         } else {
             PATIENCE.1
-        } * f64::from(want.left_ms);
+        } * f64::from(want.remaining_ms);
         let wait = found
             .iter()
-            .map(|(_, e)| e.wait)
+            .map(|(_, e)| e.wait_ms)
             .fold(f64::INFINITY, f64::min);
         let in_time = LATE_TIMES * f64::from(target(want).saturating_sub(want.waited_ms));
-        let room = found.iter().any(|(_, e)| e.room >= 1.0);
+        let room = found.iter().any(|(_, e)| e.free_slots >= 1.0);
         if !room && (least > patience || wait > in_time) {
             // What was said long ago is no reason to refuse, and nobody would ever say anything new.
-            found.retain(|(_, e)| e.silent);
+            found.retain(|(_, e)| e.is_unknown);
             if found.is_empty() {
-                return Choice::Refuse {
+                return Choice::Reject {
                     retry_after_ms: self.retry_after(want, least),
                 };
             }
         }
-        match self.drawn_near(&found) {
+        match self.sample_among_nearest(&found) {
             Some(runner) => Choice::Send { runner },
-            None => self.later(now, want, shut.until),
+            None => self.wait_or_reject(now, want, shut.opens_at),
         }
     }
 
     /// Nobody takes it now: a short wait, while that is no late refusal.
-    fn later(&mut self, now: Ms, want: &Want, opens: Option<Ms>) -> Choice {
+    fn wait_or_reject(
+        &mut self,
+        now: Millis,
+        want: &RequestProfile,
+        opens: Option<Millis>,
+    ) -> Choice {
         let until = opens
             .unwrap_or(now + WAIT_MOST_MS)
             .clamp(now + 1, now + WAIT_MOST_MS);
         let waited = f64::from(want.waited_ms) + (until - now) as f64;
-        let most = if want.tried.is_empty() {
+        let most = if want.attempted.is_empty() {
             WAIT_SHARE * f64::from(target(want))
         } else {
             // It was offered to a runner in time: what is left may be used.
-            f64::from(want.waited_ms) + RETRY_SHARE * f64::from(want.left_ms)
+            f64::from(want.waited_ms) + RETRY_SHARE * f64::from(want.remaining_ms)
         };
-        if waited <= most && ((until - now) as f64) < f64::from(want.left_ms) {
+        if waited <= most && ((until - now) as f64) < f64::from(want.remaining_ms) {
             return Choice::Wait { until };
         }
         let opens = opens.map_or(RETRY_NOBODY_MS, |at| at.saturating_sub(now) as f64);
-        Choice::Refuse {
+        Choice::Reject {
             retry_after_ms: self.retry_after(want, opens),
         }
     }
 
-    fn retry_after(&mut self, want: &Want, frees: f64) -> u64 {
-        let spread = RETRY_SPREAD.0 + (RETRY_SPREAD.1 - RETRY_SPREAD.0) * self.unit();
+    fn retry_after(&mut self, want: &RequestProfile, frees: f64) -> u64 {
+        let spread = RETRY_SPREAD.0 + (RETRY_SPREAD.1 - RETRY_SPREAD.0) * self.uniform();
         let most =
-            (RETRY_SHARE * f64::from(want.left_ms)).clamp(RETRY_RANGE_MS.0, RETRY_RANGE_MS.1);
+            (RETRY_SHARE * f64::from(want.remaining_ms)).clamp(RETRY_RANGE_MS.0, RETRY_RANGE_MS.1);
         (frees * spread).clamp(RETRY_RANGE_MS.0, most) as u64
     }
 
     /// The parts of a prompt that are worth a way, and the homes that can take it.
-    pub(crate) fn steering(&mut self, now: Ms, at: usize, want: &Want) -> Steering {
-        let mut steering = Steering::default();
+    pub(crate) fn affinity(
+        &mut self,
+        now: Millis,
+        at: usize,
+        want: &RequestProfile,
+    ) -> PrefixAffinity {
+        let mut steering = PrefixAffinity::default();
         let epoch = self.epoch;
         let Some(mut parts) = self
-            .svcs
+            .services
             .get_mut(at)
-            .map(|svc| std::mem::take(&mut svc.parts))
+            .map(|svc| std::mem::take(&mut svc.prefixes))
         else {
             return steering;
         };
-        if let Some(svc) = self.svcs.get(at).filter(|s| s.llm) {
+        if let Some(svc) = self.services.get(at).filter(|s| s.llm) {
             let up = || {
                 let members = svc.members.iter();
                 members
-                    .filter_map(|k| Some((self.at(*k).filter(|r| r.up)?.hash, *k)))
+                    .filter_map(|k| Some((self.get(*k).filter(|r| r.up)?.hash, *k)))
                     .collect()
             };
             let mut depth = 0.0;
-            for (n, (id, tokens)) in want.prefix.iter().take(MAX_PROMPT_PARTS).enumerate() {
+            for (n, (id, tokens)) in want.prompt_parts.iter().take(MAX_PROMPT_PARTS).enumerate() {
                 depth += f64::from(*tokens);
-                let own =
-                    n + 1 == want.prefix.len() && parts.again < SESSIONS && !parts.is_known(*id);
+                let own = n + 1 == want.prompt_parts.len()
+                    && parts.recurring_share < SESSIONS
+                    && !parts.is_known(*id);
                 if own || *tokens < LEAST_PART {
                     continue;
                 }
                 steering.depths.push((*id, depth));
-                if svc.reading(f64::from(*tokens)) < STEER_MS {
+                if svc.prefill_ms(f64::from(*tokens)) < STEER_MS {
                     continue;
                 }
                 // A session goes on where it was, home or not.
-                if n + 1 == want.prefix.len() && parts.holders(*id).next().is_some() {
+                if n + 1 == want.prompt_parts.len() && parts.holders(*id).next().is_some() {
                     continue;
                 }
                 let homes = parts.homes(*id, now, epoch, &up);
-                if let Some(home) = homes.iter().find(|k| self.fit_home(now, svc, **k)) {
+                if let Some(home) = homes.iter().find(|k| self.home_accepts(now, svc, **k)) {
                     steering.homes.push((*home, depth));
                 }
             }
         }
-        if let Some(svc) = self.svcs.get_mut(at) {
-            svc.parts = parts;
+        if let Some(svc) = self.services.get_mut(at) {
+            svc.prefixes = parts;
         }
         steering
     }
 
     /// Bounded load: a home that is fuller than the others by far is passed over.
-    fn fit_home(&self, now: Ms, svc: &Svc, key: RunnerKey) -> bool {
-        let Some(r) = self.at(key) else { return false };
-        let mean = (svc.others(now) + f64::from(svc.own) / svc.slots.max(1.0)) * r.slots;
+    fn home_accepts(&self, now: Millis, svc: &Service, key: RunnerKey) -> bool {
+        let Some(r) = self.get(key) else { return false };
+        let mean =
+            (svc.load_by_others(now) + f64::from(svc.in_flight) / svc.slots.max(1.0)) * r.slots;
         let bound = (HOME_BOUND * mean + HOME_SLACK * r.slots).max(1.0);
-        r.health.fit(now) == Fit::Yes
-            && !r.hangs(now)
+        r.health.availability(now) == Availability::Healthy
+            && !r.is_hung(now)
             && r.load(now, svc) <= bound
-            && r.memory(now, svc, 0.0) < 1.0
+            && r.memory_share(now, svc, 0.0) < 1.0
     }
 
     /// The runners to look at.
-    pub(crate) fn pool(&mut self, at: usize, steering: &Steering, want: &Want) -> Vec<RunnerKey> {
-        let Some(svc) = self.svcs.get(at) else {
+    pub(crate) fn candidates(
+        &mut self,
+        at: usize,
+        steering: &PrefixAffinity,
+        want: &RequestProfile,
+    ) -> Vec<RunnerKey> {
+        let Some(svc) = self.services.get(at) else {
             return Vec::new();
         };
         if svc.llm && svc.members.len() <= SCAN {
             return svc.members.clone();
         }
         if !svc.llm {
-            return self.drawn(at, PLAIN_CHOICES + want.tried.len().min(MAX_TRIED));
+            return self.sample(at, PLAIN_CHOICES + want.attempted.len().min(MAX_TRIED));
         }
         let mut pool: Vec<RunnerKey> = steering.homes.iter().map(|(home, _)| *home).collect();
         pool.extend(
             steering
                 .depths
                 .iter()
-                .flat_map(|(id, _)| svc.parts.holders(*id))
+                .flat_map(|(id, _)| svc.prefixes.holders(*id))
                 .take(SCAN),
         );
-        pool.extend(self.drawn(at, DRAWN));
+        pool.extend(self.sample(at, DRAWN));
         pool.sort_unstable();
         pool.dedup();
         pool
     }
 
     /// So many of a service's runners, drawn without preference; all where there are no more.
-    pub(crate) fn drawn(&mut self, at: usize, many: usize) -> Vec<RunnerKey> {
-        let Some(len) = self.svcs.get(at).map(|s| s.members.len()) else {
+    pub(crate) fn sample(&mut self, at: usize, many: usize) -> Vec<RunnerKey> {
+        let Some(len) = self.services.get(at).map(|s| s.members.len()) else {
             return Vec::new();
         };
         let mut places: Vec<usize> = Vec::with_capacity(many.min(len));
@@ -280,7 +297,7 @@
             }
         }
         let members = self
-            .svcs
+            .services
             .get(at)
             .map(|s| s.members.as_slice())
             .unwrap_or_default();
@@ -291,74 +308,80 @@
     }
 
     /// Strikes those that hang.
-    pub(crate) fn look(&mut self, now: Ms, pool: &[RunnerKey]) {
+    pub(crate) fn eject_hung(&mut self, now: Millis, pool: &[RunnerKey]) {
         for key in pool {
-            if self.at(*key).is_some_and(|r| r.hangs(now)) {
-                self.strike(now, *key, 0.0);
+            if self.get(*key).is_some_and(|r| r.is_hung(now)) {
+                self.eject(now, *key, 0.0);
             }
         }
     }
 
-    pub(crate) fn strike(&mut self, now: Ms, key: RunnerKey, least: f64) {
+    pub(crate) fn eject(&mut self, now: Millis, key: RunnerKey, least: f64) {
         let mut rng = self.rng.clone();
-        if let Some(r) = self.at_mut(key) {
-            r.health.strike(now, least, &mut rng);
+        if let Some(r) = self.get_mut(key) {
+            r.health.eject(now, least, &mut rng);
         }
         self.rng = rng;
     }
 
     fn estimates(
         &self,
-        question: &Question<'_>,
+        question: &Query<'_>,
         pool: &[RunnerKey],
-        shut: &mut Shut,
+        shut: &mut Unavailable,
         wanted: &dyn Fn(RunnerKey) -> bool,
     ) -> Vec<(RunnerKey, Estimate)> {
-        let Question {
+        let Query {
             now,
             at,
             want,
             steering,
         } = question;
         let (now, at) = (*now, *at);
-        let Some(svc) = self.svcs.get(at) else {
+        let Some(svc) = self.services.get(at) else {
             return Vec::new();
         };
         let mut found = Vec::with_capacity(pool.len());
         for key in pool.iter().copied().filter(|k| wanted(*k)) {
-            let Some(r) = self.at(key).filter(|r| r.up) else {
+            let Some(r) = self.get(key).filter(|r| r.up) else {
                 continue;
             };
-            match r.health.fit(now) {
-                Fit::Yes => {}
-                Fit::Trial
-                    if want.repeatable
-                        && !want.last_try
-                        && (!svc.llm || r.health.live_trial(now)) => {}
-                Fit::Trial => {
-                    shut.avoided.push((r.health.avoided_until(), key));
+            match r.health.availability(now) {
+                Availability::Healthy => {}
+                Availability::Probe
+                    if want.retryable
+                        && !want.is_last_attempt
+                        && (!svc.llm || r.health.allows_live_probe(now)) => {}
+                Availability::Probe => {
+                    shut.ejected.push((r.health.ejected_until(), key));
                     continue;
                 }
-                Fit::Avoid(until) => {
-                    shut.avoided.push((until, key));
+                Availability::Ejected(until) => {
+                    shut.ejected.push((until, key));
                     continue;
                 }
             }
-            let estimate = self.estimate(now, svc, want, r, self.kept(svc, want, steering, key, r));
-            let full = r.own >= self.connections(key);
+            let estimate = self.estimate(
+                now,
+                svc,
+                want,
+                r,
+                self.cached_tokens(svc, want, steering, key, r),
+            );
+            let full = r.in_flight >= self.connection_limit(key);
             // What it told since its refusal goes before the sleeper: a refusal while it has room costs
             // more.
             let since = r
-                .told
-                .is_some_and(|t| r.refused.is_none_or(|refused| t.at > refused));
-            let told_room = since && r.fresh(now, svc) && estimate.room >= 1.0;
-            if full || (!r.sleeper.open(now) && !told_room) {
+                .reported
+                .is_some_and(|t| r.last_rejected_at.is_none_or(|refused| t.at > refused));
+            let told_room = since && r.report_is_fresh(now, svc) && estimate.free_slots >= 1.0;
+            if full || (!r.backoff.open(now) && !told_room) {
                 let opens = if full {
                     now + WAIT_MOST_MS
                 } else {
-                    r.sleeper.open_at
+                    r.backoff.open_at
                 };
-                shut.until = Some(shut.until.map_or(opens, |u| u.min(opens)));
+                shut.opens_at = Some(shut.opens_at.map_or(opens, |u| u.min(opens)));
                 continue;
             }
             found.push((key, estimate));
@@ -367,90 +390,94 @@
     }
 
     /// What a runner has of a prompt.
-    pub(crate) fn kept(
+    pub(crate) fn cached_tokens(
         &self,
-        svc: &Svc,
-        want: &Want,
-        steering: &Steering,
+        svc: &Service,
+        want: &RequestProfile,
+        steering: &PrefixAffinity,
         key: RunnerKey,
         r: &Runner,
-    ) -> Kept {
-        let mut kept = Kept::default();
-        let held = |parts: &Parts, id| {
+    ) -> CachedTokens {
+        let mut kept = CachedTokens::default();
+        let held = |parts: &PrefixTable, id| {
             let read = parts.holder(id, key)?;
             // The others have it read as much as this dispatcher does, and the oldest parts give way.
-            let since = (r.read - read) * self.dispatchers;
+            let since = (r.prefilled_tokens - read) * self.dispatchers;
             Some(svc.kv_capacity.is_none_or(|size| since < KEPT_SHARE * size))
         };
         for (id, depth) in &steering.depths {
-            if held(&svc.parts, *id) == Some(true) {
+            if held(&svc.prefixes, *id) == Some(true) {
                 kept.likely = kept.likely.max(HOLDER_SURE * depth);
-                kept.steered = kept.steered.max(HOLDER_STEER * depth);
+                kept.for_affinity = kept.for_affinity.max(HOLDER_STEER * depth);
             }
         }
         for (_, depth) in steering.homes.iter().filter(|(home, _)| *home == key) {
-            let trusted = svc.parts.home_sure * depth;
+            let trusted = svc.prefixes.home_hit_rate * depth;
             if trusted > kept.likely {
-                (kept.likely, kept.trusted) = (trusted, *depth);
+                (kept.likely, kept.at_home) = (trusted, *depth);
             }
-            kept.steered = kept.steered.max(*depth);
+            kept.for_affinity = kept.for_affinity.max(*depth);
         }
-        let all = svc.prompt(want);
+        let all = svc.prompt_tokens(want);
         kept.likely = kept.likely.min(all);
-        kept.steered = kept.steered.min(all);
+        kept.for_affinity = kept.for_affinity.min(all);
         kept
     }
 
     pub(crate) fn estimate(
         &self,
-        now: Ms,
-        svc: &Svc,
-        want: &Want,
+        now: Millis,
+        svc: &Service,
+        want: &RequestProfile,
         r: &Runner,
-        kept: Kept,
+        kept: CachedTokens,
     ) -> Estimate {
-        let (load, tokens) = (r.load(now, svc), svc.prompt(want));
+        let (load, tokens) = (r.load(now, svc), svc.prompt_tokens(want));
         let room = r.slots - load;
-        let frees = svc.hold.mean / r.slots;
+        let frees = svc.run_ms.mean / r.slots;
         let mut queue = ((load + 1.0 - r.slots) * frees).max(0.0);
         if svc.llm {
             // Beyond its memory it waits for runs to end, or preempts others.
-            let memory = r.memory(now, svc, svc.whole(want));
-            queue += (memory - 1.0).max(0.0) * svc.hold.mean;
+            let memory = r.memory_share(now, svc, svc.total_tokens(want));
+            queue += (memory - 1.0).max(0.0) * svc.run_ms.mean;
         }
-        let ahead = (r.busy_until - now as f64).max(0.0) + r.overdue(now);
+        let ahead = (r.prefill_until - now as f64).max(0.0) + r.overdue_ms(now);
         // A plain answer comes whole; its first byte is its last.
-        let serve = if svc.llm { svc.fit.base } else { svc.hold.mean };
+        let serve = if svc.llm {
+            svc.prefill.base_ms
+        } else {
+            svc.run_ms.mean
+        };
         // Each of those beside it slows it a little: a step takes longer, a worker that is nearly full does.
         let beside = serve * (load / r.slots).min(1.0);
-        let pace = r.paced(now);
-        let first = queue + ahead + pace * (serve + beside + svc.reading(tokens - kept.likely));
-        let zone = if r.near {
+        let pace = r.pace_at(now);
+        let first = queue + ahead + pace * (serve + beside + svc.prefill_ms(tokens - kept.likely));
+        let zone = if r.in_own_zone {
             0.0
         } else {
             ZONE_MS + ZONE_PER_TOKEN_MS * tokens
         };
-        let read = svc.reading(tokens - kept.steered) * READ_WEIGHT;
+        let read = svc.prefill_ms(tokens - kept.for_affinity) * READ_WEIGHT;
         let cost = queue + ahead + pace * (serve + beside + read) + zone;
         Estimate {
-            first,
-            wait: queue + ahead,
-            cost,
-            room,
-            silent: r.silent(now, svc),
+            first_token_ms: first,
+            wait_ms: queue + ahead,
+            cost_ms: cost,
+            free_slots: room,
+            is_unknown: r.is_unknown(now, svc),
         }
     }
 
     /// One of those that are about equal: the better, the likelier.
-    fn drawn_near(&mut self, found: &[(RunnerKey, Estimate)]) -> Option<RunnerKey> {
+    fn sample_among_nearest(&mut self, found: &[(RunnerKey, Estimate)]) -> Option<RunnerKey> {
         let least = found
             .iter()
-            .map(|(_, e)| e.cost)
+            .map(|(_, e)| e.cost_ms)
             .fold(f64::INFINITY, f64::min);
         let near = NEAR_MS.max(NEAR_SHARE * least);
-        let weight = |e: &Estimate| (-(e.cost - least) / near).exp();
+        let weight = |e: &Estimate| (-(e.cost_ms - least) / near).exp();
         let all: f64 = found.iter().map(|(_, e)| weight(e)).sum();
-        let mut drawn = self.unit() * all;
+        let mut drawn = self.uniform() * all;
         for (key, estimate) in found {
             drawn -= weight(estimate);
             if drawn <= 0.0 {
--- a/crates/gateway/runner-selection/src/parts.rs
+++ b/crates/gateway/runner-selection/src/parts.rs
@@ -1,13 +1,13 @@
-//! Parts of prompts: their homes, and where they were sent lately.
+//! PrefixTable of prompts: their homes, and where they were sent lately.
 
 use crate::constants::{HOLDERS, HOMES, HOME_SURE, MAX_PARTS};
-use crate::{Ms, RunnerKey};
+use crate::{Millis, RunnerKey};
 use std::collections::HashMap;
 
 /// A part of prompts as this dispatcher has seen it.
 #[derive(Debug, Default)]
-pub(crate) struct Part {
-    used: Ms,
+pub(crate) struct Prefix {
+    last_used_at: Millis,
     /// Runners that it was sent to, and what they had read by then; the newest last.
     holders: Vec<(RunnerKey, f64)>,
     /// Its first homes, as of that state of the service's runners.
@@ -16,20 +16,20 @@
 }
 
 #[derive(Debug)]
-pub(crate) struct Parts {
-    known: HashMap<u64, Part>,
+pub(crate) struct PrefixTable {
+    known: HashMap<u64, Prefix>,
     /// Share of last parts that had come before.
-    pub(crate) again: f64,
+    pub(crate) recurring_share: f64,
     /// How sure it is that a home has its part by the others' requests.
-    pub(crate) home_sure: f64,
+    pub(crate) home_hit_rate: f64,
 }
 
-impl Default for Parts {
+impl Default for PrefixTable {
     fn default() -> Self {
-        Parts {
+        PrefixTable {
             known: HashMap::new(),
-            again: 0.0,
-            home_sure: HOME_SURE,
+            recurring_share: 0.0,
+            home_hit_rate: HOME_SURE,
         }
     }
 }
@@ -48,7 +48,7 @@
     mixed(id.as_bytes().iter().fold(0xcbf2_9ce4_8422_2325, fnv), 0)
 }
 
-impl Parts {
+impl PrefixTable {
     pub(crate) fn is_known(&self, id: u64) -> bool {
         self.known.contains_key(&id)
     }
@@ -57,13 +57,13 @@
     pub(crate) fn homes(
         &mut self,
         id: u64,
-        now: Ms,
+        now: Millis,
         epoch: u64,
         up: &dyn Fn() -> Vec<(u64, RunnerKey)>,
     ) -> &[RunnerKey] {
         self.make_room(now);
         let part = self.known.entry(id).or_default();
-        part.used = part.used.max(now);
+        part.last_used_at = part.last_used_at.max(now);
         if part.homes.is_empty() || part.epoch != epoch {
             let mut draws = up();
             draws
@@ -98,10 +98,10 @@
             .flat_map(|p| p.holders.iter().map(|(key, _)| *key))
     }
 
-    pub(crate) fn sent(&mut self, id: u64, now: Ms, key: RunnerKey, read: f64) {
+    pub(crate) fn note_holder(&mut self, id: u64, now: Millis, key: RunnerKey, read: f64) {
         self.make_room(now);
         let part = self.known.entry(id).or_default();
-        part.used = now;
+        part.last_used_at = now;
         part.holders.retain(|(k, _)| *k != key);
         if part.holders.len() >= HOLDERS {
             part.holders.remove(0);
@@ -110,20 +110,20 @@
     }
 
     /// Where there are too many the older half goes: no list has to be kept in order for that.
-    fn make_room(&mut self, now: Ms) {
+    fn make_room(&mut self, now: Millis) {
         if self.known.len() < MAX_PARTS {
             return;
         }
-        let mut ages: Vec<Ms> = self
+        let mut ages: Vec<Millis> = self
             .known
             .values()
-            .map(|p| now.saturating_sub(p.used))
+            .map(|p| now.saturating_sub(p.last_used_at))
             .collect();
         let middle = ages.len() / 2;
         let (_, median, _) = ages.select_nth_unstable(middle);
         let median = *median;
         self.known
-            .retain(|_, p| now.saturating_sub(p.used) < median);
+            .retain(|_, p| now.saturating_sub(p.last_used_at) < median);
         if self.known.len() >= MAX_PARTS {
             self.known.clear();
         }
--- a/crates/gateway/runner-selection/src/service.rs
+++ b/crates/gateway/runner-selection/src/service.rs
@@ -6,22 +6,22 @@
     MAX, MAX_RANDOMIZATION, MAX_TOKENS, MEMORY, OTHERS_HALF_MS, PER_TOKEN_MS, PER_TOKEN_RANGE,
     RANDOMIZATION, SUCCESSES_DOWN, TARGET_MS, UP,
 };
-use crate::parts::Parts;
-use crate::{Ms, RunnerKey, SvcTerms, Want};
+use crate::parts::PrefixTable;
+use crate::{Millis, RequestProfile, RunnerKey, ServiceTerms};
 use compact_str::CompactString;
 use dispatch_policy::SleeperTerms;
 
-/// Mean and mean deviation that forget.
+/// DecayingMean and mean deviation that forget.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Mean {
+pub(crate) struct DecayingMean {
     pub(crate) mean: f64,
     pub(crate) deviation: f64,
     count: f64,
 }
 
-impl Mean {
+impl DecayingMean {
     pub(crate) fn from(guess: f64) -> Self {
-        Mean {
+        DecayingMean {
             mean: guess,
             deviation: guess / 2.0,
             count: 1.0,
@@ -38,26 +38,26 @@
 
 /// First-token time over tokens to read: least squares that forget.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Fit {
+pub(crate) struct PrefillFit {
     n: f64,
     x: f64,
     y: f64,
     xx: f64,
     xy: f64,
-    pub(crate) base: f64,
-    pub(crate) per_token: f64,
+    pub(crate) base_ms: f64,
+    pub(crate) per_token_ms: f64,
 }
 
-impl Fit {
+impl PrefillFit {
     fn new() -> Self {
-        let mut fit = Fit {
+        let mut fit = PrefillFit {
             n: 0.0,
             x: 0.0,
             y: 0.0,
             xx: 0.0,
             xy: 0.0,
-            base: BASE_MS,
-            per_token: PER_TOKEN_MS,
+            base_ms: BASE_MS,
+            per_token_ms: PER_TOKEN_MS,
         };
         // The guess, as samples: nothing to read, and a prompt of some thousand tokens.
         for tokens in [0.0, 5_000.0] {
@@ -86,20 +86,21 @@
             *sum *= keep;
         }
         // What nobody knew of was ahead of some: one such must not tilt the line.
-        let expected = self.base + self.per_token * tokens;
+        let expected = self.base_ms + self.per_token_ms * tokens;
         self.sample(tokens, ms.min(FIT_OUTLIER * expected + BASE_MS), 1.0);
         let spread = self.n * self.xx - self.x * self.x;
         // Prompts all of one size say nothing of the speed.
         if spread > 1.0e-3 * self.n * self.xx && spread > 0.0 {
             let slope = (self.n * self.xy - self.x * self.y) / spread;
-            self.per_token = slope.clamp(PER_TOKEN_RANGE.0, PER_TOKEN_RANGE.1);
+            self.per_token_ms = slope.clamp(PER_TOKEN_RANGE.0, PER_TOKEN_RANGE.1);
         }
-        self.base = ((self.y - self.per_token * self.x) / self.n).clamp(BASE_RANGE.0, BASE_RANGE.1);
+        self.base_ms =
+            ((self.y - self.per_token_ms * self.x) / self.n).clamp(BASE_RANGE.0, BASE_RANGE.1);
     }
 }
 
 #[derive(Debug)]
-pub(crate) struct Svc {
+pub(crate) struct Service {
     pub(crate) name: CompactString,
     pub(crate) llm: bool,
     pub(crate) max_conns: u32,
@@ -108,112 +109,113 @@
     pub(crate) members: Vec<RunnerKey>,
     /// Slots of those that are up.
     pub(crate) slots: f64,
-    pub(crate) fit: Fit,
-    pub(crate) first: Mean,
+    pub(crate) prefill: PrefillFit,
+    pub(crate) first_token_ms: DecayingMean,
     /// From the sending to the end.
-    pub(crate) hold: Mean,
+    pub(crate) run_ms: DecayingMean,
     /// Tokens of a request, in and out.
     pub(crate) tokens: f64,
     /// Tokens of a request that had to be read.
-    pub(crate) unread: f64,
+    pub(crate) uncached_tokens: f64,
     /// Load by others for each slot, over the runners, and when a runner spoke last.
-    pub(crate) others: f64,
-    pub(crate) others_at: Ms,
+    pub(crate) load_by_others: f64,
+    pub(crate) last_report_at: Millis,
     /// Share of live requests that came late.
-    pub(crate) late: f64,
+    pub(crate) late_share: f64,
     /// Requests and items of this dispatcher in flight.
-    pub(crate) own: u32,
+    pub(crate) in_flight: u32,
     /// Items of this dispatcher without a first token, and the objective of live requests.
-    pub(crate) items_unread: f64,
-    pub(crate) target: f64,
+    pub(crate) items_in_prefill: f64,
+    pub(crate) target_ms: f64,
     /// When the item that was sent last is due.
-    pub(crate) item_due: Ms,
+    pub(crate) last_item_due_at: Millis,
     /// Live requests of this dispatcher in flight, now and on average.
-    pub(crate) live: u32,
-    pub(crate) live_mean: f64,
-    pub(crate) parts: Parts,
+    pub(crate) live_in_flight: u32,
+    pub(crate) mean_live_in_flight: f64,
+    pub(crate) prefixes: PrefixTable,
 }
 
-impl Svc {
-    pub(crate) fn new(name: &str, terms: SvcTerms) -> Self {
-        let mut svc = Svc {
+impl Service {
+    pub(crate) fn new(name: &str, terms: ServiceTerms) -> Self {
+        let mut svc = Service {
             name: name.into(),
             llm: false,
             max_conns: 0,
             kv_capacity: None,
             members: Vec::new(),
             slots: 0.0,
-            fit: Fit::new(),
-            first: Mean::from(BASE_MS),
-            hold: Mean::from(HOLD_MS),
+            prefill: PrefillFit::new(),
+            first_token_ms: DecayingMean::from(BASE_MS),
+            run_ms: DecayingMean::from(HOLD_MS),
             tokens: 1_000.0,
-            unread: 500.0,
-            others: 0.0,
-            others_at: 0,
-            late: 0.0,
-            own: 0,
-            items_unread: 0.0,
-            target: TARGET_MS,
-            item_due: 0,
-            live: 0,
-            live_mean: 0.0,
-            parts: Parts::default(),
+            uncached_tokens: 500.0,
+            load_by_others: 0.0,
+            last_report_at: 0,
+            late_share: 0.0,
+            in_flight: 0,
+            items_in_prefill: 0.0,
+            target_ms: TARGET_MS,
+            last_item_due_at: 0,
+            live_in_flight: 0,
+            mean_live_in_flight: 0.0,
+            prefixes: PrefixTable::default(),
         };
-        svc.terms(terms);
+        svc.apply_terms(terms);
         svc
     }
 
-    pub(crate) fn terms(&mut self, terms: SvcTerms) {
+    pub(crate) fn apply_terms(&mut self, terms: ServiceTerms) {
         self.llm = terms.llm;
         self.max_conns = terms.max_conns;
         self.kv_capacity = terms.kv_capacity.map(|tokens| tokens as f64);
     }
 
     /// What is left of a word of that time.
-    pub(crate) fn fading(&self, now: Ms, at: Ms) -> f64 {
-        let half = (self.hold.mean * FADE_RUNS).clamp(FADE_RANGE_MS.0, FADE_RANGE_MS.1);
+    pub(crate) fn report_weight(&self, now: Millis, at: Millis) -> f64 {
+        let half = (self.run_ms.mean * FADE_RUNS).clamp(FADE_RANGE_MS.0, FADE_RANGE_MS.1);
         half / (half + now.saturating_sub(at) as f64)
     }
 
     /// What others hold of each slot on average; without any word for long it fades to nothing.
-    pub(crate) fn others(&self, now: Ms) -> f64 {
-        self.others * OTHERS_HALF_MS / (OTHERS_HALF_MS + now.saturating_sub(self.others_at) as f64)
+    pub(crate) fn load_by_others(&self, now: Millis) -> f64 {
+        self.load_by_others * OTHERS_HALF_MS
+            / (OTHERS_HALF_MS + now.saturating_sub(self.last_report_at) as f64)
     }
 
     /// Share of the slots in use, requests that wait for one included; none where no runner spoke lately.
-    pub(crate) fn usage(&self, now: Ms) -> Option<f64> {
-        let recent =
-            self.others_at > 0 && now.saturating_sub(self.others_at) as f64 <= OTHERS_HALF_MS;
-        recent.then(|| self.others + f64::from(self.own) / self.slots.max(1.0))
+    pub(crate) fn usage(&self, now: Millis) -> Option<f64> {
+        let recent = self.last_report_at > 0
+            && now.saturating_sub(self.last_report_at) as f64 <= OTHERS_HALF_MS;
+        recent.then(|| self.load_by_others + f64::from(self.in_flight) / self.slots.max(1.0))
     }
 
     /// Milliseconds until the next items are due: stores give the oldest due first, so no earlier than the last one was.
-    pub(crate) fn item_slack(&self, now: Ms) -> f64 {
-        self.item_due.saturating_sub(now) as f64
+    pub(crate) fn item_slack(&self, now: Millis) -> f64 {
+        self.last_item_due_at.saturating_sub(now) as f64
     }
 
     /// Tokens of a prompt, as far as they are to be believed.
-    pub(crate) fn prompt(&self, want: &Want) -> f64 {
-        f64::from(want.tokens_in).min(self.kv_capacity.unwrap_or(MAX_TOKENS))
+    pub(crate) fn prompt_tokens(&self, want: &RequestProfile) -> f64 {
+        f64::from(want.prompt_tokens).min(self.kv_capacity.unwrap_or(MAX_TOKENS))
     }
 
     /// ... with what may be sent out.
-    pub(crate) fn whole(&self, want: &Want) -> f64 {
+    pub(crate) fn total_tokens(&self, want: &RequestProfile) -> f64 {
         let most = self.kv_capacity.unwrap_or(MAX_TOKENS);
-        (f64::from(want.tokens_in) + f64::from(want.tokens_out)).min(most)
+        (f64::from(want.prompt_tokens) + f64::from(want.max_output_tokens)).min(most)
     }
 
     /// Milliseconds to read so many tokens.
-    pub(crate) fn reading(&self, tokens: f64) -> f64 {
+    pub(crate) fn prefill_ms(&self, tokens: f64) -> f64 {
         if self.llm {
-            tokens * self.fit.per_token
+            tokens * self.prefill.per_token_ms
         } else {
             0.0
         }
     }
 
-    pub(crate) fn sleeper_terms(&self) -> SleeperTerms {
-        let run = self.hold.mean;
+    pub(crate) fn backoff_terms(&self) -> SleeperTerms {
+        let run = self.run_ms.mean;
         SleeperTerms {
             initial: (INITIAL * run).max(INITIAL_LEAST_MS),
             max: (MAX * run).max(INITIAL_LEAST_MS),
@@ -226,14 +228,14 @@
     }
 
     /// Items of one dispatcher that so many runners may have to read at a time.
-    pub(crate) fn items_unread_most(&self, dispatchers: f64, runners: f64) -> f64 {
-        let each = self.reading(self.unread).max(1.0);
-        (runners * ITEM_AHEAD * self.target / each / dispatchers).max(1.0)
+    pub(crate) fn max_items_in_prefill(&self, dispatchers: f64, runners: f64) -> f64 {
+        let each = self.prefill_ms(self.uncached_tokens).max(1.0);
+        (runners * ITEM_AHEAD * self.target_ms / each / dispatchers).max(1.0)
     }
 
     /// How long a sending with this expected first token may be silent.
-    pub(crate) fn patience(&self, expected: f64) -> f64 {
-        let peers = self.first.mean + HUNG_DEVIATIONS * self.first.deviation;
+    pub(crate) fn hung_after_ms(&self, expected: f64) -> f64 {
+        let peers = self.first_token_ms.mean + HUNG_DEVIATIONS * self.first_token_ms.deviation;
         (HUNG_TIMES * expected).max(peers).max(HUNG_LEAST_MS)
     }
 }
--- a/crates/gateway/runner-selection/src/want.rs
+++ b/crates/gateway/runner-selection/src/want.rs
@@ -1,19 +1,19 @@
 //! What is asked and answered.
 
-use crate::Ms;
+use crate::Millis;
 use compact_str::CompactString;
 
-/// A runner as [`crate::Engines`] knows it; a runner that comes anew has another one.
+/// A runner as [`crate::Balancer`] knows it; a runner that comes anew has another one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RunnerKey(pub u32);
 
 /// One sending to a runner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct SendId(pub u64);
+pub struct AttemptId(pub u64);
 
 /// What the configuration says of a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct SvcTerms {
+pub struct ServiceTerms {
     /// Connections that a runner accepts from all dispatchers together.
     pub max_conns: u32,
     /// Tokens that a runner's memory holds, where it is a model runner.
@@ -24,37 +24,37 @@
 
 /// What looks for a runner.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Want {
+pub struct RequestProfile {
     /// The service.
-    pub svc: CompactString,
+    pub service: CompactString,
     /// Id and tokens of the parts of the prompt, in order; the last one is the request's or its
     /// session's own.
-    pub prefix: Vec<(u64, u32)>,
+    pub prompt_parts: Vec<(u64, u32)>,
     /// Tokens of the prompt.
-    pub tokens_in: u32,
+    pub prompt_tokens: u32,
     /// The most tokens to be sent out.
-    pub tokens_out: u32,
+    pub max_output_tokens: u32,
     /// The objective: milliseconds to the first token (or the answer).
     pub target_ms: u32,
     /// Milliseconds that the client still waits; for an item those until it is due.
-    pub left_ms: u32,
+    pub remaining_ms: u32,
     /// Milliseconds since the request came.
     pub waited_ms: u32,
     /// Rank of the route, 0 the highest.
-    pub prio: u8,
+    pub priority: u8,
     /// Runners that it was sent to already: avoided while there are others.
-    pub tried: Vec<RunnerKey>,
+    pub attempted: Vec<RunnerKey>,
     /// It can be sent once more and then not again.
-    pub last_try: bool,
+    pub is_last_attempt: bool,
     /// It may run more than once: idempotent, resumable or an item. Only such ones try a runner that was
     /// in trouble.
-    pub repeatable: bool,
+    pub retryable: bool,
 }
 
 /// Where a live request goes now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Choice {
-    /// To this runner; [`crate::Engines::sent`] is to be called when it is sent.
+    /// To this runner; [`crate::Balancer::sent`] is to be called when it is sent.
     Send {
         /// The runner.
         runner: RunnerKey,
@@ -62,10 +62,10 @@
     /// Nobody is fit just now: ask again then (or when an answer has come).
     Wait {
         /// The time on the steady clock.
-        until: Ms,
+        until: Millis,
     },
     /// It can't make its time: refuse it now.
-    Refuse {
+    Reject {
         /// When a new try has a chance, milliseconds from now.
         retry_after_ms: u64,
     },
@@ -73,30 +73,30 @@
 
 /// How a sending ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum End {
+pub enum Outcome {
     /// A whole answer.
-    Ok,
+    Completed,
     /// Not run: the runner is full.
-    Refused,
+    Rejected,
     /// No connection.
     ConnectFailed,
     /// The connection or the answer broke.
-    Broken,
+    ConnectionLost,
     /// The runner's own 500: it ran.
-    Failed,
+    ServerError,
     /// Not run for another reason, or handed back unstarted.
     NotRun,
     /// 421: another runner has this address by now.
-    WrongRunner,
+    Misdirected,
     /// No answer within its time.
     TimedOut,
     /// The client left, or the dispatcher broke it off itself.
-    ClientLeft,
+    ClientDisconnected,
 }
 
 /// What `/-/report` says.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Report {
+pub struct LoadReport {
     /// Requests that wait there.
     pub queued: u32,
     /// Requests that run there.
@@ -109,23 +109,23 @@
 
 /// What was learned of a service.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Learned {
+pub struct ServiceEstimates {
     /// Slots of its runners that are up.
     pub slots: f64,
     /// Time to a first token with nothing to read and nothing ahead.
     pub base_ms: f64,
     /// Time to read one token of a prompt.
     pub per_token_ms: f64,
-    /// Mean time to first tokens.
-    pub first_ms: f64,
-    /// Mean time of a run.
+    /// DecayingMean time to first tokens.
+    pub first_token_ms: f64,
+    /// DecayingMean time of a run.
     pub run_ms: f64,
     /// How sure it is that a home has its part by the others' requests.
-    pub home_sure: f64,
+    pub home_hit_rate: f64,
     /// Share of the slots that other dispatchers hold.
-    pub others: f64,
+    pub load_by_others: f64,
     /// Share of live requests that came late.
-    pub late: f64,
+    pub late_share: f64,
     /// Share of the slots that items leave free.
-    pub reserve: f64,
+    pub item_reserve: f64,
 }
--- a/crates/gateway/runner-selection/tests/choice.rs
+++ b/crates/gateway/runner-selection/tests/choice.rs
@@ -8,12 +8,12 @@
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use runner_registry::RunnerState;
-use runner_selection::{Choice, End, Engines, Report, RunnerKey, Want};
+use runner_selection::{Balancer, Choice, LoadReport, Outcome, RequestProfile, RunnerKey};
 use std::collections::HashMap;
 
-fn keys(engines: &Engines, many: usize) -> Vec<RunnerKey> {
+fn keys(engines: &Balancer, many: usize) -> Vec<RunnerKey> {
     (0..many)
-        .map(|n| engines.key(&format!("i-{n:08x}")).unwrap())
+        .map(|n| engines.runner_key(&format!("i-{n:08x}")).unwrap())
         .collect()
 }
 
@@ -46,18 +46,18 @@
             } else {
                 (slots, (unit(&mut rng) * 50.0) as u32)
             };
-            engines.load(1_000, *key, running, waiting, slots);
+            engines.load_reported(1_000, *key, running, waiting, slots);
         }
         for _ in 0..20 {
             let left_ms = 1 + (rng.next_u64() % 5_000) as u32;
-            let wanted = Want {
-                left_ms,
+            let wanted = RequestProfile {
+                remaining_ms: left_ms,
                 target_ms: 1 + (rng.next_u64() % 500) as u32,
                 ..want(2_000, 200)
             };
             let choice = engines.choose(1_000, &wanted);
             assert!(
-                !matches!(choice, Choice::Refuse { .. }),
+                !matches!(choice, Choice::Reject { .. }),
                 "{seed}: {choice:?} with {left_ms} ms left"
             );
         }
@@ -68,13 +68,13 @@
 fn refused_at_once_where_all_are_full_and_the_client_would_not_see_a_token() {
     let mut engines = engines(3, 8, 10, llm(200, 1_000_000), 4);
     for key in keys(&engines, 8) {
-        engines.load(1_000, key, 10, 200, 10);
+        engines.load_reported(1_000, key, 10, 200, 10);
     }
-    let wanted = Want {
-        left_ms: 1_500,
+    let wanted = RequestProfile {
+        remaining_ms: 1_500,
         ..want(600, 200)
     };
-    let Choice::Refuse { retry_after_ms } = engines.choose(1_000, &wanted) else {
+    let Choice::Reject { retry_after_ms } = engines.choose(1_000, &wanted) else {
         panic!("not refused")
     };
     assert!(
@@ -86,12 +86,12 @@
         .map(|_| {
             match engines.choose(
                 1_000,
-                &Want {
-                    left_ms: 60_000,
+                &RequestProfile {
+                    remaining_ms: 60_000,
                     ..wanted.clone()
                 },
             ) {
-                Choice::Refuse { retry_after_ms } => retry_after_ms,
+                Choice::Reject { retry_after_ms } => retry_after_ms,
                 other => panic!("{other:?}"),
             }
         })
@@ -103,17 +103,17 @@
 #[test]
 fn refused_by_all_it_waits_for_the_first_sleeper_and_no_longer_than_is_no_late_refusal() {
     let mut engines = engines(3, 3, 6, plain(100), 4);
-    let mut wanted = Want {
+    let mut wanted = RequestProfile {
         target_ms: 300,
-        left_ms: 4_000,
+        remaining_ms: 4_000,
         ..want(0, 0)
     };
     for _ in 0..3 {
         let key = sent_to(engines.choose(1_000, &wanted));
-        assert!(!wanted.tried.contains(&key), "another one each time");
-        let send = engines.sent(1_000, key, &wanted, false);
-        engines.ended(1_000, send, End::Refused);
-        wanted.tried.push(key);
+        assert!(!wanted.attempted.contains(&key), "another one each time");
+        let send = engines.attempt_started(1_000, key, &wanted, false);
+        engines.attempt_ended(1_000, send, Outcome::Rejected);
+        wanted.attempted.push(key);
     }
     let Choice::Wait { until } = engines.choose(1_000, &wanted) else {
         panic!("no wait")
@@ -125,14 +125,14 @@
         "the interval has passed: {again:?}"
     );
     // Never offered and waiting for too long already: a later refusal would be priced.
-    let late = Want {
+    let late = RequestProfile {
         waited_ms: 70,
-        tried: Vec::new(),
+        attempted: Vec::new(),
         ..wanted
     };
     assert!(matches!(
         engines.choose(1_000, &late),
-        Choice::Refuse { .. }
+        Choice::Reject { .. }
     ));
 }
 
@@ -142,12 +142,12 @@
     let wanted = want(0, 0);
     let key = sent_to(engines.choose(1_000, &wanted));
     for _ in 0..5 {
-        let send = engines.sent(1_000, key, &wanted, false);
-        engines.ended(1_000, send, End::Refused);
+        let send = engines.attempt_started(1_000, key, &wanted, false);
+        engines.attempt_ended(1_000, send, Outcome::Rejected);
     }
     let held = engines.choose(1_001, &wanted);
     assert!(matches!(held, Choice::Wait { .. }), "{held:?}");
-    engines.load(1_002, key, 1, 0, 6);
+    engines.load_reported(1_002, key, 1, 0, 6);
     assert_eq!(sent_to(engines.choose(1_003, &wanted)), key);
     assert_eq!(
         engines.choose_item(1_003, &wanted),
@@ -160,16 +160,16 @@
 fn nothing_new_goes_to_one_that_drains_or_is_gone() {
     let mut engines = engines(9, 4, 8, llm(200, 1_000_000), 2);
     let keys = keys(&engines, 4);
-    let send = engines.sent(10, keys[0], &want(100, 10), false);
+    let send = engines.attempt_started(10, keys[0], &want(100, 10), false);
     let mut draining = listed(0, SVC, 8);
     draining.state = RunnerState::Draining;
-    engines.runner(10, &draining, llm(200, 1_000_000));
+    engines.update_runner(10, &draining, llm(200, 1_000_000));
     let mut gone = listed(1, SVC, 8);
     gone.state = RunnerState::Gone;
-    engines.runner(10, &gone, llm(200, 1_000_000));
-    engines.remove("i-00000002");
-    assert!(!engines.usable(keys[0]) && !engines.usable(keys[1]) && !engines.usable(keys[2]));
-    assert_eq!(engines.id(keys[1]), "");
+    engines.update_runner(10, &gone, llm(200, 1_000_000));
+    engines.remove_runner("i-00000002");
+    assert!(!engines.is_up(keys[0]) && !engines.is_up(keys[1]) && !engines.is_up(keys[2]));
+    assert_eq!(engines.runner_id(keys[1]), "");
     for now in 20..220 {
         assert_eq!(sent_to(engines.choose(now, &want(100, 10))), keys[3]);
         assert!(engines
@@ -177,39 +177,39 @@
             .is_none_or(|k| k == keys[3]));
     }
     // What is under way ends as ever.
-    engines.first_token(30, send);
-    engines.ended(40, send, End::Ok);
-    engines.remove("i-00000003");
+    engines.first_token_received(30, send);
+    engines.attempt_ended(40, send, Outcome::Completed);
+    engines.remove_runner("i-00000003");
     assert!(matches!(
         engines.choose(300, &want(100, 10)),
         Choice::Wait { .. }
     ));
-    let waited = Want {
+    let waited = RequestProfile {
         waited_ms: 100,
         ..want(100, 10)
     };
     assert!(matches!(
         engines.choose(300, &waited),
-        Choice::Refuse { .. }
+        Choice::Reject { .. }
     ));
 }
 
 #[test]
 fn a_key_is_never_anothers_and_sendings_to_those_gone_end() {
     let mut engines = engines(9, 1, 8, plain(100), 1);
-    let old = engines.key("i-00000000").unwrap();
-    let send = engines.sent(0, old, &want(0, 0), false);
+    let old = engines.runner_key("i-00000000").unwrap();
+    let send = engines.attempt_started(0, old, &want(0, 0), false);
     for n in 1..2_000 {
-        engines.remove(&format!("i-{:08x}", n - 1));
-        engines.runner(n as u64, &listed(n, SVC, 8), plain(100));
-        assert_ne!(engines.key(&format!("i-{n:08x}")), Some(old));
-        assert!(!engines.usable(old));
+        engines.remove_runner(&format!("i-{:08x}", n - 1));
+        engines.update_runner(n as u64, &listed(n, SVC, 8), plain(100));
+        assert_ne!(engines.runner_key(&format!("i-{n:08x}")), Some(old));
+        assert!(!engines.is_up(old));
     }
-    engines.first_token(3_000, send);
-    engines.ended(3_000, send, End::Ok);
-    engines.ended(3_000, send, End::Ok);
-    engines.load(3_000, old, 1, 1, 1);
-    engines.report(3_000, old, Report::default());
+    engines.first_token_received(3_000, send);
+    engines.attempt_ended(3_000, send, Outcome::Completed);
+    engines.attempt_ended(3_000, send, Outcome::Completed);
+    engines.load_reported(3_000, old, 1, 1, 1);
+    engines.report_received(3_000, old, LoadReport::default());
 }
 
 #[test]
@@ -221,11 +221,11 @@
             let mut engines = engines(seed, 10, 24, llm(220, 400_000), 10);
             let keys = keys(&engines, 10);
             for (n, key) in keys.iter().enumerate() {
-                engines.load(1_000, *key, if n == empty { 0 } else { 20 }, 0, 24);
+                engines.load_reported(1_000, *key, if n == empty { 0 } else { 20 }, 0, 24);
             }
             for _ in 0..3 {
                 let key = sent_to(engines.choose(1_001, &want(500, 100)));
-                engines.sent(1_001, key, &want(500, 100), false);
+                engines.attempt_started(1_001, key, &want(500, 100), false);
                 *at.entry(key).or_insert(0) += 1;
             }
         }
@@ -255,14 +255,14 @@
 
 #[test]
 fn one_home_for_a_long_part_at_every_dispatcher_and_no_steering_by_short_ones() {
-    let long = Want {
-        prefix: vec![(77, 14_000), (78, 900)],
-        tokens_in: 14_900,
+    let long = RequestProfile {
+        prompt_parts: vec![(77, 14_000), (78, 900)],
+        prompt_tokens: 14_900,
         ..want(0, 100)
     };
-    let short = Want {
-        prefix: vec![(79, 150), (80, 500)],
-        tokens_in: 650,
+    let short = RequestProfile {
+        prompt_parts: vec![(79, 150), (80, 500)],
+        prompt_tokens: 650,
         ..want(0, 100)
     };
     let (mut homes, mut others) = (HashMap::new(), HashMap::new());
@@ -281,9 +281,9 @@
 
 #[test]
 fn a_home_that_is_far_fuller_than_the_others_is_passed_over_for_the_next_one() {
-    let long = Want {
-        prefix: vec![(77, 14_000), (78, 900)],
-        tokens_in: 14_900,
+    let long = RequestProfile {
+        prompt_parts: vec![(77, 14_000), (78, 900)],
+        prompt_tokens: 14_900,
         ..want(0, 100)
     };
     let mut next = HashMap::new();
@@ -291,7 +291,7 @@
         let mut engines = engines(seed, 16, 24, llm(220, 400_000), 10);
         let home = sent_to(engines.choose(1_000, &long));
         for key in keys(&engines, 16) {
-            engines.load(
+            engines.load_reported(
                 1_000,
                 key,
                 if key == home { 24 } else { 6 },
@@ -309,15 +309,15 @@
 #[test]
 fn a_sessions_own_part_is_followed_to_where_it_was_sent() {
     let mut engines = engines(2, 16, 24, llm(220, 400_000), 1);
-    let first = Want {
-        prefix: vec![(1, 100), (42, 6_000)],
-        tokens_in: 6_100,
+    let first = RequestProfile {
+        prompt_parts: vec![(1, 100), (42, 6_000)],
+        prompt_tokens: 6_100,
         ..want(0, 100)
     };
     let key = sent_to(engines.choose(1_000, &first));
-    let send = engines.sent(1_000, key, &first, false);
-    engines.first_token(1_060, send);
-    engines.ended(1_500, send, End::Ok);
+    let send = engines.attempt_started(1_000, key, &first, false);
+    engines.first_token_received(1_060, send);
+    engines.attempt_ended(1_500, send, Outcome::Completed);
     for n in 0..20 {
         assert_eq!(sent_to(engines.choose(2_000 + n, &first)), key);
     }
@@ -329,15 +329,15 @@
     let keys = keys(&engines, 4);
     let (mut now, mut spans) = (1_000, Vec::new());
     for _ in 0..5 {
-        let send = engines.sent(now, keys[1], &want(0, 0), false);
-        engines.ended(now, send, End::ConnectFailed);
+        let send = engines.attempt_started(now, keys[1], &want(0, 0), false);
+        engines.attempt_ended(now, send, Outcome::ConnectFailed);
         let from = now;
         let once = want(0, 0);
-        let again = Want {
-            repeatable: true,
+        let again = RequestProfile {
+            retryable: true,
             ..want(0, 0)
         };
-        while !engines.in_good_standing(now, keys[1]) {
+        while !engines.is_healthy(now, keys[1]) {
             now += 1;
             assert_ne!(
                 sent_to(engines.choose(now, &once)),
@@ -357,22 +357,19 @@
             .all(|w| w[1] as f64 > 1.2 * w[0] as f64 || w[1] >= 2_000),
         "{spans:?}"
     );
-    let send = engines.sent(now, keys[1], &want(0, 0), false);
-    engines.ended(now + 10, send, End::Ok);
-    assert!(
-        engines.in_good_standing(now + 10, keys[1]),
-        "an answer ends it"
-    );
+    let send = engines.attempt_started(now, keys[1], &want(0, 0), false);
+    engines.attempt_ended(now + 10, send, Outcome::Completed);
+    assert!(engines.is_healthy(now + 10, keys[1]), "an answer ends it");
 }
 
 #[test]
 fn all_avoided_are_better_than_nobody() {
     let mut engines = engines(4, 3, 24, llm(220, 400_000), 1);
     for key in keys(&engines, 3) {
-        let send = engines.sent(1_000, key, &want(100, 10), false);
-        engines.ended(1_000, send, End::Broken);
+        let send = engines.attempt_started(1_000, key, &want(100, 10), false);
+        engines.attempt_ended(1_000, send, Outcome::ConnectionLost);
     }
-    let waited = Want {
+    let waited = RequestProfile {
         waited_ms: 60,
         ..want(100, 10)
     };
@@ -388,20 +385,20 @@
 fn overdue_sendings_are_named_once_where_they_may_be_repeated() {
     let mut engines = engines(4, 3, 24, llm(220, 400_000), 1);
     let keys = keys(&engines, 3);
-    let again = Want {
-        repeatable: true,
+    let again = RequestProfile {
+        retryable: true,
         ..want(100, 10)
     };
-    let first = engines.sent(1_000, keys[0], &again, false);
-    engines.sent(1_000, keys[0], &want(100, 10), false);
-    let alive = engines.sent(1_000, keys[1], &again, false);
-    engines.event(1_400, alive);
-    assert!(engines.overdue(1_200).is_empty());
-    assert_eq!(engines.overdue(1_500), vec![first]);
-    assert!(engines.overdue(1_600).is_empty());
-    assert!(!engines.in_good_standing(1_600, keys[0]));
+    let first = engines.attempt_started(1_000, keys[0], &again, false);
+    engines.attempt_started(1_000, keys[0], &want(100, 10), false);
+    let alive = engines.attempt_started(1_000, keys[1], &again, false);
+    engines.event_received(1_400, alive);
+    assert!(engines.overdue_attempts(1_200).is_empty());
+    assert_eq!(engines.overdue_attempts(1_500), vec![first]);
+    assert!(engines.overdue_attempts(1_600).is_empty());
+    assert!(!engines.is_healthy(1_600, keys[0]));
     assert!(
-        engines.in_good_standing(1_600, keys[1]),
+        engines.is_healthy(1_600, keys[1]),
         "it has shown a sign of life"
     );
 }
@@ -411,28 +408,28 @@
     let mut engines = engines(4, 50, 24, llm(220, 400_000), 1);
     let keys = keys(&engines, 50);
     for key in &keys {
-        let send = engines.sent(1_000, *key, &want(100, 10), false);
-        engines.ended(1_000, send, End::TimedOut);
+        let send = engines.attempt_started(1_000, *key, &want(100, 10), false);
+        engines.attempt_ended(1_000, send, Outcome::TimedOut);
     }
     assert!(
-        engines.ask_reports(1_010).is_empty(),
+        engines.runners_to_probe(1_010).is_empty(),
         "they are to be left alone for a while"
     );
-    let asked = engines.ask_reports(1_600);
+    let asked = engines.runners_to_probe(1_600);
     assert!(!asked.is_empty() && asked.len() <= 4, "{asked:?}");
-    let report = Report {
+    let report = LoadReport {
         queued: 1,
         active: 3,
         kv_in_use: 1_000,
         kv_size: 400_000,
     };
-    engines.report(1_650, asked[0], report);
-    assert!(engines.in_good_standing(1_650, asked[0]));
-    engines.report_lost(1_650, asked[1]);
-    assert!(!engines.in_good_standing(1_650, asked[1]));
+    engines.report_received(1_650, asked[0], report);
+    assert!(engines.is_healthy(1_650, asked[0]));
+    engines.report_failed(1_650, asked[1]);
+    assert!(!engines.is_healthy(1_650, asked[1]));
     let mut many = 0;
     for now in (1_700..11_700).step_by(100) {
-        many += engines.ask_reports(now).len();
+        many += engines.runners_to_probe(now).len();
     }
     assert!(many <= 25, "two a second at most: {many}");
 }
@@ -440,9 +437,9 @@
 #[test]
 fn a_request_larger_than_the_memory_says_nothing_of_a_refusing_runner() {
     let mut engines = engines(4, 1, 24, llm(220, 10_000), 1);
-    let key = engines.key("i-00000000").unwrap();
-    let send = engines.sent(1_000, key, &want(20_000, 100), false);
-    engines.ended(1_001, send, End::Refused);
+    let key = engines.runner_key("i-00000000").unwrap();
+    let send = engines.attempt_started(1_000, key, &want(20_000, 100), false);
+    engines.attempt_ended(1_001, send, Outcome::Rejected);
     assert_eq!(sent_to(engines.choose(1_002, &want(100, 10))), key);
 }
 
@@ -450,11 +447,11 @@
 fn a_dispatcher_holds_its_share_of_the_connections() {
     let mut engines = engines(4, 2, 24, llm(220, 400_000), 10);
     let keys = keys(&engines, 2);
-    assert_eq!(engines.connections(keys[0]), 22);
-    engines.share(400);
-    assert_eq!(engines.connections(keys[0]), 2);
-    engines.sent(0, keys[0], &want(100, 10), false);
-    engines.sent(0, keys[0], &want(100, 10), false);
+    assert_eq!(engines.connection_limit(keys[0]), 22);
+    engines.set_dispatcher_count(400);
+    assert_eq!(engines.connection_limit(keys[0]), 2);
+    engines.attempt_started(0, keys[0], &want(100, 10), false);
+    engines.attempt_started(0, keys[0], &want(100, 10), false);
     for now in 1..50 {
         assert_eq!(
             sent_to(engines.choose(now, &want(100, 10))),
@@ -468,22 +465,22 @@
 fn items_go_by_room_and_an_unheard_runner_gets_one() {
     let mut engines = engines(6, 3, 20, llm(220, 4_000_000), 1);
     let keys = keys(&engines, 3);
-    let item = Want {
-        repeatable: true,
-        left_ms: 10_000,
+    let item = RequestProfile {
+        retryable: true,
+        remaining_ms: 10_000,
         ..want(300, 100)
     };
     // Nobody has said anything: one each.
     let mut firsts = Vec::new();
     while let Some(key) = engines.choose_item(1_000, &item) {
-        firsts.push((key, engines.sent(1_000, key, &item, true)));
+        firsts.push((key, engines.attempt_started(1_000, key, &item, true)));
         assert!(firsts.len() <= 3);
     }
     assert_eq!(firsts.len(), 3);
     for (key, send) in firsts {
-        engines.first_token(1_010, send);
-        engines.ended(1_020, send, End::Ok);
-        engines.load(
+        engines.first_token_received(1_010, send);
+        engines.attempt_ended(1_020, send, Outcome::Completed);
+        engines.load_reported(
             1_020,
             key,
             if key == keys[0] {
@@ -505,29 +502,29 @@
     assert_eq!(got.get(&keys[2]), None, "it has no free slot");
     let (wide, narrow) = (got[&keys[0]] as f64, got[&keys[1]] as f64);
     assert!(wide / narrow > 1.6 && wide / narrow < 3.5, "{got:?}");
-    assert!(engines.item_room(1_021, SVC) >= 1);
+    assert!(engines.item_capacity(1_021, SVC) >= 1);
     // Full everywhere: hold it.
     keys.iter()
-        .for_each(|key| engines.load(1_030, *key, 20, 5, 20));
+        .for_each(|key| engines.load_reported(1_030, *key, 20, 5, 20));
     assert_eq!(engines.choose_item(1_031, &item), None);
-    assert_eq!(engines.item_room(1_031, SVC), 0);
+    assert_eq!(engines.item_capacity(1_031, SVC), 0);
 }
 
 /// A fleet of eight runners, all full but one, and an item on its way that is due so long after its sending.
-fn nearly_full_fleet(item_left_ms: u32) -> Engines {
+fn nearly_full_fleet(item_left_ms: u32) -> Balancer {
     let mut engines = engines(6, 8, 10, llm(220, 4_000_000), 1);
     let keys = keys(&engines, 8);
-    let item = Want {
-        repeatable: true,
-        left_ms: item_left_ms,
+    let item = RequestProfile {
+        retryable: true,
+        remaining_ms: item_left_ms,
         ..want(300, 100)
     };
-    let send = engines.sent(1_000, keys[0], &item, true);
-    engines.first_token(1_010, send);
+    let send = engines.attempt_started(1_000, keys[0], &item, true);
+    engines.first_token_received(1_010, send);
     for now in 1_010..1_060 {
         for key in &keys {
             let (running, waiting) = if *key == keys[7] { (4, 0) } else { (10, 2) };
-            engines.load(now, *key, running, waiting, 10);
+            engines.load_reported(now, *key, running, waiting, 10);
         }
     }
     engines
@@ -536,25 +533,28 @@
 #[test]
 fn an_item_with_time_to_spare_waits_while_the_fleet_as_a_whole_is_full() {
     assert_eq!(
-        nearly_full_fleet(20_000).item_room(1_060, SVC),
+        nearly_full_fleet(20_000).item_capacity(1_060, SVC),
         0,
         "one runner has room, the fleet has none"
     );
     assert!(
-        nearly_full_fleet(2_000).item_room(1_060, SVC) >= 1,
+        nearly_full_fleet(2_000).item_capacity(1_060, SVC) >= 1,
         "it is due soon"
     );
     let mut unheard = nearly_full_fleet(20_000);
     assert!(
-        unheard.item_room(4_000, SVC) >= 1,
+        unheard.item_capacity(4_000, SVC) >= 1,
         "what was said long ago is no reason to wait"
     );
     for now in 4_000..4_050 {
         keys(&unheard, 8)
             .into_iter()
-            .for_each(|key| unheard.load(now, key, 4, 0, 10));
+            .for_each(|key| unheard.load_reported(now, key, 4, 0, 10));
     }
-    assert!(unheard.item_room(4_050, SVC) >= 1, "there is room again");
+    assert!(
+        unheard.item_capacity(4_050, SVC) >= 1,
+        "there is room again"
+    );
 }
 
 #[test]
@@ -562,19 +562,19 @@
     let is_open = |item_left_ms| {
         let mut engines = engines(6, 8, 100, llm(2_200, 40_000_000), 1);
         let keys = keys(&engines, 8);
-        let item = Want {
-            repeatable: true,
-            left_ms: item_left_ms,
+        let item = RequestProfile {
+            retryable: true,
+            remaining_ms: item_left_ms,
             ..want(300, 100)
         };
-        let send = engines.sent(1_000, keys[0], &item, true);
-        engines.first_token(1_010, send);
+        let send = engines.attempt_started(1_000, keys[0], &item, true);
+        engines.first_token_received(1_010, send);
         for now in 1_010..1_060 {
             for key in &keys {
-                engines.load(now, *key, if *key == keys[7] { 68 } else { 100 }, 0, 100);
+                engines.load_reported(now, *key, if *key == keys[7] { 68 } else { 100 }, 0, 100);
             }
         }
-        engines.item_room(1_060, SVC) > 0
+        engines.item_capacity(1_060, SVC) > 0
     };
     assert!(
         !is_open(60_000) && is_open(4_000),
@@ -585,23 +585,23 @@
 #[test]
 fn an_item_waits_out_the_interval_of_a_runner_that_refused_one() {
     let mut engines = engines(6, 1, 20, llm(220, 4_000_000), 1);
-    let key = engines.key("i-00000000").unwrap();
-    let item = Want {
-        repeatable: true,
-        left_ms: 10_000,
+    let key = engines.runner_key("i-00000000").unwrap();
+    let item = RequestProfile {
+        retryable: true,
+        remaining_ms: 10_000,
         ..want(300, 100)
     };
     let mut now = 1_000;
     let mut spans = Vec::new();
     for _ in 0..6 {
-        engines.load(now, key, 1, 0, 20);
+        engines.load_reported(now, key, 1, 0, 20);
         assert_eq!(engines.choose_item(now, &item), Some(key));
-        let send = engines.sent(now, key, &item, true);
-        engines.ended(now, send, End::Refused);
+        let send = engines.attempt_started(now, key, &item, true);
+        engines.attempt_ended(now, send, Outcome::Rejected);
         let from = now;
         loop {
             now += 1;
-            engines.load(now, key, 1, 0, 20);
+            engines.load_reported(now, key, 1, 0, 20);
             if engines.choose_item(now, &item).is_some() {
                 break;
             }
@@ -614,11 +614,11 @@
 #[test]
 fn an_item_that_is_due_soon_takes_the_reserve_too() {
     let mut engines = engines(6, 1, 20, llm(220, 4_000_000), 1);
-    let key = engines.key("i-00000000").unwrap();
-    engines.load(1_000, key, 19, 0, 20);
-    let item = |left_ms| Want {
-        repeatable: true,
-        left_ms,
+    let key = engines.runner_key("i-00000000").unwrap();
+    engines.load_reported(1_000, key, 19, 0, 20);
+    let item = |left_ms| RequestProfile {
+        retryable: true,
+        remaining_ms: left_ms,
         ..want(300, 100)
     };
     assert_eq!(engines.choose_item(1_000, &item(10_000)), None);
@@ -627,10 +627,10 @@
 
 #[test]
 fn thousands_of_runners_and_parts_are_borne() {
-    let mut engines = Engines::new(1, "z0");
-    engines.share(300);
+    let mut engines = Balancer::new(1, "z0");
+    engines.set_dispatcher_count(300);
     for n in 0..10_000 {
-        engines.runner(0, &listed(n, SVC, 24), llm(2_200, 400_000));
+        engines.update_runner(0, &listed(n, SVC, 24), llm(2_200, 400_000));
     }
     let mut rng = Pcg64Mcg::seed_from_u64(8);
     let mut homes: HashMap<u64, RunnerKey> = HashMap::new();
@@ -638,17 +638,17 @@
     for n in 0..3_000u64 {
         let part = rng.next_u64() % 50;
         let prefix = vec![(part, 14_000), (rng.next_u64(), 900)];
-        let wanted = Want {
-            prefix,
-            tokens_in: 14_900,
+        let wanted = RequestProfile {
+            prompt_parts: prefix,
+            prompt_tokens: 14_900,
             ..want(0, 100)
         };
         let now = 1_000 + n * 20;
         let key = sent_to(engines.choose(now, &wanted));
         at_home += u32::from(*homes.entry(part).or_insert(key) == key);
-        let send = engines.sent(now, key, &wanted, false);
-        engines.first_token(now + 20, send);
-        engines.ended(now + 200, send, End::Ok);
+        let send = engines.attempt_started(now, key, &wanted, false);
+        engines.first_token_received(now + 20, send);
+        engines.attempt_ended(now + 200, send, Outcome::Completed);
     }
     assert!(
         at_home > 2_800,
@@ -664,36 +664,36 @@
         let mut said = String::new();
         let mut sends = Vec::new();
         for now in 0..3_000u64 {
-            let wanted = Want {
-                repeatable: now % 3 == 0,
+            let wanted = RequestProfile {
+                retryable: now % 3 == 0,
                 ..want((rng.next_u64() % 9_000) as u32, 100)
             };
             match engines.choose(now, &wanted) {
                 Choice::Send { runner } => {
-                    sends.push(engines.sent(now, runner, &wanted, now % 7 == 0))
+                    sends.push(engines.attempt_started(now, runner, &wanted, now % 7 == 0))
                 }
                 other => said += &format!("{other:?}"),
             }
             if !sends.is_empty() && rng.next_u64() % 100 < 97 {
                 let send = sends.swap_remove((rng.next_u64() % sends.len() as u64) as usize);
                 let ends = [
-                    End::Ok,
-                    End::Refused,
-                    End::ConnectFailed,
-                    End::Broken,
-                    End::Failed,
-                    End::NotRun,
+                    Outcome::Completed,
+                    Outcome::Rejected,
+                    Outcome::ConnectFailed,
+                    Outcome::ConnectionLost,
+                    Outcome::ServerError,
+                    Outcome::NotRun,
                 ];
                 let more = [
-                    End::WrongRunner,
-                    End::TimedOut,
-                    End::ClientLeft,
-                    End::Ok,
-                    End::Ok,
-                    End::Ok,
+                    Outcome::Misdirected,
+                    Outcome::TimedOut,
+                    Outcome::ClientDisconnected,
+                    Outcome::Completed,
+                    Outcome::Completed,
+                    Outcome::Completed,
                 ];
-                engines.first_token(now, send);
-                engines.ended(
+                engines.first_token_received(now, send);
+                engines.attempt_ended(
                     now,
                     send,
                     *ends
@@ -704,8 +704,8 @@
                 );
             }
             said += &format!("{:?}", engines.choose_item(now, &wanted));
-            said += &format!("{:?}", engines.ask_reports(now));
-            said += &format!("{:?}", engines.overdue(now));
+            said += &format!("{:?}", engines.runners_to_probe(now));
+            said += &format!("{:?}", engines.overdue_attempts(now));
         }
         said
     };
@@ -718,36 +718,36 @@
     let keys = keys(&engines, 6);
     for now in 0..50 {
         keys.iter()
-            .for_each(|key| engines.load(1_000 + now, *key, 20, 60, 20));
+            .for_each(|key| engines.load_reported(1_000 + now, *key, 20, 60, 20));
     }
-    let item = Want {
-        repeatable: true,
-        left_ms: 10_000,
+    let item = RequestProfile {
+        retryable: true,
+        remaining_ms: 10_000,
         ..want(300, 100)
     };
     assert!(matches!(
         engines.choose(1_060, &want(300, 100)),
-        Choice::Refuse { .. }
+        Choice::Reject { .. }
     ));
     assert_eq!(
         (
-            engines.item_room(1_060, SVC),
+            engines.item_capacity(1_060, SVC),
             engines.choose_item(1_060, &item)
         ),
         (0, None)
     );
     // All were refused, so nothing was heard. The first to come shows how it is by now.
     let key = sent_to(engines.choose(4_000, &want(300, 100)));
-    assert!(engines.item_room(4_000, SVC) >= 1);
+    assert!(engines.item_capacity(4_000, SVC) >= 1);
     assert!(engines.choose_item(4_000, &item).is_some());
     for key in &keys {
-        engines.load(4_010, *key, 20, 60, 20);
+        engines.load_reported(4_010, *key, 20, 60, 20);
     }
-    let send = engines.sent(4_000, key, &want(300, 100), false);
-    engines.ended(4_010, send, End::Refused);
+    let send = engines.attempt_started(4_000, key, &want(300, 100), false);
+    engines.attempt_ended(4_010, send, Outcome::Rejected);
     assert!(matches!(
         engines.choose(4_020, &want(300, 100)),
-        Choice::Refuse { .. }
+        Choice::Reject { .. }
     ));
 }
 
@@ -755,22 +755,22 @@
 fn the_reserve_follows_the_live_use_up_and_down() {
     let mut engines = engines(6, 4, 20, llm(220, 4_000_000), 2);
     let key = keys(&engines, 4)[0];
-    let reserve = |e: &Engines| e.learned(SVC).unwrap().reserve;
+    let reserve = |e: &Balancer| e.service_estimates(SVC).unwrap().item_reserve;
     let least = reserve(&engines);
     let live: Vec<_> = (0..40)
-        .map(|n| engines.sent(1_000 + n, key, &want(300, 100), false))
+        .map(|n| engines.attempt_started(1_000 + n, key, &want(300, 100), false))
         .collect();
     for _ in 0..100 {
-        let item = engines.sent(1_050, key, &want(300, 100), true);
-        engines.ended(1_060, item, End::Ok);
+        let item = engines.attempt_started(1_050, key, &want(300, 100), true);
+        engines.attempt_ended(1_060, item, Outcome::Completed);
     }
     let busy = reserve(&engines);
     assert!(busy > 2.0 * least, "{least} {busy}");
     live.into_iter()
-        .for_each(|send| engines.ended(1_100, send, End::Ok));
+        .for_each(|send| engines.attempt_ended(1_100, send, Outcome::Completed));
     for _ in 0..200 {
-        let item = engines.sent(1_200, key, &want(300, 100), true);
-        engines.ended(1_210, item, End::Ok);
+        let item = engines.attempt_started(1_200, key, &want(300, 100), true);
+        engines.attempt_ended(1_210, item, Outcome::Completed);
     }
     assert!(
         reserve(&engines) < 1.1 * least,
@@ -783,31 +783,31 @@
 fn what_the_others_push_unseen_is_taken_off_the_room() {
     let mut engines = engines(6, 1, 40, llm(220, 4_000_000), 2);
     let key = keys(&engines, 1)[0];
-    let item = Want {
-        repeatable: true,
-        left_ms: 10_000,
+    let item = RequestProfile {
+        retryable: true,
+        remaining_ms: 10_000,
         ..want(20, 10)
     };
     // So small, beside so slow an objective, that what they take to read is no bound.
     for now in 0..200 {
         engines.choose(
             now,
-            &Want {
+            &RequestProfile {
                 target_ms: 5_000,
                 ..want(20, 10)
             },
         );
-        let send = engines.sent(now, key, &item, true);
-        engines.ended(now + 1, send, End::Ok);
+        let send = engines.attempt_started(now, key, &item, true);
+        engines.attempt_ended(now + 1, send, Outcome::Completed);
     }
-    engines.load(1_000, key, 0, 0, 40);
+    engines.load_reported(1_000, key, 0, 0, 40);
     for sent in 0..12u32 {
-        let room = engines.item_room(1_000, SVC);
+        let room = engines.item_capacity(1_000, SVC);
         assert!(
             2 * (room + sent) <= 40,
             "two dispatchers with {sent} sent and {room} more each"
         );
-        engines.sent(1_000, key, &item, true);
+        engines.attempt_started(1_000, key, &item, true);
     }
 }
 
@@ -816,28 +816,28 @@
     let mut engines = engines(6, 12, 24, llm(220, 4_000_000), 10);
     let keys = keys(&engines, 12);
     // Each prompt is its own: nothing of it was read before.
-    let item = |n| Want {
-        repeatable: true,
-        prefix: vec![(n, 5_000)],
-        left_ms: 10_000,
+    let item = |n| RequestProfile {
+        retryable: true,
+        prompt_parts: vec![(n, 5_000)],
+        remaining_ms: 10_000,
         ..want(5_000, 100)
     };
     for now in 0..200 {
-        let send = engines.sent(now, keys[0], &item(now), true);
-        engines.ended(now + 60, send, End::Ok);
+        let send = engines.attempt_started(now, keys[0], &item(now), true);
+        engines.attempt_ended(now + 60, send, Outcome::Completed);
     }
     keys.iter()
-        .for_each(|key| engines.load(1_000, *key, 0, 0, 24));
+        .for_each(|key| engines.load_reported(1_000, *key, 0, 0, 24));
     // Some 270 free slots are 27 for each of ten; but each item takes fifty milliseconds to read.
     assert!(
-        (1..=3).contains(&engines.item_room(1_000, SVC)),
+        (1..=3).contains(&engines.item_capacity(1_000, SVC)),
         "{}",
-        engines.item_room(1_000, SVC)
+        engines.item_capacity(1_000, SVC)
     );
-    engines.sent(1_000, keys[0], &item(1_000), true);
-    engines.sent(1_000, keys[1], &item(1_001), true);
+    engines.attempt_started(1_000, keys[0], &item(1_000), true);
+    engines.attempt_started(1_000, keys[1], &item(1_001), true);
     assert_eq!(
-        engines.item_room(1_000, SVC),
+        engines.item_capacity(1_000, SVC),
         0,
         "until these have been read"
     );
@@ -849,26 +849,26 @@
     for slots in [1, 48] {
         let mut engines = engines(3, 3, 6, plain(100), 4);
         let keys = keys(&engines, 3);
-        engines.load(1_000, keys[0], 0, 0, slots);
-        engines.remove("i-00000000");
+        engines.load_reported(1_000, keys[0], 0, 0, slots);
+        engines.remove_runner("i-00000000");
         let choice = engines.choose(1_100, &want(0, 0));
         assert!(
             matches!(choice, Choice::Send { .. }),
             "two with 6 slots are up: {choice:?}"
         );
         // And none is left over when the last has gone.
-        engines.remove("i-00000001");
-        engines.remove("i-00000002");
+        engines.remove_runner("i-00000001");
+        engines.remove_runner("i-00000002");
         let choice = engines.choose(
             1_200,
-            &Want {
+            &RequestProfile {
                 target_ms: 1,
-                left_ms: 10,
+                remaining_ms: 10,
                 ..want(0, 0)
             },
         );
         assert!(
-            matches!(choice, Choice::Refuse { .. }),
+            matches!(choice, Choice::Reject { .. }),
             "nobody is up: {choice:?}"
         );
     }
--- a/crates/gateway/runner-selection/tests/common/fleet.rs
+++ b/crates/gateway/runner-selection/tests/common/fleet.rs
@@ -4,7 +4,9 @@
 use super::{exponential, listed, llm, SVC};
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use runner_selection::{Choice, End, Engines, Ms, Report, RunnerKey, SendId, Want};
+use runner_selection::{
+    AttemptId, Balancer, Choice, LoadReport, Millis, Outcome, RequestProfile, RunnerKey,
+};
 use std::collections::{BTreeMap, VecDeque};
 
 #[derive(Debug, Clone, Copy)]
@@ -48,29 +50,29 @@
 }
 
 struct Held {
-    at: Ms,
-    came: Ms,
+    at: Millis,
+    came: Millis,
     kind: usize,
-    want: Want,
+    want: RequestProfile,
 }
 
 struct Flight {
     dispatcher: usize,
     kind: usize,
     item: bool,
-    send: Option<SendId>,
+    send: Option<AttemptId>,
     runner: usize,
-    came: Ms,
+    came: Millis,
     begun: bool,
-    want: Want,
+    want: RequestProfile,
 }
 
 pub struct Fleet {
-    pub now: Ms,
+    pub now: Millis,
     pub rng: Pcg64Mcg,
     pub kinds: Vec<Kind>,
     pub runners: Vec<Model>,
-    pub engines: Vec<Engines>,
+    pub engines: Vec<Balancer>,
     keys: Vec<Vec<RunnerKey>>,
     next: Vec<f64>,
     held: Vec<Vec<Held>>,
@@ -80,13 +82,13 @@
     /// Chosen without knowledge, to compare with.
     pub blind: bool,
     /// Items of batch jobs that wait, and the kind that they are.
-    pub backlog: VecDeque<Want>,
-    fetched: Vec<VecDeque<Want>>,
+    pub backlog: VecDeque<RequestProfile>,
+    fetched: Vec<VecDeque<RequestProfile>>,
     pub items: Seen,
     pub item_kind: usize,
     pub reports: u64,
     /// Sends by time, dispatcher and runner.
-    pub sends: Vec<(Ms, usize, usize, bool)>,
+    pub sends: Vec<(Millis, usize, usize, bool)>,
     pub resend: bool,
 }
 
@@ -127,18 +129,18 @@
 
     /// One more dispatcher, which knows nothing.
     pub fn start(&mut self, seed: u64, dispatchers: u32) {
-        let mut engines = Engines::new(seed, &format!("z{}", self.engines.len() % 4));
-        engines.share(dispatchers);
+        let mut engines = Balancer::new(seed, &format!("z{}", self.engines.len() % 4));
+        engines.set_dispatcher_count(dispatchers);
         let make = self.runners[0].make;
         for n in 0..self.runners.len() {
-            engines.runner(
+            engines.update_runner(
                 self.now,
                 &listed(n, SVC, make.slots as u32),
                 llm(220, make.kv),
             );
         }
         let keys = (0..self.runners.len())
-            .map(|n| engines.key(&format!("i-{n:08x}")).unwrap())
+            .map(|n| engines.runner_key(&format!("i-{n:08x}")).unwrap())
             .collect();
         self.engines.push(engines);
         self.keys.push(keys);
@@ -146,7 +148,7 @@
         self.fetched.push(VecDeque::new());
     }
 
-    pub fn make_want(&mut self, kind: usize) -> Want {
+    pub fn make_want(&mut self, kind: usize) -> RequestProfile {
         let k = self.kinds[kind];
         let mut prefix = Vec::new();
         if k.things > 0 {
@@ -159,28 +161,28 @@
         prefix.push((self.rng.next_u64(), own));
         let tokens_in = prefix.iter().map(|(_, tokens)| tokens).sum();
         let tokens_out = exponential(&mut self.rng, k.out).clamp(10.0, 5.0 * k.out) as u32;
-        Want {
-            svc: SVC.into(),
-            prefix,
-            tokens_in,
-            tokens_out,
+        RequestProfile {
+            service: SVC.into(),
+            prompt_parts: prefix,
+            prompt_tokens: tokens_in,
+            max_output_tokens: tokens_out,
             target_ms: k.target,
-            left_ms: k.left,
-            repeatable: true,
-            ..Want::default()
+            remaining_ms: k.left,
+            retryable: true,
+            ..RequestProfile::default()
         }
     }
 
-    pub fn run(&mut self, until: Ms) {
+    pub fn run(&mut self, until: Millis) {
         while self.now < until {
             self.now += 1;
             self.arrivals();
             for d in 0..self.engines.len() {
                 self.place(d);
-                if self.now % 20 == d as Ms % 20 {
+                if self.now % 20 == d as Millis % 20 {
                     self.items(d);
                 }
-                if self.now % 50 == d as Ms % 50 && !self.blind {
+                if self.now % 50 == d as Millis % 50 && !self.blind {
                     self.care(d);
                 }
             }
@@ -218,7 +220,7 @@
         for mut h in due {
             let gone = (self.now - h.came) as u32;
             h.want.waited_ms = gone;
-            h.want.left_ms = self.kinds[h.kind].left.saturating_sub(gone);
+            h.want.remaining_ms = self.kinds[h.kind].left.saturating_sub(gone);
             let choice = if self.blind {
                 let runner =
                     self.keys[d][(self.rng.next_u64() % self.runners.len() as u64) as usize];
@@ -233,7 +235,7 @@
                     h.at = until;
                     self.held[d].push(h);
                 }
-                Choice::Refuse { .. } => self.seen[h.kind].refused += 1,
+                Choice::Reject { .. } => self.seen[h.kind].refused += 1,
             }
         }
     }
@@ -243,8 +245,8 @@
         d: usize,
         key: RunnerKey,
         kind: usize,
-        came: Ms,
-        mut want: Want,
+        came: Millis,
+        mut want: RequestProfile,
         item: bool,
     ) {
         let id = self.next_id;
@@ -254,12 +256,13 @@
             .position(|k| *k == key)
             .expect("a known runner");
         self.sends.push((self.now, d, runner, item));
-        let send = (!self.blind).then(|| self.engines[d].sent(self.now, key, &want, item));
+        let send =
+            (!self.blind).then(|| self.engines[d].attempt_started(self.now, key, &want, item));
         let job = Job {
             id,
-            prefix: want.prefix.clone(),
-            tokens_in: want.tokens_in,
-            tokens_out: want.tokens_out,
+            prefix: want.prompt_parts.clone(),
+            tokens_in: want.prompt_tokens,
+            tokens_out: want.max_output_tokens,
         };
         if self.runners[runner].push(job) {
             let flight = Flight {
@@ -278,15 +281,15 @@
         let (running, waiting) = self.runners[runner].load();
         let slots = self.runners[runner].make.slots as u32;
         if let Some(send) = send {
-            self.engines[d].load(self.now, key, running, waiting, slots);
-            self.engines[d].ended(self.now, send, End::Refused);
+            self.engines[d].load_reported(self.now, key, running, waiting, slots);
+            self.engines[d].attempt_ended(self.now, send, Outcome::Rejected);
         }
         if item {
             self.items.turned_away += 1;
             self.fetched[d].push_back(want);
         } else {
             self.seen[kind].turned_away += 1;
-            want.tried.push(key);
+            want.attempted.push(key);
             self.held[d].push(Held {
                 at: self.now + 1,
                 came,
@@ -297,7 +300,7 @@
     }
 
     fn items(&mut self, d: usize) {
-        let room = self.engines[d].item_room(self.now, SVC) as usize;
+        let room = self.engines[d].item_capacity(self.now, SVC) as usize;
         while self.fetched[d].len() < room {
             let Some(want) = self.backlog.pop_front() else {
                 break;
@@ -315,7 +318,7 @@
 
     /// Overdue ones go elsewhere; reports are asked for.
     fn care(&mut self, d: usize) {
-        for overdue in self.engines[d].overdue(self.now) {
+        for overdue in self.engines[d].overdue_attempts(self.now) {
             let found = self
                 .flights
                 .iter()
@@ -325,8 +328,8 @@
             };
             let mut f = self.flights.remove(&id).unwrap();
             self.runners[f.runner].cancel(id);
-            self.engines[d].ended(self.now, overdue, End::TimedOut);
-            f.want.tried.push(self.keys[d][f.runner]);
+            self.engines[d].attempt_ended(self.now, overdue, Outcome::TimedOut);
+            f.want.attempted.push(self.keys[d][f.runner]);
             if f.item {
                 self.fetched[d].push_back(f.want);
             } else {
@@ -338,22 +341,22 @@
                 });
             }
         }
-        for key in self.engines[d].ask_reports(self.now) {
+        for key in self.engines[d].runners_to_probe(self.now) {
             self.reports += 1;
             let n = self.keys[d].iter().position(|k| *k == key).unwrap();
             let model = &self.runners[n];
             if model.dark {
-                self.engines[d].report_lost(self.now, key);
+                self.engines[d].report_failed(self.now, key);
                 continue;
             }
             let (active, queued) = model.lagged();
-            let report = Report {
+            let report = LoadReport {
                 queued,
                 active,
                 kv_in_use: model.kv_in_use(),
                 kv_size: model.make.kv,
             };
-            self.engines[d].report(self.now, key, report);
+            self.engines[d].report_received(self.now, key, report);
         }
     }
 
@@ -377,14 +380,14 @@
             if let Some(send) = f.send {
                 let model = &self.runners[f.runner];
                 let (running, waiting) = model.load();
-                self.engines[d].load(now, key, running, waiting, model.make.slots as u32);
-                self.engines[d].first_token(now, send);
+                self.engines[d].load_reported(now, key, running, waiting, model.make.slots as u32);
+                self.engines[d].first_token_received(now, send);
             }
             return;
         }
         seen.done += 1;
         if let Some(send) = f.send {
-            self.engines[d].ended(now, send, End::Ok);
+            self.engines[d].attempt_ended(now, send, Outcome::Completed);
         }
         self.flights.remove(&id);
     }
--- a/crates/gateway/runner-selection/tests/common/mod.rs
+++ b/crates/gateway/runner-selection/tests/common/mod.rs
@@ -7,7 +7,7 @@
 use rand_pcg::rand_core::RngCore;
 use rand_pcg::Pcg64Mcg;
 use runner_registry::{Runner, RunnerState};
-use runner_selection::{Engines, SvcTerms, Want};
+use runner_selection::{Balancer, RequestProfile, ServiceTerms};
 
 pub const SVC: &str = "lm";
 
@@ -38,16 +38,16 @@
     }
 }
 
-pub fn llm(max_conns: u32, kv: u64) -> SvcTerms {
-    SvcTerms {
+pub fn llm(max_conns: u32, kv: u64) -> ServiceTerms {
+    ServiceTerms {
         max_conns,
         kv_capacity: Some(kv),
         llm: true,
     }
 }
 
-pub fn plain(max_conns: u32) -> SvcTerms {
-    SvcTerms {
+pub fn plain(max_conns: u32) -> ServiceTerms {
+    ServiceTerms {
         max_conns,
         kv_capacity: None,
         llm: false,
@@ -58,25 +58,25 @@
     seed: u64,
     runners: usize,
     slots: u32,
-    terms: SvcTerms,
+    terms: ServiceTerms,
     dispatchers: u32,
-) -> Engines {
-    let mut engines = Engines::new(seed, "z0");
-    engines.share(dispatchers);
+) -> Balancer {
+    let mut engines = Balancer::new(seed, "z0");
+    engines.set_dispatcher_count(dispatchers);
     for n in 0..runners {
-        engines.runner(0, &listed(n, SVC, slots), terms);
+        engines.update_runner(0, &listed(n, SVC, slots), terms);
     }
     engines
 }
 
-pub fn want(tokens_in: u32, tokens_out: u32) -> Want {
-    Want {
-        svc: SVC.into(),
-        prefix: vec![(0xffff_0000 + u64::from(tokens_in), tokens_in)],
-        tokens_in,
-        tokens_out,
+pub fn want(tokens_in: u32, tokens_out: u32) -> RequestProfile {
+    RequestProfile {
+        service: SVC.into(),
+        prompt_parts: vec![(0xffff_0000 + u64::from(tokens_in), tokens_in)],
+        prompt_tokens: tokens_in,
+        max_output_tokens: tokens_out,
         target_ms: 200,
-        left_ms: 5_000,
-        ..Want::default()
+        remaining_ms: 5_000,
+        ..RequestProfile::default()
     }
 }
--- a/crates/gateway/runner-selection/tests/fleet.rs
+++ b/crates/gateway/runner-selection/tests/fleet.rs
@@ -71,7 +71,7 @@
         f.reports,
         f.sends.len()
     );
-    println!("{name} {:?}", f.engines[0].learned(SVC));
+    println!("{name} {:?}", f.engines[0].service_estimates(SVC));
 }
 
 #[test]
@@ -97,13 +97,13 @@
     for seed in 1..4 {
         let fleet = played(seed, false);
         for engines in &fleet.engines {
-            let learned = engines.learned(SVC).unwrap();
+            let learned = engines.service_estimates(SVC).unwrap();
             assert!(
                 (1.0 / 250.0..1.0 / 60.0).contains(&learned.per_token_ms),
                 "{learned:?}"
             );
             assert!((200.0..900.0).contains(&learned.run_ms), "{learned:?}");
-            assert!((0.05..0.6).contains(&learned.others), "{learned:?}");
+            assert!((0.05..0.6).contains(&learned.load_by_others), "{learned:?}");
         }
     }
 }
