--- a/crates/dispatcher/dispatcher-state/src/config.rs
+++ b/crates/dispatcher/dispatcher-state/src/config.rs
@@ -4,15 +4,6 @@
 use dispatch_api::{Micros, Settings};
 use std::sync::Arc;
 
-/// How a process joins the other dispatchers as a member (crate `membership`).
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct MembershipConfig {
-    /// Protocol period, microseconds: one other member is pinged in each.
-    pub period: Micros,
-    /// Incarnation of this process, later than that of any process of this dispatcher before it.
-    pub incarnation: u32,
-}
-
 /// Configuration of a [`crate::State`].
 #[derive(Debug, Clone)]
 pub struct StateConfig {
--- a/crates/dispatcher/dispatcher-state/src/lib.rs
+++ b/crates/dispatcher/dispatcher-state/src/lib.rs
@@ -20,7 +20,8 @@
 mod target_group;
 
 pub use anomaly::Anomaly;
-pub use config::{MembershipConfig, StateConfig};
+pub use config::StateConfig;
+pub use coordination::MembershipConfig;
 pub use counters::{ClassCounters, JobCounters};
 pub use effect::{Answer, Effect};
 pub use endpoint::{Endpoint, TargetOverride};
--- a/crates/dispatcher/dispatcher-state/src/reducer/peers.rs
+++ b/crates/dispatcher/dispatcher-state/src/reducer/peers.rs
@@ -62,8 +62,7 @@
     }
 
     pub(super) fn membership_changed(&mut self, config: Option<MembershipConfig>) {
-        let joining = config.map(|c| (c.period, c.incarnation));
-        let effects = self.state.coordinator.join(self.now, joining);
+        let effects = self.state.coordinator.join(self.now, config);
         self.apply(effects);
     }
 
--- a/crates/dispatcher/maintenance/src/plan.rs
+++ b/crates/dispatcher/maintenance/src/plan.rs
@@ -1,27 +1,28 @@
-//! A plan: which targets, in which order, and how many of them may be out together. What may go out next is a function of
-//! the plan and of what is out, the same at every member.
+//! A plan: which targets are taken out of service, in which order, and how many at a time. Which may be
+//! taken out next is a function of the plan and of what is out, the same at every member.
 
+use dispatch_api::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// Targets of one plan at most: it travels in one datagram.
+/// Targets of one plan at the most: it travels in one datagram.
 pub const MAX_TARGETS: usize = 24;
-/// Kinds that a plan tells apart at most.
+/// Machine kinds that a plan tells apart at the most.
 pub const MAX_KINDS: usize = 8;
 
 /// One target of a plan.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
-    /// What dispatchers call it among themselves.
+    /// The hash of its name.
     #[serde(rename = "mark")]
     pub name_hash: u32,
-    /// Its kind: a position in [`Limits::kinds`].
+    /// Its machine kind: a position in [`Limits::kinds`].
     pub kind: u8,
     /// Its zone, by number.
     pub zone: u8,
 }
 
-/// How many may be out together.
+/// How many targets may be out of service at a time.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
     /// Of all, at least 1.
@@ -32,52 +33,63 @@
     pub kinds: Vec<u8>,
 }
 
-/// What the operators want.
+/// What tells one plan from another.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct PlanId {
+    /// [`Plan::version`].
+    pub version: u32,
+    /// [`Plan::by`].
+    pub by: u16,
+    /// [`Plan::id`].
+    pub id: u32,
+}
+
+/// A plan of operators.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Plan {
-    /// One above that of any plan its submitter had heard of.
+    /// One above that of any plan that its submitter knew.
     pub version: u32,
     /// The member that it was submitted to.
     pub by: u16,
-    /// Names this plan among others of the same version and submitter.
+    /// Tells it from other plans of the same version and submitter.
     pub id: u32,
-    /// How many may be out together.
+    /// How many may be out of service at a time.
     pub limits: Limits,
-    /// A target that is not empty by then counts as empty, milliseconds from its going out.
+    /// A target that is not drained after this, milliseconds, counts as drained.
     pub drain_ms: u32,
-    /// A target is back by then at the latest, milliseconds likewise.
+    /// A target is back in service after this, milliseconds, at the latest.
     pub out_ms: u32,
-    /// Called off: all come back.
+    /// It is cancelled: all targets come back.
     pub cancelled: bool,
-    /// In the order in which they go out.
+    /// In the order in which they are taken out.
     pub targets: Vec<Target>,
 }
 
-/// Why a plan can't be followed; each says what would be right.
+/// Why a plan is invalid; each says what would be right.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum PlanError {
-    /// None or too many.
+    /// No target, or too many.
     #[error("targets: {0} of them; 1 to {MAX_TARGETS} go into one plan")]
     Targets(usize),
-    /// A target twice.
+    /// A target is named twice.
     #[error("targets: one is named twice")]
     Twice,
-    /// A limit of none.
+    /// A limit of 0.
     #[error("limits.{0}: must be 1 or more, or nothing could ever go out")]
     Limit(&'static str),
-    /// A kind that no limit is there for, or too many of them.
+    /// A kind without a limit, or too many kinds.
     #[error("limits.kinds: there are {0}; one for each kind is wanted, {MAX_KINDS} at most")]
     Kinds(usize),
-    /// Times that make no sense.
+    /// Times that contradict each other.
     #[error("out_ms: must be above drain_ms, and that 250 or more")]
     Times,
 }
 
 impl Plan {
-    /// Whether it can be followed.
+    /// Checks that it can be followed.
     ///
     /// # Errors
-    /// The first thing that is wrong.
+    /// The first fault found.
     pub fn validate(&self) -> Result<(), PlanError> {
         let Limits { out, zone, kinds } = &self.limits;
         if !(1..=MAX_TARGETS).contains(&self.targets.len()) {
@@ -112,37 +124,47 @@
         Ok(())
     }
 
-    /// Whether it takes the place of another: the later version, of two alike that of the member with the lower number.
+    /// Whether it takes the place of another one: the later version does, and of two equal ones that
+    /// of the member with the lower number.
     pub fn supersedes(&self, other: &Plan) -> bool {
         let rank = |p: &Plan| (p.version, u16::MAX - p.by, p.id);
         rank(self) > rank(other)
     }
 
-    /// Whether both are the same plan, cancelled or not.
-    pub fn is_same_plan(&self, other: &Plan) -> bool {
-        (self.version, self.by, self.id) == (other.version, other.by, other.id)
+    /// Its identity, the same whether it is cancelled or not.
+    pub fn id(&self) -> PlanId {
+        PlanId {
+            version: self.version,
+            by: self.by,
+            id: self.id,
+        }
+    }
+
+    /// [`Plan::drain_ms`] in microseconds.
+    pub(crate) fn drain_limit(&self) -> Micros {
+        Micros::from(self.drain_ms) * 1_000
+    }
+
+    /// [`Plan::out_ms`] in microseconds.
+    pub(crate) fn out_limit(&self) -> Micros {
+        Micros::from(self.out_ms) * 1_000
     }
 
-    /// Whether this target may go out while those are.
+    /// Whether the target at this position may be taken out while those at the other positions are.
     pub fn may_take_out(&self, next: usize, out: &[usize]) -> bool {
         let Some(target) = self.targets.get(next) else {
             return false;
         };
-        let among = |same: &dyn Fn(&Target) -> bool| {
+        let out_targets = || {
             out.iter()
-                .filter_map(|at| self.targets.get(*at))
-                .filter(|t| same(t))
-                .count()
+                .filter_map(|position| self.targets.get(*position))
         };
-        let room = |limit: u8, taken: usize| taken < usize::from(limit);
-        let kind = self
-            .limits
-            .kinds
-            .get(usize::from(target.kind))
-            .copied()
-            .unwrap_or(0);
-        room(self.limits.out, out.len())
-            && room(self.limits.zone, among(&|t| t.zone == target.zone))
-            && room(kind, among(&|t| t.kind == target.kind))
+        let of_zone = out_targets().filter(|t| t.zone == target.zone).count();
+        let of_kind = out_targets().filter(|t| t.kind == target.kind).count();
+        let allows = |limit: u8, taken: usize| taken < usize::from(limit);
+        let kind = self.limits.kinds.get(usize::from(target.kind)).copied();
+        allows(self.limits.out, out.len())
+            && allows(self.limits.zone, of_zone)
+            && allows(kind.unwrap_or(0), of_kind)
     }
 }
