--- a/crates/dispatcher/admin/src/server.rs
+++ b/crates/dispatcher/admin/src/server.rs
@@ -365,7 +365,7 @@
     /// `level=NAME` or `level=auto`, and `for_ms`.
     async fn force(&self, query: &str) -> Reply {
         let seen = self.operators.snapshot(LOOK_WAIT).await;
-        let Some(spec) = seen.status.levels.as_ref().map(|l| &l.spec) else {
+        let Some(spec) = seen.status.levels.as_ref().map(|l| &l.config) else {
             return self.show(&seen);
         };
         let query = view::query(query);
@@ -373,11 +373,11 @@
         let bad = |text: String| plain(StatusCode::BAD_REQUEST, text);
         let span = match value("for_ms").map(str::parse) {
             None => FORCED_MS,
-            Some(Ok(ms)) if ms > 0 && ms <= spec.force_most / 1_000 => ms,
+            Some(Ok(ms)) if ms > 0 && ms <= spec.max_forced / 1_000 => ms,
             Some(_) => {
                 return bad(format!(
                     "for_ms must be 1 to {} ms",
-                    spec.force_most / 1_000
+                    spec.max_forced / 1_000
                 ))
             }
         };
--- a/crates/dispatcher/admin/src/view.rs
+++ b/crates/dispatcher/admin/src/view.rs
@@ -1,6 +1,6 @@
 //! What operators are shown, as JSON. Times are Unix time in milliseconds.
 
-use degradation::{Cause, Change, Gauge, LevelStatus, Status};
+use degradation::{LevelChange, LevelStatus, Metric, Status};
 use dispatch_api::Micros;
 use dispatcher_state::PlanRequest;
 use percent_encoding::percent_decode_str;
@@ -232,25 +232,25 @@
     time / 1_000
 }
 
-fn class_of(gauge: Gauge, classes: &[String]) -> Option<String> {
-    match gauge {
-        Gauge::Late(class) => classes.get(class).cloned(),
+fn class_of(metric: Metric, classes: &[String]) -> Option<String> {
+    match metric {
+        Metric::MissedDeadlines(class) => classes.get(class).cloned(),
         _ => None,
     }
 }
 
 impl Changed {
-    fn new(change: &Change, classes: &[String]) -> Self {
-        let figure = Cause::figure(&change.cause);
+    fn new(change: &LevelChange, classes: &[String]) -> Self {
+        let measured = change.cause.measurement();
         Changed {
             at_ms: ms(change.at),
             from: change.from.clone(),
             to: change.to.clone(),
             cause: change.cause.word().to_owned(),
-            figure: figure.map(|(gauge, ..)| gauge.key().to_owned()),
-            class: figure.and_then(|(gauge, ..)| class_of(gauge, classes)),
-            value: figure.map(|(_, value, _)| value),
-            bound: figure.map(|(.., bound)| bound),
+            figure: measured.map(|m| m.metric.key().to_owned()),
+            class: measured.and_then(|m| class_of(m.metric, classes)),
+            value: measured.map(|m| m.value),
+            bound: measured.map(|m| m.bound),
         }
     }
 }
@@ -259,38 +259,40 @@
     /// What a status shows, with classes of these names; none where there are no levels.
     pub fn new(status: &Status, classes: &[String]) -> Option<Self> {
         let levels = status.levels.as_ref()?;
-        let LevelStatus { spec, readings, .. } = levels;
+        let LevelStatus {
+            config, readings, ..
+        } = levels;
         let here = levels
             .rank
             .checked_sub(1)
-            .and_then(|at| spec.levels.get(at));
-        let next = spec.levels.get(levels.rank);
-        let mut gauges: Vec<Gauge> = vec![];
-        for (gauge, _) in spec.levels.iter().flat_map(|l| &l.enter.0) {
-            if !gauges.contains(gauge) {
-                gauges.push(*gauge);
+            .and_then(|at| config.levels.get(at));
+        let next = config.levels.get(levels.rank);
+        let mut metrics: Vec<Metric> = vec![];
+        for threshold in config.levels.iter().flat_map(|l| &l.enter.0) {
+            if !metrics.contains(&threshold.metric) {
+                metrics.push(threshold.metric);
             }
         }
-        let figure = |gauge: Gauge| Figure {
-            figure: gauge.key().to_owned(),
-            class: class_of(gauge, classes),
-            value: readings.now(gauge),
-            enter: next.and_then(|l| l.enter.get(gauge)),
-            leave: here.and_then(|l| l.leave.get(gauge)),
+        let figure = |metric: Metric| Figure {
+            figure: metric.key().to_owned(),
+            class: class_of(metric, classes),
+            value: readings.now(metric),
+            enter: next.and_then(|l| l.enter.get(metric)),
+            leave: here.and_then(|l| l.leave.get(metric)),
         };
         Some(Levels {
             level: levels.level.clone(),
             rank: levels.rank,
-            levels: (0..=spec.levels.len())
-                .map(|at| spec.name(at).to_owned())
+            levels: (0..=config.levels.len())
+                .map(|at| config.name(at).to_owned())
                 .collect(),
             now_ms: ms(status.now),
             since_ms: ms(levels.since),
             forced_until_ms: levels.forced_until.map(ms),
             leave_for_ms: ms(levels.hold),
-            figures: gauges.into_iter().map(figure).collect(),
+            figures: metrics.into_iter().map(figure).collect(),
             capacity_slots: readings.capacity,
-            silent_targets: readings.silent,
+            silent_targets: readings.unresponsive,
             changes: levels
                 .changes
                 .iter()
--- a/crates/dispatcher/degradation/src/lib.rs
+++ b/crates/dispatcher/degradation/src/lib.rs
@@ -1,18 +1,25 @@
-//! Levels of reduced service: named steps between full service and the least that is kept up, each with a condition
-//! for entering and leaving it and with what it asks of the decisions.
+//! Levels of reduced service under overload: named steps between full service and the least that is
+//! kept up, each with thresholds for entering and leaving it and with what the decisions admit at
+//! it.
 //!
-//! [`Spec`] is what operators write, checked; [`Gauges`] makes readings of what the decisions can tell; [`Ladder`]
-//! holds which level is in force, since when and why; [`Governed`] joins these to the decisions. Nothing here reads
-//! a clock or touches a socket: time comes with each call and never runs back.
+//! [`DegradationConfig`] is what operators configure, checked; [`Meter`] reads the metrics;
+//! [`LevelSelector`] holds which level applies, since when and why; [`DegradingDispatcher`] joins
+//! these to the decisions. Nothing here reads a clock or touches a socket: time comes with each
+//! call and never runs back. See docs/degradation.md.
 
-#![expect(clippy::too_many_lines, reason = "not revised yet")]
+mod change;
+mod config;
+mod dispatcher;
+mod explain;
+mod meter;
+mod metric;
+mod readings;
+mod selector;
 
-mod gauges;
-mod governed;
-mod ladder;
-mod spec;
-
-pub use gauges::{Gauges, Readings, Usage};
-pub use governed::{Governed, LevelStatus, Status};
-pub use ladder::{Cause, Change, Ladder};
-pub use spec::{Bounds, Gauge, Level, Spec, SpecError};
+pub use change::{Cause, LevelChange, Measurement};
+pub use config::{ConfigError, DegradationConfig, Level};
+pub use dispatcher::{DegradingDispatcher, LevelStatus, Status};
+pub use meter::Meter;
+pub use metric::{Metric, Threshold, Thresholds};
+pub use readings::{Readings, Usage, WindowedShare};
+pub use selector::{ForcedLevel, LevelSelector};
--- a/crates/dispatcher/degradation/tests/outer_names.rs
+++ b/crates/dispatcher/degradation/tests/outer_names.rs
@@ -1,44 +1,56 @@
 //! What operators read and write of levels: keys, words, errors and the explanation.
 
-use degradation::{Bounds, Cause, Gauge, Level, Spec};
+use degradation::{Cause, DegradationConfig, Level, Measurement, Metric, Threshold, Thresholds};
 use dispatch_api::{AdmissionPolicy, ClassAdmission, Micros};
 
 const S: Micros = 1_000_000;
 
-fn spec() -> Spec {
+#[expect(clippy::too_many_lines, reason = "one configuration with every key")]
+fn config() -> DegradationConfig {
     let half = ClassAdmission {
         admitted_share: 0.5,
         max_slots: 2.0,
         max_hold: Some(3 * S),
         reserved_slots: 1.0,
         max_attempts: 1,
-        ..ClassAdmission::default()
     };
     let none = ClassAdmission {
         admitted_share: 0.0,
         ..ClassAdmission::default()
     };
-    Spec {
-        look: S / 10,
-        settle_in: 5 * S,
-        usual_half_life: 600 * S,
-        short: 2 * S,
-        long: 8 * S,
-        least: 20,
-        step: 3 * S,
-        relapse: 60 * S,
-        forgive: 300 * S,
-        hold_most: 60 * S,
+    DegradationConfig {
+        poll_interval: S / 10,
+        startup_grace: 5 * S,
+        baseline_half_life: 600 * S,
+        short_window: 2 * S,
+        long_window: 8 * S,
+        min_samples: 20,
+        step_interval: 3 * S,
+        relapse_window: 60 * S,
+        relapse_half_life: 300 * S,
+        max_hold: 60 * S,
         history: 32,
-        force_most: 3_600 * S,
+        max_forced: 3_600 * S,
         levels: vec![
             Level {
                 name: "trim".into(),
-                enter: Bounds(vec![(Gauge::Wait, 300.0), (Gauge::Late(1), 0.25)]),
+                enter: Thresholds(vec![
+                    Threshold {
+                        metric: Metric::QueueingDelay,
+                        bound: 300.0,
+                    },
+                    Threshold {
+                        metric: Metric::MissedDeadlines(1),
+                        bound: 0.25,
+                    },
+                ]),
                 enter_for: S,
-                leave: Bounds(vec![(Gauge::Wait, 100.0)]),
+                leave: Thresholds(vec![Threshold {
+                    metric: Metric::QueueingDelay,
+                    bound: 100.0,
+                }]),
                 leave_for: 10 * S,
-                terms: AdmissionPolicy {
+                admission: AdmissionPolicy {
                     classes: vec![ClassAdmission::default(), half],
                     max_open_jobs: usize::MAX,
                     min_backlog: 0,
@@ -47,17 +59,41 @@
             },
             Level {
                 name: "essential".into(),
-                enter: Bounds(vec![
-                    (Gauge::Lost, 0.5),
-                    (Gauge::Refused, 0.5),
-                    (Gauge::Flows, 0.9),
-                    (Gauge::Memory, 0.9),
-                    (Gauge::Descriptors, 0.9),
+                enter: Thresholds(vec![
+                    Threshold {
+                        metric: Metric::LostCapacity,
+                        bound: 0.5,
+                    },
+                    Threshold {
+                        metric: Metric::RejectedAttempts,
+                        bound: 0.5,
+                    },
+                    Threshold {
+                        metric: Metric::OpenFlows,
+                        bound: 0.9,
+                    },
+                    Threshold {
+                        metric: Metric::Memory,
+                        bound: 0.9,
+                    },
+                    Threshold {
+                        metric: Metric::Descriptors,
+                        bound: 0.9,
+                    },
                 ]),
                 enter_for: S / 2,
-                leave: Bounds(vec![(Gauge::Lost, 0.25), (Gauge::Memory, 0.5)]),
+                leave: Thresholds(vec![
+                    Threshold {
+                        metric: Metric::LostCapacity,
+                        bound: 0.25,
+                    },
+                    Threshold {
+                        metric: Metric::Memory,
+                        bound: 0.5,
+                    },
+                ]),
                 leave_for: 20 * S,
-                terms: AdmissionPolicy {
+                admission: AdmissionPolicy {
                     classes: vec![ClassAdmission::default(), none],
                     max_open_jobs: 100,
                     min_backlog: 2 * S,
@@ -70,9 +106,9 @@
 
 #[test]
 fn the_explanation_of_levels_has_this_text() {
-    assert_eq!(spec().check(), Ok(()));
+    assert_eq!(config().check(), Ok(()));
     let classes = ["live".to_owned(), "batch".to_owned()];
-    insta::assert_snapshot!(spec().explain(&classes), @"
+    insta::assert_snapshot!(config().explain(&classes), @"
     full: every job is taken
     trim:
       entered after 1 s of: held work, as a wait in ms at least 300, or share of batch not served in time at least 0.25
@@ -87,7 +123,7 @@
       new jobs are turned away only while held work would take 2 s or more
       no more than 100 flows are open together
     ");
-    insta::assert_snapshot!(spec().explain(&[]), @"
+    insta::assert_snapshot!(config().explain(&[]), @"
     full: every job is taken
     trim:
       entered after 1 s of: held work, as a wait in ms at least 300, or share of ? not served in time at least 0.25
@@ -102,16 +138,16 @@
 
 #[test]
 fn keys_and_words_stay() {
-    let gauges = [
-        Gauge::Wait,
-        Gauge::Lost,
-        Gauge::Late(0),
-        Gauge::Refused,
-        Gauge::Flows,
-        Gauge::Memory,
-        Gauge::Descriptors,
+    let metrics = [
+        Metric::QueueingDelay,
+        Metric::LostCapacity,
+        Metric::MissedDeadlines(0),
+        Metric::RejectedAttempts,
+        Metric::OpenFlows,
+        Metric::Memory,
+        Metric::Descriptors,
     ];
-    let keys = gauges.map(Gauge::key);
+    let keys = metrics.map(Metric::key);
     assert_eq!(
         keys,
         [
@@ -124,61 +160,59 @@
             "descriptors"
         ]
     );
-    let (gauge, value, bound) = (Gauge::Lost, 0.5, 0.2);
+    let measured = Measurement {
+        metric: Metric::LostCapacity,
+        value: 0.5,
+        bound: 0.2,
+    };
     let causes = [
-        Cause::Reached {
-            gauge,
-            value,
-            bound,
-        },
-        Cause::Kept {
-            gauge,
-            value,
-            bound,
-        },
+        Cause::Reached(measured),
+        Cause::Recovered(measured),
         Cause::Forced { until: 1 },
         Cause::Released,
         Cause::Expired,
-        Cause::Replaced,
+        Cause::ConfigReplaced,
     ];
     let words: Vec<_> = causes.iter().map(Cause::word).collect();
     assert_eq!(
         words,
         ["reached", "kept", "forced", "released", "expired", "replaced"]
     );
-    let names: Vec<_> = (0..4).map(|level| spec().name(level).to_owned()).collect();
+    let names: Vec<_> = (0..4)
+        .map(|level| config().name(level).to_owned())
+        .collect();
     assert_eq!(names, ["full", "trim", "essential", "full"]);
-    assert_eq!(spec().find("full"), Some(0));
-    assert_eq!(spec().find("essential"), Some(2));
-    assert_eq!(spec().find("other"), None);
+    assert_eq!(config().find("full"), Some(0));
+    assert_eq!(config().find("essential"), Some(2));
+    assert_eq!(config().find("other"), None);
 }
 
 #[test]
-fn errors_of_a_specification_have_these_texts() {
-    type Spoil = fn(&mut Spec);
+fn errors_of_a_configuration_have_these_texts() {
+    type Spoil = fn(&mut DegradationConfig);
     let spoiled: [Spoil; 17] = [
-        |s| s.look = 0,
-        |s| s.short = 0,
-        |s| s.long = 0,
-        |s| s.usual_half_life = 0,
-        |s| s.forgive = 0,
-        |s| s.force_most = 0,
-        |s| s.short = 9 * S,
-        |s| s.long = 1_001 * S,
+        |s| s.poll_interval = 0,
+        |s| s.short_window = 0,
+        |s| s.long_window = 0,
+        |s| s.baseline_half_life = 0,
+        |s| s.relapse_half_life = 0,
+        |s| s.max_forced = 0,
+        |s| s.short_window = 9 * S,
+        |s| s.long_window = 1_001 * S,
         |s| s.levels = vec![s.levels[0].clone(); 9],
         |s| s.history = 1_001,
         |s| s.levels[1].name = "trim".into(),
         |s| s.levels[1].name = "auto".into(),
         |s| s.levels[0].enter.0.clear(),
         |s| s.levels[0].leave_for = 61 * S,
-        |s| s.levels[1].enter.0[0].1 = 1.5,
-        |s| s.levels[0].leave.0[0].0 = Gauge::Flows,
-        |s| s.levels[0].leave.0[0].1 = 300.0,
+        |s| s.levels[1].enter.0[0].bound = 1.5,
+        |s| s.levels[0].leave.0[0].metric = Metric::OpenFlows,
+        |s| s.levels[0].leave.0[0].bound = 300.0,
     ];
     let texts = spoiled.map(|spoil| {
-        let mut spec = spec();
-        spoil(&mut spec);
-        spec.check().expect_err("unusable").to_string()
+        let mut config = config();
+        spoil(&mut config);
+        config.check().expect_err("unusable").to_string()
     });
     insta::assert_snapshot!(texts.join("\n"), @r#"
     look_ms: must be more than 0
--- a/crates/dispatcher/dispatcher-settings/src/operator.rs
+++ b/crates/dispatcher/dispatcher-settings/src/operator.rs
@@ -1,7 +1,7 @@
 //! The operators' file: HCL, with what is this program's own. Every key is checked, and an error names file, line
 //! and key and says what would be right.
 
-use degradation::{Bounds, Gauge, Level, Spec};
+use degradation::{DegradationConfig, Level, Metric, Threshold, Thresholds};
 use dispatch_api::{AdmissionPolicy, ClassAdmission, Micros};
 use hcl_edit::structure::{Body, Structure};
 use hcl_edit::Span;
@@ -425,7 +425,11 @@
     ///
     /// # Errors
     /// The first fault, with the line and the key that it is in.
-    pub fn spec(&self, classes: &[String], source: &Source) -> Result<Option<Spec>, OperatorError> {
+    pub fn spec(
+        &self,
+        classes: &[String],
+        source: &Source,
+    ) -> Result<Option<DegradationConfig>, OperatorError> {
         let Some(levels) = self.levels.as_ref().filter(|l| l.enabled) else {
             return Ok(None);
         };
@@ -436,19 +440,19 @@
             ));
         }
         let resolve = |(name, level): (&String, &LevelBlock)| level.resolve(name, classes, source);
-        let spec = Spec {
-            look: micros(levels.look_ms),
-            settle_in: micros(levels.settle_in_ms),
-            usual_half_life: micros(levels.usual_half_life_ms),
-            short: micros(levels.short_ms),
-            long: micros(levels.long_ms),
-            least: levels.least_answers,
-            step: micros(levels.step_ms),
-            relapse: micros(levels.relapse_ms),
-            forgive: micros(levels.forgive_ms),
-            hold_most: micros(levels.hold_most_ms),
+        let spec = DegradationConfig {
+            poll_interval: micros(levels.look_ms),
+            startup_grace: micros(levels.settle_in_ms),
+            baseline_half_life: micros(levels.usual_half_life_ms),
+            short_window: micros(levels.short_ms),
+            long_window: micros(levels.long_ms),
+            min_samples: levels.least_answers,
+            step_interval: micros(levels.step_ms),
+            relapse_window: micros(levels.relapse_ms),
+            relapse_half_life: micros(levels.forgive_ms),
+            max_hold: micros(levels.hold_most_ms),
             history: levels.history,
-            force_most: micros(levels.force_most_ms),
+            max_forced: micros(levels.force_most_ms),
             levels: levels.level.iter().map(resolve).collect::<Result<_, _>>()?,
         };
         spec.check()
@@ -513,9 +517,10 @@
             .leave
             .resolve(classes)
             .map_err(|(k, e)| source.fault(&at(&format!("leave.{k}")), e))?;
-        for (gauge, bound) in &enter.0 {
-            if leave.get(*gauge).is_none() {
-                leave.0.push((*gauge, bound * LEAVE_SHARE));
+        for Threshold { metric, bound } in &enter.0 {
+            if leave.get(*metric).is_none() {
+                let (metric, bound) = (*metric, bound * LEAVE_SHARE);
+                leave.0.push(Threshold { metric, bound });
             }
         }
         let mut terms = vec![ClassAdmission::default(); classes.len()];
@@ -566,7 +571,7 @@
             enter_for: micros(self.enter.for_ms.unwrap_or(ENTER_FOR_MS)),
             leave,
             leave_for: micros(self.leave.for_ms.unwrap_or(LEAVE_FOR_MS)),
-            terms: AdmissionPolicy {
+            admission: AdmissionPolicy {
                 classes: terms,
                 max_open_jobs: self.open_flows.unwrap_or(usize::MAX),
                 min_backlog: micros(self.while_wait_ms.unwrap_or(0)),
@@ -577,23 +582,31 @@
 }
 
 impl BoundsBlock {
-    fn resolve(&self, classes: &[String]) -> Result<Bounds, (String, String)> {
+    fn resolve(&self, classes: &[String]) -> Result<Thresholds, (String, String)> {
         let plain = [
-            (Gauge::Wait, self.wait_ms),
-            (Gauge::Lost, self.lost),
-            (Gauge::Refused, self.refused),
-            (Gauge::Flows, self.flows),
-            (Gauge::Memory, self.memory),
-            (Gauge::Descriptors, self.descriptors),
+            (Metric::QueueingDelay, self.wait_ms),
+            (Metric::LostCapacity, self.lost),
+            (Metric::RejectedAttempts, self.refused),
+            (Metric::OpenFlows, self.flows),
+            (Metric::Memory, self.memory),
+            (Metric::Descriptors, self.descriptors),
         ];
         let mut bounds: Vec<_> = plain
             .into_iter()
-            .filter_map(|(gauge, bound)| Some((gauge, bound?)))
+            .filter_map(|(metric, bound)| {
+                Some(Threshold {
+                    metric,
+                    bound: bound?,
+                })
+            })
             .collect();
         for (name, bound) in &self.late {
             let class = class(name, classes).map_err(|e| (format!("late.{name}"), e))?;
-            bounds.push((Gauge::Late(class), *bound));
+            bounds.push(Threshold {
+                metric: Metric::MissedDeadlines(class),
+                bound: *bound,
+            });
         }
-        Ok(Bounds(bounds))
+        Ok(Thresholds(bounds))
     }
 }
--- a/crates/dispatcher/dispatcher-settings/src/platform.rs
+++ b/crates/dispatcher/dispatcher-settings/src/platform.rs
@@ -237,7 +237,10 @@
 
 impl Config {
     /// What the reducer takes of it, with levels of reduced service or without.
-    pub fn setup(&self, levels: Option<Arc<degradation::Spec>>) -> dispatcher_state::StateConfig {
+    pub fn setup(
+        &self,
+        levels: Option<Arc<degradation::DegradationConfig>>,
+    ) -> dispatcher_state::StateConfig {
         dispatcher_state::StateConfig {
             settings: self.settings.clone(),
             seed: self.seed,
--- a/crates/dispatcher/dispatcher-settings/tests/operator.rs
+++ b/crates/dispatcher/dispatcher-settings/tests/operator.rs
@@ -32,7 +32,7 @@
         .to_vec()
 }
 
-fn read(text: &str) -> Result<Option<degradation::Spec>, String> {
+fn read(text: &str) -> Result<Option<degradation::DegradationConfig>, String> {
     let parsed = Operator::parse(Path::new("f.hcl"), text).map_err(|e| e.to_string())?;
     parsed
         .0
@@ -58,7 +58,7 @@
         );
     }
     let spec = read(GOOD).unwrap().unwrap();
-    assert_eq!(spec.levels[0].terms.class(0).admitted_share, 0.0);
+    assert_eq!(spec.levels[0].admission.class(0).admitted_share, 0.0);
     assert_eq!(
         spec.levels[0].leave.0.len(),
         2,
--- a/crates/dispatcher/dispatcher-state/src/config.rs
+++ b/crates/dispatcher/dispatcher-state/src/config.rs
@@ -1,6 +1,6 @@
 //! What the state machine is configured with at its start.
 
-use degradation::Spec;
+use degradation::DegradationConfig;
 use dispatch_api::{Micros, Settings};
 use std::sync::Arc;
 
@@ -22,5 +22,5 @@
     /// A probe that is not answered after this, microseconds, has failed.
     pub probe_timeout: Micros,
     /// Levels of degraded service; none where there are none.
-    pub levels: Option<Arc<Spec>>,
+    pub levels: Option<Arc<DegradationConfig>>,
 }
--- a/crates/dispatcher/dispatcher-state/src/input.rs
+++ b/crates/dispatcher/dispatcher-state/src/input.rs
@@ -2,7 +2,7 @@
 
 use crate::{Anomaly, Answer, ConnId, Endpoint, MembershipConfig, TargetOverride};
 use bytes::Bytes;
-use degradation::{Spec, Usage};
+use degradation::{DegradationConfig, Usage};
 use dispatch_api::{
     DiscoveryFailure, JobId, JobSpec, ListUpdateKind, LoadReport, Micros, Outcome, PolicySnapshot,
 };
@@ -92,7 +92,7 @@
     /// How much of the program's own limits is in use.
     ResourceUsage(Usage),
     /// Other levels of degraded service are configured from now on, or none.
-    LevelsReplaced(Option<Arc<Spec>>),
+    LevelsReplaced(Option<Arc<DegradationConfig>>),
     /// Operators force a level, 0 for full service, for so many microseconds; with none the measured
     /// figures decide again.
     LevelForced(Option<(usize, Micros)>),
--- a/crates/dispatcher/dispatcher-state/src/reducer/mod.rs
+++ b/crates/dispatcher/dispatcher-state/src/reducer/mod.rs
@@ -11,7 +11,7 @@
 
 use crate::connection_pool::Exchange;
 use crate::{Answer, Effect, Input, State};
-use degradation::Governed;
+use degradation::{DegradingDispatcher, ForcedLevel};
 use dispatch_api::{Action, Event, Micros};
 use std::collections::VecDeque;
 use tracing::info;
@@ -74,11 +74,12 @@
             Input::PlanRequested(plan) => self.plan_requested(plan.map(|p| *p)),
             Input::TargetWorkDone(target) => self.target_work_done(&target),
             Input::AnomalySeen(anomaly, times) => self.state.counters.count_anomaly(anomaly, times),
-            Input::ResourceUsage(usage) => self.state.policy.used(usage),
-            Input::LevelsReplaced(spec) => {
-                self.decide(|policy, now, actions| policy.replace(now, spec, actions));
+            Input::ResourceUsage(usage) => self.state.policy.set_usage(usage),
+            Input::LevelsReplaced(config) => {
+                self.decide(|policy, now, actions| policy.replace_config(now, config, actions));
             }
             Input::LevelForced(level) => {
+                let level = level.map(|(rank, duration)| ForcedLevel { rank, duration });
                 self.decide(|policy, now, actions| policy.force(now, level, actions));
             }
             Input::SnapshotRecalled(snapshot) => self.state.policy.recall(self.now, &snapshot),
@@ -99,7 +100,7 @@
     }
 
     /// Has the policy decide, carries its actions out, and logs a change of the service level.
-    fn decide(&mut self, ask: impl FnOnce(&mut Governed, Micros, &mut Vec<Action>)) {
+    fn decide(&mut self, ask: impl FnOnce(&mut DegradingDispatcher, Micros, &mut Vec<Action>)) {
         let mut actions = std::mem::take(&mut self.state.actions);
         ask(&mut self.state.policy, self.now, &mut actions);
         for action in actions.drain(..) {
@@ -107,10 +108,9 @@
         }
         self.state.actions = actions;
         for change in self.state.policy.take_changes() {
-            let (gauge, value, bound) = match change.cause.figure() {
-                Some((gauge, value, bound)) => (Some(gauge.key()), Some(value), Some(bound)),
-                None => (None, None, None),
-            };
+            let measured = change.cause.measurement();
+            let gauge = measured.map(|m| m.metric.key());
+            let (value, bound) = (measured.map(|m| m.value), measured.map(|m| m.bound));
             let (to, from, cause) = (change.to, change.from, change.cause.word());
             info!(%from, %to, cause, gauge, value, bound, "service level changed");
         }
--- a/crates/dispatcher/dispatcher-state/src/state.rs
+++ b/crates/dispatcher/dispatcher-state/src/state.rs
@@ -5,7 +5,7 @@
 use crate::target_group::TargetGroup;
 use crate::{JobCounters, MembershipSnapshot, StateConfig, StateSnapshot, TargetOverride};
 use coordination::Coordinator;
-use degradation::Governed;
+use degradation::DegradingDispatcher;
 use dispatch_api::{Action, Micros, PolicySnapshot, SettingsError};
 use std::collections::BTreeSet;
 
@@ -13,7 +13,7 @@
 #[derive(Debug)]
 pub struct State {
     pub(crate) config: StateConfig,
-    pub(crate) policy: Governed,
+    pub(crate) policy: DegradingDispatcher,
     pub(crate) flows: Flows,
     pub(crate) targets: TargetGroup,
     pub(crate) pool: ConnectionPool,
@@ -39,7 +39,7 @@
     pub fn new(config: StateConfig) -> Result<Self, SettingsError> {
         let settings = &config.settings;
         Ok(State {
-            policy: Governed::new(settings.clone(), config.seed, config.levels.clone())?,
+            policy: DegradingDispatcher::new(settings.clone(), config.seed, config.levels.clone())?,
             flows: Flows::default(),
             targets: TargetGroup::default(),
             pool: ConnectionPool::new(config.idle),
@@ -105,7 +105,7 @@
     }
 
     /// The level of service in force, where there are levels, and the last change of it.
-    pub fn level(&self) -> Option<(&str, Option<&degradation::Change>)> {
+    pub fn level(&self) -> Option<(&str, Option<&degradation::LevelChange>)> {
         self.policy.level()
     }
 
--- a/crates/dispatcher/fordrelay/src/lifecycle.rs
+++ b/crates/dispatcher/fordrelay/src/lifecycle.rs
@@ -95,7 +95,7 @@
     /// The operators'.
     pub operator: Operator,
     /// The levels of reduced service in it.
-    pub levels: Option<Arc<degradation::Spec>>,
+    pub levels: Option<Arc<degradation::DegradationConfig>>,
 }
 
 impl Files {
--- a/crates/dispatcher/simulator-protocol/src/lib.rs
+++ b/crates/dispatcher/simulator-protocol/src/lib.rs
@@ -16,7 +16,7 @@
 
 #![expect(clippy::too_many_lines, reason = "not revised yet")]
 
-use degradation::Governed;
+use degradation::DegradingDispatcher;
 use dispatch_api::load_exchange::{self, name_hash};
 use dispatch_api::{
     Action, DiscoveryFailure, Event, JobId, JobSpec, ListUpdateKind, LoadReport, Micros, Outcome,
@@ -278,7 +278,7 @@
 
 /// One dispatcher with the names that its wire uses.
 struct Instance {
-    decisions: Governed,
+    decisions: DegradingDispatcher,
     layout: ReportLayout,
     names: Vec<String>,
     numbers: HashMap<String, WorkerId>,
@@ -450,7 +450,7 @@
         }
     }
 
-    fn start(&self, start: &Start) -> Result<Governed, String> {
+    fn start(&self, start: &Start) -> Result<DegradingDispatcher, String> {
         let classes: Vec<String> = start.facts.classes.iter().map(|c| c.name.clone()).collect();
         let spec = self
             .operator
@@ -458,7 +458,8 @@
             .map(|(operator, source)| operator.spec(&classes, source));
         let spec = spec.transpose().map_err(|e| e.to_string())?.flatten();
         let settings = settings(&start.facts).map_err(|e| e.to_string())?;
-        Governed::new(settings, start.init_seed, spec.map(Arc::new)).map_err(|e| e.to_string())
+        DegradingDispatcher::new(settings, start.init_seed, spec.map(Arc::new))
+            .map_err(|e| e.to_string())
     }
 
     /// Answers one line.
--- a/crates/testbed/testbed/src/model.rs
+++ b/crates/testbed/testbed/src/model.rs
@@ -6,7 +6,7 @@
 use crate::registry::{Asked, Called, Registry, Service};
 use crate::scenario::{name, Addresses, Arrival, Fault, Scenario, SECOND};
 use bytes::Bytes;
-use degradation::{Readings, Spec};
+use degradation::{DegradationConfig, Readings};
 use discovery_pacing::{ANSWER_TIMEOUT, WATCH_TIMEOUT};
 use dispatch_api::{
     DiscoveryFailure, JobId, JobSpec, ListUpdateKind, LoadReport, Micros, Outcome, WorkerStatus,
@@ -305,7 +305,7 @@
 /// The scenario makes no usable configuration.
 pub fn run(
     scenario: &Scenario,
-    spec: Option<&Arc<Spec>>,
+    spec: Option<&Arc<DegradationConfig>>,
     seed: u64,
     twist: u64,
     operators: &[Doing],
@@ -329,7 +329,7 @@
 impl<'a> Model<'a> {
     fn new(
         scenario: &'a Scenario,
-        spec: Option<&Arc<Spec>>,
+        spec: Option<&Arc<DegradationConfig>>,
         seed: u64,
         twist: u64,
     ) -> Result<Self, ConfigError> {
@@ -842,10 +842,14 @@
         if level == self.dispatchers[dispatcher].level {
             return;
         }
-        let why = change.map_or(String::new(), |c| match c.cause.figure() {
-            Some((gauge, value, bound)) => {
-                format!("{} {} {value:.3} at {bound}", c.cause.word(), gauge.key())
-            }
+        let why = change.map_or(String::new(), |c| match c.cause.measurement() {
+            Some(m) => format!(
+                "{} {} {:.3} at {}",
+                c.cause.word(),
+                m.metric.key(),
+                m.value,
+                m.bound
+            ),
             None => c.cause.word().to_owned(),
         });
         let to = level.to_owned();
--- a/crates/testbed/testbed/src/swings.rs
+++ b/crates/testbed/testbed/src/swings.rs
@@ -4,7 +4,7 @@
 use crate::model::{self, LevelChange, Outcomes};
 use crate::scenario::{Scenario, SECOND};
 use crate::sockets;
-use degradation::Spec;
+use degradation::DegradationConfig;
 use dispatch_api::Micros;
 use dispatcher_settings::platform::ConfigError;
 use rayon::prelude::*;
@@ -138,7 +138,11 @@
     ///
     /// # Errors
     /// The scenario makes no usable configuration.
-    pub fn model(&self, spec: &Arc<Spec>, quarter_dies: &[bool]) -> Result<Summary, ConfigError> {
+    pub fn model(
+        &self,
+        spec: &Arc<DegradationConfig>,
+        quarter_dies: &[bool],
+    ) -> Result<Summary, ConfigError> {
         let all: Vec<(u64, bool)> = quarter_dies
             .iter()
             .flat_map(|dies| self.seeds.iter().map(|seed| (*seed, *dies)))
--- a/crates/testbed/testbed/tests/levels.rs
+++ b/crates/testbed/testbed/tests/levels.rs
@@ -1,6 +1,6 @@
 //! Levels against whole failures, in virtual time: the program's own reducer and decisions before modelled boxes.
 
-use degradation::Spec;
+use degradation::DegradationConfig;
 use dispatch_api::Micros;
 use dispatcher_settings::operator::Operator;
 use dispatcher_state::Input;
@@ -12,7 +12,7 @@
 use testbed::swings::Swings;
 
 /// The levels that the repository ships.
-fn shipped() -> Arc<Spec> {
+fn shipped() -> Arc<DegradationConfig> {
     let path = Path::new(concat!(
         env!("CARGO_MANIFEST_DIR"),
         "/../../../deploy/fordrelay.hcl"
@@ -131,7 +131,7 @@
     let silent = outcomes
         .samples
         .iter()
-        .map(|s| s.readings.silent)
+        .map(|s| s.readings.unresponsive)
         .fold(0.0, f64::max);
     assert!(silent >= 2.0, "{silent} were seen to be silent");
 }
@@ -191,10 +191,10 @@
 fn what_operators_do_under_load_breaks_no_rule_and_ends() {
     let mut worse = (*shipped()).clone();
     for level in &mut worse.levels {
-        for class in &mut level.terms.classes {
+        for class in &mut level.admission.classes {
             class.admitted_share = 0.0;
         }
-        level.terms.min_backlog = 0;
+        level.admission.min_backlog = 0;
     }
     let operators = [
         (25 * SECOND, Input::LevelsReplaced(Some(Arc::new(worse)))),
