--- a/crates/common/write-ahead-log/src/format.rs
+++ b/crates/common/write-ahead-log/src/format.rs
@@ -219,6 +219,15 @@
     pub record: Record,
 }
 
+/// A decoded record.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct Decoded {
+    /// The record.
+    pub stored: StoredRecord,
+    /// The offset of the next one.
+    pub next_offset: usize,
+}
+
 /// Bytes that a record with a body of such a length takes in a segment.
 pub fn stored_len(body_len: usize) -> usize {
     (RECORD_HEADER_BYTES + body_len).next_multiple_of(ALIGNMENT)
@@ -254,9 +263,8 @@
         }
     }
 
-    /// Decodes the record at `offset`, if there is a valid one; also gives the offset of the next
-    /// one.
-    pub fn decode(segment: &[u8], offset: usize) -> Option<(Self, usize)> {
+    /// Decodes the record at `offset`, if there is a valid one.
+    pub fn decode(segment: &[u8], offset: usize) -> Option<Decoded> {
         let bytes = segment.get(offset..)?;
         if bytes.get(..4)? != RECORD_MAGIC.to_le_bytes() {
             return None;
@@ -283,7 +291,10 @@
             record_type: RecordType::from_code(header.record_type)?,
             record,
         };
-        Some((stored, offset + total))
+        Some(Decoded {
+            stored,
+            next_offset: offset + total,
+        })
     }
 
     /// Whether a record of that LSN and of that incarnation or a later one seems to begin at
--- a/crates/common/write-ahead-log/src/recovery.rs
+++ b/crates/common/write-ahead-log/src/recovery.rs
@@ -110,13 +110,9 @@
         live,
         torn,
     } = existing;
-    let slot = newest_segment.slot;
+    let FoundSegment { header, slot } = newest_segment;
     let current = storage.open(slot);
-    let current = current.map_err(|source| LogError::Io {
-        file: storage.name(slot),
-        source,
-    })?;
-    let header = newest_segment.header;
+    let current = current.map_err(|source| io_error(&storage, slot, source))?;
     let made = found
         .slots
         .iter()
@@ -124,6 +120,11 @@
         .count();
     let slots = mark_preallocated(&mut storage, found, header.segment_bytes());
     let max_segments = max_segments(options, header.segment_bytes(), made);
+    let owner = if open_as.owner == 0 {
+        header.owner
+    } else {
+        open_as.owner
+    };
     Ok(Recovered {
         segments: Segments {
             storage,
@@ -132,11 +133,7 @@
             synced_lsn: newest.end.next_lsn - 1,
             incarnation: newest.end.incarnation.saturating_add(1),
             identity: header.identity,
-            owner: if open_as.owner == 0 {
-                header.owner
-            } else {
-                open_as.owner
-            },
+            owner,
             segment_bytes: header.segment_bytes(),
             max_segments,
             unverified_tail: Some(newest.unverified_tail),
@@ -291,10 +288,14 @@
     to: &mut Vec<u8>,
 ) -> Result<(), LogError> {
     let read = storage.open(slot).and_then(|mut file| file.read(most, to));
-    read.map_err(|source| LogError::Io {
+    read.map_err(|source| io_error(storage, slot, source))
+}
+
+fn io_error<S: Storage>(storage: &S, slot: u32, source: std::io::Error) -> LogError {
+    LogError::Io {
         file: storage.name(slot),
         source,
-    })
+    }
 }
 
 fn corrupt<S: Storage>(storage: &S, slot: u32, offset: u64, what: Corruption) -> LogError {
--- a/crates/common/write-ahead-log/src/recovery/contents.rs
+++ b/crates/common/write-ahead-log/src/recovery/contents.rs
@@ -2,7 +2,7 @@
 
 use super::{corrupt, read, FoundSegment};
 use crate::error::{Corruption, LogError};
-use crate::format::{RecordType, StoredRecord, ALIGNMENT, HEADER_BYTES};
+use crate::format::{Decoded, Header, RecordType, StoredRecord, ALIGNMENT, HEADER_BYTES};
 use crate::record::{Lsn, Record};
 use crate::segments::UnverifiedTail;
 use crate::storage::Storage;
@@ -52,26 +52,16 @@
     let FoundSegment { header, slot } = segment;
     let mut bytes = Vec::new();
     read(storage, slot, header.segment_bytes(), &mut bytes)?;
-    let mut contents = Contents {
-        records: Vec::new(),
-        end: LogEnd {
-            next_lsn: header.first_lsn,
-            incarnation: header.incarnation,
-        },
-        low_watermark: header.low_watermark,
-        offset: HEADER_BYTES,
-        ended: false,
-        torn: false,
-        unverified_tail: UnverifiedTail {
-            offset: 0,
-            bytes: Vec::new(),
-        },
-    };
+    let mut contents = Contents::begin(&header);
     let mut starts = Vec::new();
     // The newest LSN that one of the records says to be synced.
     let mut proven_lsn = 0;
-    while let Some((stored, next)) = StoredRecord::decode(&bytes, contents.offset) {
-        if !contents.continues_with(&stored) {
+    while let Some(decoded) = StoredRecord::decode(&bytes, contents.offset) {
+        let Decoded {
+            stored,
+            next_offset,
+        } = decoded;
+        if contents.ended || !contents.continues_with(&stored) {
             break;
         }
         starts.push(RecordStart {
@@ -79,10 +69,7 @@
             offset: contents.offset,
         });
         proven_lsn = proven_lsn.max(stored.synced_lsn);
-        contents.push(stored, next);
-        if contents.ended {
-            break;
-        }
+        contents.push(stored, next_offset);
     }
     if expect == Expect::TornEnd {
         contents.unverified_tail = unverified_tail(&bytes, &starts, proven_lsn, contents.offset);
@@ -90,29 +77,38 @@
     if contents.ended {
         return Ok(contents);
     }
-    let offset = contents.offset;
-    let unreadable = |storage: &S| {
-        Err(corrupt(
-            storage,
-            slot,
-            offset as u64,
-            Corruption::UnreadableRecord,
-        ))
+    let behind = match expect {
+        Expect::SegmentEnd => BehindEnd::Synced,
+        Expect::TornEnd => behind_end(&bytes, contents.offset, contents.end),
     };
-    if expect == Expect::SegmentEnd {
-        return unreadable(storage);
-    }
-    match behind_end(&bytes, offset, contents.end) {
-        BehindEnd::Synced => unreadable(storage),
-        BehindEnd::Torn => {
-            contents.torn = true;
-            Ok(contents)
-        }
-        BehindEnd::Nothing => Ok(contents),
+    if behind == BehindEnd::Synced {
+        let offset = contents.offset as u64;
+        return Err(corrupt(storage, slot, offset, Corruption::UnreadableRecord));
     }
+    contents.torn = behind == BehindEnd::Torn;
+    Ok(contents)
 }
 
 impl Contents {
+    /// Of a segment with this header, before its first record.
+    fn begin(header: &Header) -> Self {
+        Contents {
+            records: Vec::new(),
+            end: LogEnd {
+                next_lsn: header.first_lsn,
+                incarnation: header.incarnation,
+            },
+            low_watermark: header.low_watermark,
+            offset: HEADER_BYTES,
+            ended: false,
+            torn: false,
+            unverified_tail: UnverifiedTail {
+                offset: 0,
+                bytes: Vec::new(),
+            },
+        }
+    }
+
     /// Whether the record is the next one of the log. The first record of a start raises the
     /// incarnation; what an earlier incarnation left behind the end of the log is not of it.
     fn continues_with(&self, stored: &StoredRecord) -> bool {
@@ -188,14 +184,18 @@
     };
     let mut offset = offset;
     while offset < bytes.len() {
-        if let Some((stored, next)) = StoredRecord::decode(bytes, offset) {
+        if let Some(Decoded {
+            stored,
+            next_offset,
+        }) = StoredRecord::decode(bytes, offset)
+        {
             if stored.lsn >= next_lsn && stored.incarnation >= incarnation {
                 behind = BehindEnd::Torn;
                 if stored.synced_lsn >= next_lsn {
                     return BehindEnd::Synced;
                 }
             }
-            offset = next;
+            offset = next_offset;
         } else {
             offset += ALIGNMENT;
         }
--- a/crates/common/write-ahead-log/src/recovery/scan.rs
+++ b/crates/common/write-ahead-log/src/recovery/scan.rs
@@ -10,6 +10,7 @@
 const MAX_SLOTS: usize = 4096;
 
 /// The files of a directory, by what they begin with.
+#[derive(Default)]
 pub(super) struct Scan {
     /// In the order of the log.
     pub segments: Vec<FoundSegment>,
@@ -25,6 +26,24 @@
     pub(super) fn oldest_slot(&self) -> u32 {
         self.segments.first().map_or(0, |segment| segment.slot)
     }
+
+    /// Adds a file by its beginning.
+    fn add(&mut self, slot: u32, start: SegmentStart) -> Slot {
+        match start {
+            SegmentStart::Header(header) => {
+                self.segments.push(FoundSegment { header, slot });
+                Slot::Used(header.seq)
+            }
+            SegmentStart::Blank => {
+                self.blank.push(slot);
+                Slot::Free
+            }
+            SegmentStart::Invalid | SegmentStart::UnsupportedVersion(_) => {
+                self.invalid.push(slot);
+                Slot::Free
+            }
+        }
+    }
 }
 
 /// Reads the beginnings of all files, and refuses those of another owner or of a newer version.
@@ -34,12 +53,7 @@
         file: storage.name(0),
         source,
     })?;
-    let mut found = Scan {
-        segments: Vec::new(),
-        invalid: Vec::new(),
-        blank: Vec::new(),
-        slots: Vec::new(),
-    };
+    let mut found = Scan::default();
     let mut bytes = Vec::new();
     for (slot, _) in files {
         let at = usize::try_from(slot).unwrap_or(usize::MAX);
@@ -52,28 +66,15 @@
         }
         let state = match decode_start(&bytes) {
             SegmentStart::UnsupportedVersion(version) => {
-                return Err(LogError::UnsupportedVersion {
-                    file: storage.name(slot),
-                    version,
-                });
+                let file = storage.name(slot);
+                return Err(LogError::UnsupportedVersion { file, version });
             }
             SegmentStart::Header(header) if has_other_owner(&header, owner) => {
                 return Err(LogError::WrongOwner {
                     file: storage.name(slot),
                 });
             }
-            SegmentStart::Header(header) => {
-                found.segments.push(FoundSegment { header, slot });
-                Slot::Used(header.seq)
-            }
-            SegmentStart::Blank => {
-                found.blank.push(slot);
-                Slot::Free
-            }
-            SegmentStart::Invalid => {
-                found.invalid.push(slot);
-                Slot::Free
-            }
+            valid => found.add(slot, valid),
         };
         if let Some(known) = found.slots.get_mut(at) {
             *known = state;
--- a/crates/common/write-ahead-log/src/segments.rs
+++ b/crates/common/write-ahead-log/src/segments.rs
@@ -71,15 +71,23 @@
     }
 
     /// The file to preallocate next: one that is there without use, or a new one.
-    pub(crate) fn next_to_preallocate(&self) -> (u32, Slot) {
+    pub(crate) fn next_to_preallocate(&self) -> PreallocationSlot {
         let free = self.slots.iter().position(|slot| *slot == Slot::Free);
         let missing = || self.slots.iter().position(|slot| *slot == Slot::Missing);
         let slot = free.or_else(missing).unwrap_or(self.slots.len());
-        let state = if free.is_some() {
-            Slot::Free
-        } else {
-            Slot::Missing
-        };
-        (u32::try_from(slot).unwrap_or(u32::MAX), state)
+        let slot = u32::try_from(slot).unwrap_or(u32::MAX);
+        match free {
+            Some(_) => PreallocationSlot::Existing(slot),
+            None => PreallocationSlot::New(slot),
+        }
     }
 }
+
+/// A file to preallocate.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) enum PreallocationSlot {
+    /// It is there.
+    Existing(u32),
+    /// It is to be made.
+    New(u32),
+}
--- a/crates/common/write-ahead-log/src/writer.rs
+++ b/crates/common/write-ahead-log/src/writer.rs
@@ -5,7 +5,7 @@
 use crate::monitor::Monitor;
 use crate::placement::{SegmentJob, WriteJob};
 use crate::record::Lsn;
-use crate::segments::{Segments, Slot};
+use crate::segments::{PreallocationSlot, Segments, Slot};
 use crate::shared::{DiskView, SharedState};
 use crate::storage::{Storage, StorageFile};
 use std::collections::VecDeque;
@@ -353,10 +353,9 @@
     fn write_chunk(&mut self, most: u64) -> io::Result<()> {
         let segment_bytes = self.segments.segment_bytes;
         if self.preallocation.is_none() {
-            let (slot, state) = self.segments.next_to_preallocate();
-            let file = match state {
-                Slot::Missing => self.segments.storage.create(slot)?,
-                _ => self.segments.storage.open(slot)?,
+            let (slot, file) = match self.segments.next_to_preallocate() {
+                PreallocationSlot::New(slot) => (slot, self.segments.storage.create(slot)?),
+                PreallocationSlot::Existing(slot) => (slot, self.segments.storage.open(slot)?),
             };
             self.segments.set_slot(slot, Slot::Free);
             self.preallocation = Some(Preallocation {
--- a/crates/common/write-ahead-log/tests/bytes.rs
+++ b/crates/common/write-ahead-log/tests/bytes.rs
@@ -8,7 +8,7 @@
 use std::io::Read;
 use std::path::{Path, PathBuf};
 use write_ahead_log::format::{
-    decode_start, Header, NewHeader, RecordType, SegmentStart, StoredRecord,
+    decode_start, Decoded, Header, NewHeader, RecordType, SegmentStart, StoredRecord,
 };
 use write_ahead_log::{open_for, owner_id, OpenAs, OpenedLog, Options, Record};
 
@@ -123,7 +123,13 @@
         stored.encode(&mut bytes);
         assert_eq!(hex(&bytes), expected, "{record_type:?}");
         let bytes = from_hex(expected);
-        assert_eq!(StoredRecord::decode(&bytes, 0), Some((stored, bytes.len())));
+        assert_eq!(
+            StoredRecord::decode(&bytes, 0),
+            Some(Decoded {
+                stored,
+                next_offset: bytes.len()
+            })
+        );
     }
 }
 
@@ -213,7 +219,11 @@
             header.identity,
         ));
         let mut offset = 64;
-        while let Some((stored, next)) = StoredRecord::decode(file, offset) {
+        while let Some(Decoded {
+            stored,
+            next_offset: next,
+        }) = StoredRecord::decode(file, offset)
+        {
             record_types.insert(file[offset + 32]);
             assert!((1..=4).contains(&stored.incarnation));
             offset = next;
@@ -296,7 +306,7 @@
     let mut files = fixture();
     let last = (0..files.len()).step_by(8).find(|at| {
         let stored = StoredRecord::decode(&files, *at);
-        stored.is_some_and(|(stored, _)| {
+        stored.is_some_and(|Decoded { stored, .. }| {
             stored.record_type == RecordType::Data && stored.record.number == 389
         })
     });
--- a/crates/common/write-ahead-log/tests/format.rs
+++ b/crates/common/write-ahead-log/tests/format.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use proptest::prelude::*;
 use write_ahead_log::format::{
-    decode_start, stored_len, Header, NewHeader, RecordType, SegmentStart, StoredRecord,
+    decode_start, stored_len, Decoded, Header, NewHeader, RecordType, SegmentStart, StoredRecord,
     HEADER_BYTES,
 };
 use write_ahead_log::Record;
@@ -57,7 +57,7 @@
         }
         let mut offset = 0;
         for one in &all {
-            let (back, next) = StoredRecord::decode(&bytes, offset).unwrap();
+            let Decoded { stored: back, next_offset: next } = StoredRecord::decode(&bytes, offset).unwrap();
             prop_assert_eq!(&back, one);
             offset = next;
         }
--- a/crates/control/relay-tree/src/subscriber.rs
+++ b/crates/control/relay-tree/src/subscriber.rs
@@ -289,7 +289,23 @@
             self.in_flight.push_back((self.serial, bytes));
             self.in_flight_bytes += bytes;
         }
+        let header = self.header(status, from, newest_seq, flags);
         let header = UpdateHeader {
+            entry_count: count,
+            ..header
+        };
+        Some(Message::Update(Update { header, body }))
+    }
+
+    /// The header of a message that leads from there to what is sent now, without entries.
+    fn header(
+        &self,
+        status: &TableStatus,
+        from: Position,
+        newest_seq: u64,
+        flags: u8,
+    ) -> UpdateHeader {
+        UpdateHeader {
             incarnation: status.incarnation,
             to_incarnation: self.incarnation,
             epoch: self.epoch,
@@ -304,9 +320,8 @@
             echo: self.sent_at,
             echo_delay_ms: saturating_u32(status.now.saturating_sub(self.sent_at_received)),
             flags,
-            entry_count: count,
-        };
-        Some(Message::Update(Update { header, body }))
+            entry_count: 0,
+        }
     }
 
     /// Whether the subscriber needs this entry: not what it sent itself, nor what it holds by its
