--- a/crates/gateway/gateway/src/proxy/in_flight.rs
+++ b/crates/gateway/gateway/src/proxy/in_flight.rs
@@ -4,7 +4,7 @@
 use crate::selection::selector::{Key, RunnerSelector};
 use compact_str::CompactString;
 use hyper::HeaderMap;
-use runner_selection::{AttemptId, Outcome};
+use runner_selection::{AttemptId, Outcome, RunnerLoad};
 use std::rc::Rc;
 use tokio::sync::Notify;
 
@@ -63,11 +63,15 @@
         });
         if let Some((running, waiting, slots)) = load {
             let now = self.selector.now();
-            self.selector
-                .0
-                .engines
-                .borrow_mut()
-                .load_reported(now, self.key, running, waiting, slots);
+            self.selector.0.engines.borrow_mut().load_reported(
+                now,
+                self.key,
+                RunnerLoad {
+                    running,
+                    waiting,
+                    slots,
+                },
+            );
         }
     }
 
--- a/crates/gateway/gateway/src/selection/selector.rs
+++ b/crates/gateway/gateway/src/selection/selector.rs
@@ -15,7 +15,7 @@
 use runner_registry::{Runner, RunnerState};
 use runner_selection::{
     Balancer, Choice as PolicyChoice, LoadReport, RequestProfile, RunnerKey, ServiceEstimates,
-    ServiceTerms,
+    ServiceTerms, Traffic,
 };
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -273,7 +273,12 @@
             .ok()
             .filter(|id| !id.is_empty())?;
         let addr = engines.runner_addr(key);
-        let send = engines.attempt_started(now, key, want, item);
+        let send = engines.attempt_started(
+            now,
+            key,
+            want,
+            if item { Traffic::Item } else { Traffic::Live },
+        );
         drop(engines);
         let overdue = Rc::new(Notify::new());
         if want.retryable {
--- a/crates/gateway/runner-selection/src/engines.rs
+++ b/crates/gateway/runner-selection/src/balancer.rs
@@ -1,8 +1,8 @@
 //! The table of runners and services, and its one owner.
 
+use crate::attempt::Attempt;
 use crate::constants::{LEAST_CONNS, MAX_RUNNERS, MAX_SVCS, REPORTS_BURST};
 use crate::health::{Availability, Health};
-use crate::parts::hashed;
 use crate::runner::Runner;
 use crate::service::Service;
 use crate::{Millis, RunnerKey, ServiceEstimates, ServiceTerms};
@@ -14,33 +14,6 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// One sending that has not ended.
-#[derive(Debug, Clone, Copy)]
-pub(crate) struct Attempt {
-    pub(crate) runner: RunnerKey,
-    pub(crate) service: usize,
-    pub(crate) item: bool,
-    pub(crate) started_at: Millis,
-    pub(crate) first_token_at: Option<Millis>,
-    /// When it is late.
-    pub(crate) target_at: Millis,
-    /// Tokens, in and out.
-    pub(crate) tokens: f64,
-    pub(crate) uncached_tokens: f64,
-    /// Silent until then its runner hangs.
-    pub(crate) hung_at: Millis,
-    pub(crate) retryable: bool,
-    /// It was named as overdue.
-    pub(crate) reported_overdue: bool,
-    /// Nothing else was ahead of it, as far as was known: its first token shows the reading speed.
-    pub(crate) ran_alone: bool,
-    /// It found a place free.
-    pub(crate) had_free_slot: bool,
-    /// Tokens of shared parts that its home was trusted to have by the others' requests.
-    pub(crate) home_cached_tokens: f64,
-    pub(crate) oversized: bool,
-}
-
 /// The table's place of a key, and how often it was used before.
 const INDEX_BITS: u32 = 16;
 
@@ -93,70 +66,60 @@
 
     /// A runner that is new or has changed, or whose service has. One that is draining or gone gets
     /// nothing new.
-    pub fn update_runner(&mut self, now: Millis, r: &runner_registry::Runner, svc: ServiceTerms) {
-        let up = match r.state {
+    pub fn update_runner(
+        &mut self,
+        now: Millis,
+        registered: &runner_registry::Runner,
+        terms: ServiceTerms,
+    ) {
+        let up = match registered.state {
             RunnerState::Up => true,
-            RunnerState::Draining if self.key_by_id.contains_key(r.id.as_str()) => false,
+            RunnerState::Draining if self.key_by_id.contains_key(registered.id.as_str()) => false,
             // Nothing will ever go there.
             RunnerState::Draining => return,
-            RunnerState::Gone => return self.remove_runner(r.id.as_str()),
+            RunnerState::Gone => return self.remove_runner(registered.id.as_str()),
         };
-        let Some(svc_at) = self.register_service(r.service.as_str(), svc) else {
+        let Some(service) = self.register_service(registered.service.as_str(), terms) else {
             return;
         };
-        let near = self.zone.as_str() == r.zone.as_str();
-        let cold_until = now.saturating_add(r.warmup_left_ms);
-        if let Some(key) = self.key_by_id.get(r.id.as_str()).copied() {
-            if let Some(known) = self.get_mut(key).filter(|k| k.service == svc_at) {
-                let changed = known.up != up;
-                let before = known.offered_slots();
-                // Back from elsewhere: what was held against the old address says nothing of this one.
-                if known.addr != r.addr {
-                    (known.health, known.backoff) = (Health::default(), Sleeper::default());
-                }
-                (known.addr, known.up, known.in_own_zone) = (r.addr, up, near);
-                (known.slots, known.warming_until) = (f64::from(r.slots.max(1)), cold_until);
-                let now_offered = known.offered_slots();
-                self.epoch += u64::from(changed);
-                self.count_slots(svc_at, now_offered - before);
+        let own_zone = self.zone.as_str() == registered.zone.as_str();
+        let mut listed = Runner::new(now, registered, service, own_zone);
+        listed.up = up;
+        if let Some(key) = self.key_by_id.get(registered.id.as_str()).copied() {
+            if self.get(key).is_some_and(|known| known.service == service) {
+                self.refresh(key, &listed);
                 return;
             }
-            self.remove_runner(r.id.as_str());
+            self.remove_runner(registered.id.as_str());
         }
-        let runner = Runner {
-            id: r.id.as_str().into(),
-            hash: hashed(r.id.as_str()),
-            addr: r.addr,
-            in_own_zone: near,
-            service: svc_at,
-            slots: f64::from(r.slots.max(1)),
-            up,
-            warming_until: cold_until,
-            backoff: Sleeper::default(),
-            health: Health::default(),
-            in_flight: 0,
-            items_in_flight: 0,
-            tokens_in_flight: 0.0,
-            reported: None,
-            prefill_until: 0.0,
-            pending_first_tokens: VecDeque::new(),
-            last_activity_at: 0,
-            relative_pace: 1.0,
-            prefilled_tokens: 0.0,
-            kv: None,
-            last_probe_at: None,
-            last_rejected_at: None,
-        };
-        let offered = runner.offered_slots();
-        let Some(key) = self.insert(runner) else {
+        let offered = listed.offered_slots();
+        let Some(key) = self.insert(listed) else {
             return;
         };
-        self.key_by_id.insert(r.id.as_str().into(), key);
-        if let Some(svc) = self.services.get_mut(svc_at) {
-            svc.members.push(key);
+        self.key_by_id.insert(registered.id.as_str().into(), key);
+        if let Some(service) = self.services.get_mut(service) {
+            service.members.push(key);
         }
         self.epoch += 1;
-        self.count_slots(svc_at, offered);
+        self.count_slots(service, offered);
+    }
+
+    /// Takes over what has changed of a known runner.
+    fn refresh(&mut self, key: RunnerKey, listed: &Runner) {
+        let Some(known) = self.get_mut(key) else {
+            return;
+        };
+        let changed = known.up != listed.up;
+        let before = known.offered_slots();
+        // Back at another address: what was held against the old one says nothing of this one.
+        if known.addr != listed.addr {
+            (known.health, known.backoff) = (Health::default(), Sleeper::default());
+        }
+        (known.addr, known.up, known.in_own_zone) = (listed.addr, listed.up, listed.in_own_zone);
+        (known.slots, known.warming_until) = (listed.slots, listed.warming_until);
+        let more = known.offered_slots() - before;
+        self.epoch += u64::from(changed);
+        self.count_slots(listed.service, more);
     }
 
     /// A runner that is not known any more.
@@ -173,8 +136,8 @@
             return;
         };
         self.free.push_back(index);
-        if let Some(svc) = self.services.get_mut(gone.service) {
-            svc.members.retain(|k| *k != key);
+        if let Some(service) = self.services.get_mut(gone.service) {
+            service.members.retain(|k| *k != key);
         }
         self.epoch += 1;
         self.count_slots(gone.service, -gone.offered_slots());
@@ -187,10 +150,10 @@
 
     /// How many connections this dispatcher may hold to a runner: its share of what the runner accepts.
     pub fn connection_limit(&self, key: RunnerKey) -> u32 {
-        let Some(svc) = self.get(key).and_then(|r| self.services.get(r.service)) else {
+        let Some(service) = self.get(key).and_then(|r| self.services.get(r.service)) else {
             return 0;
         };
-        ((f64::from(svc.max_conns) / self.dispatchers) as u32).max(LEAST_CONNS)
+        ((f64::from(service.max_conns) / self.dispatchers) as u32).max(LEAST_CONNS)
     }
 
     /// The runner's id; empty where it is not known any more.
@@ -220,20 +183,20 @@
     }
 
     /// What was learned of a service, for logs and tests.
-    pub fn service_estimates(&self, svc: &str) -> Option<ServiceEstimates> {
-        let svc = self
-            .service_index(svc)
+    pub fn service_estimates(&self, service: &str) -> Option<ServiceEstimates> {
+        let service = self
+            .service_index(service)
             .and_then(|at| self.services.get(at))?;
         Some(ServiceEstimates {
-            slots: svc.slots,
-            base_ms: svc.prefill.base_ms,
-            per_token_ms: svc.prefill.per_token_ms,
-            first_token_ms: svc.first_token_ms.mean,
-            run_ms: svc.run_ms.mean,
-            home_hit_rate: svc.prefixes.home_hit_rate,
-            load_by_others: svc.load_by_others,
-            late_share: svc.late_share,
-            item_reserve: self.item_reserve(svc),
+            slots: service.slots,
+            base_ms: service.prefill.base_ms,
+            per_token_ms: service.prefill.per_token_ms,
+            first_token_ms: service.first_token_ms.mean,
+            run_ms: service.run_ms.mean,
+            home_hit_rate: service.prefixes.home_hit_rate,
+            load_by_others: service.load_by_others,
+            late_share: service.late_share,
+            item_reserve: self.item_reserve(service),
         })
     }
 
@@ -290,16 +253,16 @@
             self.services.get_mut(at)?.apply_terms(terms);
             return Some(at);
         }
-        let svc = Service::new(name, terms);
+        let service = Service::new(name, terms);
         let at = if self.services.len() < MAX_SVCS {
-            self.services.push(svc);
+            self.services.push(service);
             self.services.len() - 1
         } else {
             let in_use = |at: usize| self.attempts.values().any(|s| s.service == at);
             let at = (0..self.services.len())
                 .find(|at| self.services[*at].members.is_empty() && !in_use(*at))?;
             self.service_by_name.remove(&self.services[at].name);
-            self.services[at] = svc;
+            self.services[at] = service;
             at
         };
         self.service_by_name.insert(name.into(), at);
@@ -308,8 +271,8 @@
 
     /// The slots of a service are the sum of those that its runners offer: each change of one is counted here.
     pub(crate) fn count_slots(&mut self, at: usize, more: f64) {
-        if let Some(svc) = self.services.get_mut(at) {
-            svc.slots = (svc.slots + more).max(0.0);
+        if let Some(service) = self.services.get_mut(at) {
+            service.slots = (service.slots + more).max(0.0);
         }
     }
 }
--- a/crates/gateway/runner-selection/src/constants.rs
+++ b/crates/gateway/runner-selection/src/constants.rs
@@ -84,7 +84,7 @@
 /// A part that takes less to read than this steers nothing: about what two runners' waits differ by
 /// without a queue.
 pub const STEER_MS: f64 = 8.0;
-/// Homes kept for a part: the next ones stand in when the first is out or too full.
+/// Homes cached for a part: the next ones stand in when the first is out or too full.
 pub const HOMES: usize = 4;
 /// A home is passed over beyond this multiple of the mean load (consistent hashing with bounded loads) ...
 pub const HOME_BOUND: f64 = 1.5;
@@ -158,7 +158,7 @@
 /// A live request tries a runner so long after its avoidance has passed, in spans of it: a report is
 /// cheaper and goes first.
 pub const TRIAL_GRACE: f64 = 0.5;
-/// After so many spans of it without any news it is forgotten: nothing that may be tried there came by.
+/// After so many spans of it without any news it is forgotten: nothing that may be attempted there came by.
 pub const AVOID_FORGET: f64 = 8.0;
 /// Beyond this share of avoided runners the fault is likelier on this side: they are used again where
 /// the others are full.
--- a/crates/gateway/runner-selection/src/health.rs
+++ b/crates/gateway/runner-selection/src/health.rs
@@ -1,9 +1,13 @@
-//! Trouble at single runners: strikes, avoidance that grows, and one trial before it ends.
+//! Outlier ejection of single runners: ejections that grow, and one probe before they end.
+//!
+//! Envoy's term; the growth is that of the adaptive backoff of `dispatch-policy`.
 
+use crate::attempt::FirstToken;
 use crate::constants::{
-    AVOID_FIRST_MS, AVOID_FORGET, AVOID_JITTER, AVOID_MOST_MS, AVOID_UP, TRIAL_GRACE, WAIT_MOST_MS,
+    AVOID_FIRST_MS, AVOID_FORGET, AVOID_JITTER, AVOID_MOST_MS, AVOID_UP, AVOID_WRONG_MS, ERRORS,
+    TRIAL_GRACE, WAIT_MOST_MS,
 };
-use crate::Millis;
+use crate::{Millis, Outcome};
 use dispatch_policy::{Sleeper, SleeperTerms};
 use rand_pcg::Pcg64Mcg;
 
@@ -79,4 +83,32 @@
         (self.probe, self.consecutive_errors) = (None, 0);
         self.backoff.success(&terms(), rng);
     }
+
+    /// Counts how an attempt ended; for how long its runner is ejected at least, if it is.
+    pub(crate) fn note_outcome(
+        &mut self,
+        outcome: Outcome,
+        first_token: FirstToken,
+    ) -> Option<f64> {
+        match outcome {
+            Outcome::Completed => {
+                self.consecutive_errors = 0;
+                None
+            }
+            Outcome::ConnectFailed => Some(0.0),
+            Outcome::ConnectionLost | Outcome::TimedOut if first_token != FirstToken::Received => {
+                Some(0.0)
+            }
+            Outcome::ConnectionLost | Outcome::ServerError => {
+                self.consecutive_errors += 1;
+                (self.consecutive_errors >= ERRORS).then_some(0.0)
+            }
+            Outcome::Misdirected => Some(AVOID_WRONG_MS),
+            Outcome::ClientDisconnected if first_token == FirstToken::Overdue => Some(0.0),
+            Outcome::Rejected
+            | Outcome::NotRun
+            | Outcome::TimedOut
+            | Outcome::ClientDisconnected => None,
+        }
+    }
 }
--- a/crates/gateway/runner-selection/src/lib.rs
+++ b/crates/gateway/runner-selection/src/lib.rs
@@ -14,28 +14,27 @@
 //!
 //! Time comes in as milliseconds on a steady clock, randomness as a seed.
 
-#![expect(
-    clippy::struct_excessive_bools,
-    clippy::too_many_lines,
-    reason = "not revised yet"
-)]
-
-mod ask;
+mod affinity;
+mod attempt;
+mod attempts;
+mod balancer;
 mod constants;
-mod engines;
+mod estimate;
 mod health;
-mod items;
-mod live;
-mod outcome;
-mod parts;
+mod item_selection;
+mod live_selection;
+mod load_reports;
+mod prefix_table;
+mod probing;
+mod request;
 mod runner;
 mod service;
-mod want;
 
-pub use engines::Balancer;
-pub use want::{
-    AttemptId, Choice, LoadReport, Outcome, RequestProfile, RunnerKey, ServiceEstimates,
-    ServiceTerms,
+pub use attempt::Traffic;
+pub use balancer::Balancer;
+pub use request::{
+    AttemptId, Choice, LoadReport, Outcome, RequestProfile, RunnerKey, RunnerLoad,
+    ServiceEstimates, ServiceTerms,
 };
 
 /// Milliseconds on a steady clock.
--- a/crates/gateway/runner-selection/src/parts.rs
+++ b/crates/gateway/runner-selection/src/prefix_table.rs
@@ -109,7 +109,7 @@
         part.holders.push((key, read));
     }
 
-    /// Where there are too many the older half goes: no list has to be kept in order for that.
+    /// Where there are too many the older half goes: no list has to be cached in order for that.
     fn make_room(&mut self, now: Millis) {
         if self.known.len() < MAX_PARTS {
             return;
--- a/crates/gateway/runner-selection/src/ask.rs
+++ b/crates/gateway/runner-selection/src/probing.rs
@@ -1,13 +1,31 @@
 //! What is worth asking, and what has been silent for too long.
 
+use crate::attempt::Attempt;
+use crate::balancer::Balancer;
 use crate::constants::{
     HUNG_LEAST_MS, REPORTS_BURST, REPORTS_PER_S, REPORT_AGE_MS, REPORT_FILL, SCAN,
 };
-use crate::engines::{Attempt, Balancer};
 use crate::health::Availability;
 use crate::{AttemptId, Millis, RunnerKey};
 
 impl Balancer {
+    /// Strikes those that hang.
+    pub(crate) fn eject_hung(&mut self, now: Millis, pool: &[RunnerKey]) {
+        for key in pool {
+            if self.get(*key).is_some_and(|runner| runner.is_hung(now)) {
+                self.eject(now, *key, 0.0);
+            }
+        }
+    }
+
+    pub(crate) fn eject(&mut self, now: Millis, key: RunnerKey, least: f64) {
+        let mut rng = self.rng.clone();
+        if let Some(runner) = self.get_mut(key) {
+            runner.health.eject(now, least, &mut rng);
+        }
+        self.rng = rng;
+    }
+
     /// Runners that are worth a `/-/report` now: each is priced as a probe. Those that were in trouble go
     /// first, since a report that comes ends their avoidance without a request at stake; then those that have
     /// said nothing lately in a fleet that is filled well.
@@ -19,22 +37,22 @@
         if credit >= 1.0 {
             let mut wanted: Vec<(bool, Millis, RunnerKey)> = Vec::new();
             for at in 0..self.services.len() {
-                let Some(svc) = self.services.get(at).filter(|s| s.llm) else {
+                let Some(service) = self.services.get(at).filter(|s| s.llm) else {
                     continue;
                 };
-                let busy = svc.live_in_flight > 0 || svc.mean_live_in_flight >= 0.1;
-                let filled = svc.load_by_others(now)
-                    + f64::from(svc.live_in_flight) / svc.slots.max(1.0)
+                let busy = service.live_in_flight > 0 || service.mean_live_in_flight >= 0.1;
+                let filled = service.load_by_others(now)
+                    + f64::from(service.live_in_flight) / service.slots.max(1.0)
                     >= REPORT_FILL;
                 for key in self.sample(at, SCAN) {
-                    let Some(r) = self.get(key).filter(|r| r.up) else {
+                    let Some(runner) = self.get(key).filter(|runner| runner.up) else {
                         continue;
                     };
-                    let age = now.saturating_sub(r.reported.map_or(0, |t| t.at));
-                    let lately = r
+                    let age = now.saturating_sub(runner.reported.map_or(0, |t| t.at));
+                    let lately = runner
                         .last_probe_at
                         .is_some_and(|a| now.saturating_sub(a) < REPORT_AGE_MS);
-                    match r.health.availability(now) {
+                    match runner.health.availability(now) {
                         Availability::Probe => wanted.push((true, age, key)),
                         Availability::Healthy
                             if busy && filled && age >= REPORT_AGE_MS && !lately =>
@@ -48,10 +66,10 @@
             wanted.sort_unstable_by(|a, b| b.cmp(a));
             for (trial, _, key) in wanted.into_iter().take(credit as usize) {
                 credit -= 1.0;
-                if let Some(r) = self.get_mut(key) {
-                    r.last_probe_at = Some(now);
+                if let Some(runner) = self.get_mut(key) {
+                    runner.last_probe_at = Some(now);
                     if trial {
-                        r.health.probe = Some(u64::MAX);
+                        runner.health.probe = Some(u64::MAX);
                     }
                 }
                 asked.push(key);
@@ -81,7 +99,10 @@
             let Some((key, sent)) = self.attempts.get(&id).map(|s| (s.runner, s.started_at)) else {
                 continue;
             };
-            if self.get(key).is_some_and(|r| r.last_activity_at > sent) {
+            if self
+                .get(key)
+                .is_some_and(|runner| runner.last_activity_at > sent)
+            {
                 continue;
             }
             self.eject_hung(now, &[key]);
--- a/crates/gateway/runner-selection/src/want.rs
+++ b/crates/gateway/runner-selection/src/request.rs
@@ -94,7 +94,18 @@
     ClientDisconnected,
 }
 
-/// What `/-/report` says.
+/// `Fordrelay-Runner-Load` of an answer.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct RunnerLoad {
+    /// Requests that run there.
+    pub running: u32,
+    /// Requests that wait there.
+    pub waiting: u32,
+    /// Its slots; 0 if it doesn't tell.
+    pub slots: u32,
+}
+
+/// The answer to `/-/report`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct LoadReport {
     /// Requests that wait there.
@@ -107,6 +118,20 @@
     pub kv_size: u64,
 }
 
+impl Outcome {
+    /// Whether the runner itself answered.
+    pub(crate) fn shows_life(self) -> bool {
+        matches!(
+            self,
+            Outcome::Completed
+                | Outcome::Rejected
+                | Outcome::ServerError
+                | Outcome::NotRun
+                | Outcome::Misdirected
+        )
+    }
+}
+
 /// What was learned of a service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ServiceEstimates {
--- a/crates/gateway/runner-selection/src/runner.rs
+++ b/crates/gateway/runner-selection/src/runner.rs
@@ -1,7 +1,9 @@
 //! What is known of one runner.
 
+use crate::attempt::Attempt;
 use crate::constants::{COLD_PACE, PACE_DEAD, SILENT};
 use crate::health::Health;
+use crate::prefix_table::hashed;
 use crate::service::Service;
 use crate::Millis;
 use compact_str::CompactString;
@@ -9,7 +11,17 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// What a runner told of its load.
+/// KV cache in use, as a runner reported it.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct KvUsage {
+    pub(crate) reported_at: Millis,
+    /// Tokens that can't be evicted.
+    pub(crate) used: f64,
+    /// Tokens that it holds.
+    pub(crate) size: f64,
+}
+
+/// What a runner reported of its load.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ReportedLoad {
     pub(crate) at: Millis,
@@ -53,7 +65,7 @@
     /// Tokens that this dispatcher had it read: the age of what its memory keeps.
     pub(crate) prefilled_tokens: f64,
     /// Memory in use, of its size, and when it was told.
-    pub(crate) kv: Option<(Millis, f64, f64)>,
+    pub(crate) kv: Option<KvUsage>,
     /// When it turned something away as full last.
     pub(crate) last_rejected_at: Option<Millis>,
     /// When a report was asked for last.
@@ -61,6 +73,39 @@
 }
 
 impl Runner {
+    /// A runner as the registry lists it, of which nothing else is known.
+    pub(crate) fn new(
+        now: Millis,
+        registered: &runner_registry::Runner,
+        service: usize,
+        in_own_zone: bool,
+    ) -> Self {
+        Runner {
+            id: registered.id.as_str().into(),
+            hash: hashed(registered.id.as_str()),
+            addr: registered.addr,
+            in_own_zone,
+            service,
+            slots: f64::from(registered.slots.max(1)),
+            up: true,
+            warming_until: now.saturating_add(registered.warmup_left_ms),
+            backoff: Sleeper::default(),
+            health: Health::default(),
+            in_flight: 0,
+            items_in_flight: 0,
+            tokens_in_flight: 0.0,
+            reported: None,
+            prefill_until: 0.0,
+            pending_first_tokens: VecDeque::new(),
+            last_activity_at: 0,
+            relative_pace: 1.0,
+            prefilled_tokens: 0.0,
+            kv: None,
+            last_probe_at: None,
+            last_rejected_at: None,
+        }
+    }
+
     /// Slots that count for its service.
     pub(crate) fn offered_slots(&self) -> f64 {
         if self.up {
@@ -71,30 +116,30 @@
     }
 
     /// Requests of the others: what was told fades to the mean.
-    pub(crate) fn load_by_others(&self, now: Millis, svc: &Service) -> f64 {
-        let mean = svc.load_by_others(now) * self.slots;
+    pub(crate) fn load_by_others(&self, now: Millis, service: &Service) -> f64 {
+        let mean = service.load_by_others(now) * self.slots;
         match self.reported {
-            Some(told) => mean + (told.by_others - mean) * svc.report_weight(now, told.at),
+            Some(told) => mean + (told.by_others - mean) * service.report_weight(now, told.at),
             None => mean,
         }
     }
 
-    pub(crate) fn load(&self, now: Millis, svc: &Service) -> f64 {
-        self.load_by_others(now, svc) + f64::from(self.in_flight)
+    pub(crate) fn load(&self, now: Millis, service: &Service) -> f64 {
+        self.load_by_others(now, service) + f64::from(self.in_flight)
     }
 
     /// Whether what it told is recent enough to go by.
-    pub(crate) fn report_is_fresh(&self, now: Millis, svc: &Service) -> bool {
+    pub(crate) fn report_is_fresh(&self, now: Millis, service: &Service) -> bool {
         self.reported
-            .is_some_and(|t| svc.report_weight(now, t.at) >= 0.5)
+            .is_some_and(|t| service.report_weight(now, t.at) >= 0.5)
     }
 
     /// Nothing is known of it by now, and no answer is on its way that would tell.
-    pub(crate) fn is_unknown(&self, now: Millis, svc: &Service) -> bool {
+    pub(crate) fn is_unknown(&self, now: Millis, service: &Service) -> bool {
         self.pending_first_tokens.is_empty()
             && self
                 .reported
-                .is_none_or(|t| svc.report_weight(now, t.at) < SILENT)
+                .is_none_or(|t| service.report_weight(now, t.at) < SILENT)
     }
 
     pub(crate) fn pace_at(&self, now: Millis) -> f64 {
@@ -118,20 +163,22 @@
     }
 
     /// Share of its memory that is taken, beyond one where a request of so many tokens would not fit.
-    pub(crate) fn memory_share(&self, now: Millis, svc: &Service, tokens: f64) -> f64 {
+    pub(crate) fn memory_share(&self, now: Millis, service: &Service, tokens: f64) -> f64 {
         let Some(size) = self
             .kv
-            .map(|(_, _, size)| size)
-            .or(svc.kv_capacity)
+            .map(|kv| kv.size)
+            .or(service.kv_capacity)
             .filter(|s| *s > 0.0)
         else {
             return 0.0;
         };
-        let guess = self.tokens_in_flight + self.load_by_others(now, svc) * svc.tokens;
+        let guess = self.tokens_in_flight + self.load_by_others(now, service) * service.tokens;
         let used = match self.kv {
             // ReportedLoad a while ago: what is in flight by now counts as well.
-            Some((at, used, _)) => {
-                let fresh = svc.report_weight(now, at);
+            Some(KvUsage {
+                reported_at, used, ..
+            }) => {
+                let fresh = service.report_weight(now, reported_at);
                 used * fresh + guess * (1.0 - fresh)
             }
             None => guess,
@@ -139,8 +186,29 @@
         (used + tokens) / size
     }
 
-    pub(crate) fn first_token_done(&mut self, id: u64) {
-        self.pending_first_tokens.retain(|u| u.id != id);
+    /// An attempt's prompt was prefilled, or the attempt is over.
+    pub(crate) fn end_prefill(&mut self, now: Millis, id: u64) {
+        self.pending_first_tokens.retain(|pending| pending.id != id);
+        if self.pending_first_tokens.is_empty() {
+            self.prefill_until = self.prefill_until.min(now as f64);
+        }
+    }
+
+    /// An attempt is over; whether its first token was overdue, with no sign of life since it started.
+    pub(crate) fn release(&mut self, now: Millis, id: u64, attempt: &Attempt) -> bool {
+        let mut pending = self.pending_first_tokens.iter();
+        let was_overdue = pending.any(|pending| pending.id == id && now > pending.hung_at)
+            && self.last_activity_at <= attempt.started_at;
+        self.in_flight = self.in_flight.saturating_sub(1);
+        self.items_in_flight = self
+            .items_in_flight
+            .saturating_sub(u32::from(attempt.is_item()));
+        self.tokens_in_flight = (self.tokens_in_flight - attempt.tokens).max(0.0);
+        self.end_prefill(now, id);
+        if self.health.probe == Some(id) {
+            self.health.probe = None;
+        }
+        was_overdue
     }
 
     /// Silence beyond its limit, since the last strike and with no other sign of life.
--- a/crates/gateway/runner-selection/src/service.rs
+++ b/crates/gateway/runner-selection/src/service.rs
@@ -6,7 +6,7 @@
     MAX, MAX_RANDOMIZATION, MAX_TOKENS, MEMORY, OTHERS_HALF_MS, PER_TOKEN_MS, PER_TOKEN_RANGE,
     RANDOMIZATION, SUCCESSES_DOWN, TARGET_MS, UP,
 };
-use crate::parts::PrefixTable;
+use crate::prefix_table::PrefixTable;
 use crate::{Millis, RequestProfile, RunnerKey, ServiceTerms};
 use compact_str::CompactString;
 use dispatch_policy::SleeperTerms;
@@ -137,7 +137,7 @@
 
 impl Service {
     pub(crate) fn new(name: &str, terms: ServiceTerms) -> Self {
-        let mut svc = Service {
+        let mut service = Service {
             name: name.into(),
             llm: false,
             max_conns: 0,
@@ -160,8 +160,8 @@
             mean_live_in_flight: 0.0,
             prefixes: PrefixTable::default(),
         };
-        svc.apply_terms(terms);
-        svc
+        service.apply_terms(terms);
+        service
     }
 
     pub(crate) fn apply_terms(&mut self, terms: ServiceTerms) {
@@ -170,7 +170,13 @@
         self.kv_capacity = terms.kv_capacity.map(|tokens| tokens as f64);
     }
 
-    /// What is left of a word of that time.
+    /// Averages the live requests in flight; called before their number changes.
+    pub(crate) fn note_live_in_flight(&mut self) {
+        let live = f64::from(self.live_in_flight);
+        self.mean_live_in_flight += (live - self.mean_live_in_flight) / MEMORY;
+    }
+
+    /// How much of a report of that time still counts, from 1 down to 0.
     pub(crate) fn report_weight(&self, now: Millis, at: Millis) -> f64 {
         let half = (self.run_ms.mean * FADE_RUNS).clamp(FADE_RANGE_MS.0, FADE_RANGE_MS.1);
         half / (half + now.saturating_sub(at) as f64)
@@ -195,14 +201,14 @@
     }
 
     /// Tokens of a prompt, as far as they are to be believed.
-    pub(crate) fn prompt_tokens(&self, want: &RequestProfile) -> f64 {
-        f64::from(want.prompt_tokens).min(self.kv_capacity.unwrap_or(MAX_TOKENS))
+    pub(crate) fn prompt_tokens(&self, request: &RequestProfile) -> f64 {
+        f64::from(request.prompt_tokens).min(self.kv_capacity.unwrap_or(MAX_TOKENS))
     }
 
     /// ... with what may be sent out.
-    pub(crate) fn total_tokens(&self, want: &RequestProfile) -> f64 {
+    pub(crate) fn total_tokens(&self, request: &RequestProfile) -> f64 {
         let most = self.kv_capacity.unwrap_or(MAX_TOKENS);
-        (f64::from(want.prompt_tokens) + f64::from(want.max_output_tokens)).min(most)
+        (f64::from(request.prompt_tokens) + f64::from(request.max_output_tokens)).min(most)
     }
 
     /// Milliseconds to read so many tokens.
--- a/crates/gateway/runner-selection/tests/anything.rs
+++ b/crates/gateway/runner-selection/tests/anything.rs
@@ -5,11 +5,12 @@
 
 mod common;
 
-use common::{listed, llm, plain};
+use common::{listed, llm, plain, traffic};
 use proptest::prelude::*;
 use runner_registry::RunnerState;
 use runner_selection::{
-    AttemptId, Balancer, Choice, LoadReport, Outcome, RequestProfile, RunnerKey, ServiceTerms,
+    AttemptId, Balancer, Choice, LoadReport, Outcome, RequestProfile, RunnerKey, RunnerLoad,
+    ServiceTerms,
 };
 
 #[derive(Debug, Clone)]
@@ -125,14 +126,14 @@
                     prop_assert!(chosen.is_none_or(|key| engines.is_up(key)));
                     prop_assert!(engines.item_capacity(now, want.service.as_str()) <= 12 * 60);
                 }
-                Call::Sent(n, want, item) => sends.push(engines.attempt_started(now, keys[n], &want, item)),
+                Call::Sent(n, want, item) => sends.push(engines.attempt_started(now, keys[n], &want, traffic(item))),
                 Call::First(n) => sends.get(n).into_iter().for_each(|s| engines.first_token_received(now, *s)),
                 Call::Ended(n, end) if n < sends.len() => {
                     let send = sends.swap_remove(n);
                     engines.attempt_ended(now, send, ENDS[usize::from(end)]);
                 }
                 Call::Ended(..) => {}
-                Call::Load(n, running, waiting, slots) => engines.load_reported(now, keys[n], running, waiting, slots),
+                Call::Load(n, running, waiting, slots) => engines.load_reported(now, keys[n], RunnerLoad { running, waiting, slots }),
                 Call::LoadReport(n, kv_in_use, kv_size) => {
                     let report = LoadReport { queued: 1, active: 2, kv_in_use, kv_size };
                     engines.report_received(now, keys[n], report);
--- a/crates/gateway/runner-selection/tests/choice.rs
+++ b/crates/gateway/runner-selection/tests/choice.rs
@@ -4,11 +4,13 @@
 
 mod common;
 
-use common::{engines, listed, llm, plain, unit, want, SVC};
+use common::{engines, listed, llm, plain, traffic, unit, want, SVC};
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use runner_registry::RunnerState;
-use runner_selection::{Balancer, Choice, LoadReport, Outcome, RequestProfile, RunnerKey};
+use runner_selection::{
+    Balancer, Choice, LoadReport, Outcome, RequestProfile, RunnerKey, RunnerLoad, Traffic,
+};
 use std::collections::HashMap;
 
 fn keys(engines: &Balancer, many: usize) -> Vec<RunnerKey> {
@@ -46,7 +48,15 @@
             } else {
                 (slots, (unit(&mut rng) * 50.0) as u32)
             };
-            engines.load_reported(1_000, *key, running, waiting, slots);
+            engines.load_reported(
+                1_000,
+                *key,
+                RunnerLoad {
+                    running,
+                    waiting,
+                    slots,
+                },
+            );
         }
         for _ in 0..20 {
             let left_ms = 1 + (rng.next_u64() % 5_000) as u32;
@@ -68,7 +78,15 @@
 fn refused_at_once_where_all_are_full_and_the_client_would_not_see_a_token() {
     let mut engines = engines(3, 8, 10, llm(200, 1_000_000), 4);
     for key in keys(&engines, 8) {
-        engines.load_reported(1_000, key, 10, 200, 10);
+        engines.load_reported(
+            1_000,
+            key,
+            RunnerLoad {
+                running: 10,
+                waiting: 200,
+                slots: 10,
+            },
+        );
     }
     let wanted = RequestProfile {
         remaining_ms: 1_500,
@@ -111,7 +129,7 @@
     for _ in 0..3 {
         let key = sent_to(engines.choose(1_000, &wanted));
         assert!(!wanted.attempted.contains(&key), "another one each time");
-        let send = engines.attempt_started(1_000, key, &wanted, false);
+        let send = engines.attempt_started(1_000, key, &wanted, Traffic::Live);
         engines.attempt_ended(1_000, send, Outcome::Rejected);
         wanted.attempted.push(key);
     }
@@ -142,12 +160,20 @@
     let wanted = want(0, 0);
     let key = sent_to(engines.choose(1_000, &wanted));
     for _ in 0..5 {
-        let send = engines.attempt_started(1_000, key, &wanted, false);
+        let send = engines.attempt_started(1_000, key, &wanted, Traffic::Live);
         engines.attempt_ended(1_000, send, Outcome::Rejected);
     }
     let held = engines.choose(1_001, &wanted);
     assert!(matches!(held, Choice::Wait { .. }), "{held:?}");
-    engines.load_reported(1_002, key, 1, 0, 6);
+    engines.load_reported(
+        1_002,
+        key,
+        RunnerLoad {
+            running: 1,
+            waiting: 0,
+            slots: 6,
+        },
+    );
     assert_eq!(sent_to(engines.choose(1_003, &wanted)), key);
     assert_eq!(
         engines.choose_item(1_003, &wanted),
@@ -160,7 +186,7 @@
 fn nothing_new_goes_to_one_that_drains_or_is_gone() {
     let mut engines = engines(9, 4, 8, llm(200, 1_000_000), 2);
     let keys = keys(&engines, 4);
-    let send = engines.attempt_started(10, keys[0], &want(100, 10), false);
+    let send = engines.attempt_started(10, keys[0], &want(100, 10), Traffic::Live);
     let mut draining = listed(0, SVC, 8);
     draining.state = RunnerState::Draining;
     engines.update_runner(10, &draining, llm(200, 1_000_000));
@@ -198,7 +224,7 @@
 fn a_key_is_never_anothers_and_sendings_to_those_gone_end() {
     let mut engines = engines(9, 1, 8, plain(100), 1);
     let old = engines.runner_key("i-00000000").unwrap();
-    let send = engines.attempt_started(0, old, &want(0, 0), false);
+    let send = engines.attempt_started(0, old, &want(0, 0), Traffic::Live);
     for n in 1..2_000 {
         engines.remove_runner(&format!("i-{:08x}", n - 1));
         engines.update_runner(n as u64, &listed(n, SVC, 8), plain(100));
@@ -208,7 +234,15 @@
     engines.first_token_received(3_000, send);
     engines.attempt_ended(3_000, send, Outcome::Completed);
     engines.attempt_ended(3_000, send, Outcome::Completed);
-    engines.load_reported(3_000, old, 1, 1, 1);
+    engines.load_reported(
+        3_000,
+        old,
+        RunnerLoad {
+            running: 1,
+            waiting: 1,
+            slots: 1,
+        },
+    );
     engines.report_received(3_000, old, LoadReport::default());
 }
 
@@ -221,11 +255,19 @@
             let mut engines = engines(seed, 10, 24, llm(220, 400_000), 10);
             let keys = keys(&engines, 10);
             for (n, key) in keys.iter().enumerate() {
-                engines.load_reported(1_000, *key, if n == empty { 0 } else { 20 }, 0, 24);
+                engines.load_reported(
+                    1_000,
+                    *key,
+                    RunnerLoad {
+                        running: if n == empty { 0 } else { 20 },
+                        waiting: 0,
+                        slots: 24,
+                    },
+                );
             }
             for _ in 0..3 {
                 let key = sent_to(engines.choose(1_001, &want(500, 100)));
-                engines.attempt_started(1_001, key, &want(500, 100), false);
+                engines.attempt_started(1_001, key, &want(500, 100), Traffic::Live);
                 *at.entry(key).or_insert(0) += 1;
             }
         }
@@ -294,9 +336,11 @@
             engines.load_reported(
                 1_000,
                 key,
-                if key == home { 24 } else { 6 },
-                if key == home { 10 } else { 0 },
-                24,
+                RunnerLoad {
+                    running: if key == home { 24 } else { 6 },
+                    waiting: if key == home { 10 } else { 0 },
+                    slots: 24,
+                },
             );
         }
         let other = sent_to(engines.choose(1_001, &long));
@@ -315,7 +359,7 @@
         ..want(0, 100)
     };
     let key = sent_to(engines.choose(1_000, &first));
-    let send = engines.attempt_started(1_000, key, &first, false);
+    let send = engines.attempt_started(1_000, key, &first, Traffic::Live);
     engines.first_token_received(1_060, send);
     engines.attempt_ended(1_500, send, Outcome::Completed);
     for n in 0..20 {
@@ -329,7 +373,7 @@
     let keys = keys(&engines, 4);
     let (mut now, mut spans) = (1_000, Vec::new());
     for _ in 0..5 {
-        let send = engines.attempt_started(now, keys[1], &want(0, 0), false);
+        let send = engines.attempt_started(now, keys[1], &want(0, 0), Traffic::Live);
         engines.attempt_ended(now, send, Outcome::ConnectFailed);
         let from = now;
         let once = want(0, 0);
@@ -357,7 +401,7 @@
             .all(|w| w[1] as f64 > 1.2 * w[0] as f64 || w[1] >= 2_000),
         "{spans:?}"
     );
-    let send = engines.attempt_started(now, keys[1], &want(0, 0), false);
+    let send = engines.attempt_started(now, keys[1], &want(0, 0), Traffic::Live);
     engines.attempt_ended(now + 10, send, Outcome::Completed);
     assert!(engines.is_healthy(now + 10, keys[1]), "an answer ends it");
 }
@@ -366,7 +410,7 @@
 fn all_avoided_are_better_than_nobody() {
     let mut engines = engines(4, 3, 24, llm(220, 400_000), 1);
     for key in keys(&engines, 3) {
-        let send = engines.attempt_started(1_000, key, &want(100, 10), false);
+        let send = engines.attempt_started(1_000, key, &want(100, 10), Traffic::Live);
         engines.attempt_ended(1_000, send, Outcome::ConnectionLost);
     }
     let waited = RequestProfile {
@@ -389,9 +433,9 @@
         retryable: true,
         ..want(100, 10)
     };
-    let first = engines.attempt_started(1_000, keys[0], &again, false);
-    engines.attempt_started(1_000, keys[0], &want(100, 10), false);
-    let alive = engines.attempt_started(1_000, keys[1], &again, false);
+    let first = engines.attempt_started(1_000, keys[0], &again, Traffic::Live);
+    engines.attempt_started(1_000, keys[0], &want(100, 10), Traffic::Live);
+    let alive = engines.attempt_started(1_000, keys[1], &again, Traffic::Live);
     engines.event_received(1_400, alive);
     assert!(engines.overdue_attempts(1_200).is_empty());
     assert_eq!(engines.overdue_attempts(1_500), vec![first]);
@@ -408,7 +452,7 @@
     let mut engines = engines(4, 50, 24, llm(220, 400_000), 1);
     let keys = keys(&engines, 50);
     for key in &keys {
-        let send = engines.attempt_started(1_000, *key, &want(100, 10), false);
+        let send = engines.attempt_started(1_000, *key, &want(100, 10), Traffic::Live);
         engines.attempt_ended(1_000, send, Outcome::TimedOut);
     }
     assert!(
@@ -438,7 +482,7 @@
 fn a_request_larger_than_the_memory_says_nothing_of_a_refusing_runner() {
     let mut engines = engines(4, 1, 24, llm(220, 10_000), 1);
     let key = engines.runner_key("i-00000000").unwrap();
-    let send = engines.attempt_started(1_000, key, &want(20_000, 100), false);
+    let send = engines.attempt_started(1_000, key, &want(20_000, 100), Traffic::Live);
     engines.attempt_ended(1_001, send, Outcome::Rejected);
     assert_eq!(sent_to(engines.choose(1_002, &want(100, 10))), key);
 }
@@ -450,8 +494,8 @@
     assert_eq!(engines.connection_limit(keys[0]), 22);
     engines.set_dispatcher_count(400);
     assert_eq!(engines.connection_limit(keys[0]), 2);
-    engines.attempt_started(0, keys[0], &want(100, 10), false);
-    engines.attempt_started(0, keys[0], &want(100, 10), false);
+    engines.attempt_started(0, keys[0], &want(100, 10), Traffic::Live);
+    engines.attempt_started(0, keys[0], &want(100, 10), Traffic::Live);
     for now in 1..50 {
         assert_eq!(
             sent_to(engines.choose(now, &want(100, 10))),
@@ -473,7 +517,10 @@
     // Nobody has said anything: one each.
     let mut firsts = Vec::new();
     while let Some(key) = engines.choose_item(1_000, &item) {
-        firsts.push((key, engines.attempt_started(1_000, key, &item, true)));
+        firsts.push((
+            key,
+            engines.attempt_started(1_000, key, &item, Traffic::Item),
+        ));
         assert!(firsts.len() <= 3);
     }
     assert_eq!(firsts.len(), 3);
@@ -483,15 +530,17 @@
         engines.load_reported(
             1_020,
             key,
-            if key == keys[0] {
-                4
-            } else if key == keys[1] {
-                12
-            } else {
-                20
+            RunnerLoad {
+                running: if key == keys[0] {
+                    4
+                } else if key == keys[1] {
+                    12
+                } else {
+                    20
+                },
+                waiting: 0,
+                slots: 20,
             },
-            0,
-            20,
         );
     }
     let mut got = HashMap::new();
@@ -504,8 +553,17 @@
     assert!(wide / narrow > 1.6 && wide / narrow < 3.5, "{got:?}");
     assert!(engines.item_capacity(1_021, SVC) >= 1);
     // Full everywhere: hold it.
-    keys.iter()
-        .for_each(|key| engines.load_reported(1_030, *key, 20, 5, 20));
+    keys.iter().for_each(|key| {
+        engines.load_reported(
+            1_030,
+            *key,
+            RunnerLoad {
+                running: 20,
+                waiting: 5,
+                slots: 20,
+            },
+        )
+    });
     assert_eq!(engines.choose_item(1_031, &item), None);
     assert_eq!(engines.item_capacity(1_031, SVC), 0);
 }
@@ -519,12 +577,20 @@
         remaining_ms: item_left_ms,
         ..want(300, 100)
     };
-    let send = engines.attempt_started(1_000, keys[0], &item, true);
+    let send = engines.attempt_started(1_000, keys[0], &item, Traffic::Item);
     engines.first_token_received(1_010, send);
     for now in 1_010..1_060 {
         for key in &keys {
             let (running, waiting) = if *key == keys[7] { (4, 0) } else { (10, 2) };
-            engines.load_reported(now, *key, running, waiting, 10);
+            engines.load_reported(
+                now,
+                *key,
+                RunnerLoad {
+                    running,
+                    waiting,
+                    slots: 10,
+                },
+            );
         }
     }
     engines
@@ -547,9 +613,17 @@
         "what was said long ago is no reason to wait"
     );
     for now in 4_000..4_050 {
-        keys(&unheard, 8)
-            .into_iter()
-            .for_each(|key| unheard.load_reported(now, key, 4, 0, 10));
+        keys(&unheard, 8).into_iter().for_each(|key| {
+            unheard.load_reported(
+                now,
+                key,
+                RunnerLoad {
+                    running: 4,
+                    waiting: 0,
+                    slots: 10,
+                },
+            )
+        });
     }
     assert!(
         unheard.item_capacity(4_050, SVC) >= 1,
@@ -567,11 +641,19 @@
             remaining_ms: item_left_ms,
             ..want(300, 100)
         };
-        let send = engines.attempt_started(1_000, keys[0], &item, true);
+        let send = engines.attempt_started(1_000, keys[0], &item, Traffic::Item);
         engines.first_token_received(1_010, send);
         for now in 1_010..1_060 {
             for key in &keys {
-                engines.load_reported(now, *key, if *key == keys[7] { 68 } else { 100 }, 0, 100);
+                engines.load_reported(
+                    now,
+                    *key,
+                    RunnerLoad {
+                        running: if *key == keys[7] { 68 } else { 100 },
+                        waiting: 0,
+                        slots: 100,
+                    },
+                );
             }
         }
         engines.item_capacity(1_060, SVC) > 0
@@ -594,14 +676,30 @@
     let mut now = 1_000;
     let mut spans = Vec::new();
     for _ in 0..6 {
-        engines.load_reported(now, key, 1, 0, 20);
+        engines.load_reported(
+            now,
+            key,
+            RunnerLoad {
+                running: 1,
+                waiting: 0,
+                slots: 20,
+            },
+        );
         assert_eq!(engines.choose_item(now, &item), Some(key));
-        let send = engines.attempt_started(now, key, &item, true);
+        let send = engines.attempt_started(now, key, &item, Traffic::Item);
         engines.attempt_ended(now, send, Outcome::Rejected);
         let from = now;
         loop {
             now += 1;
-            engines.load_reported(now, key, 1, 0, 20);
+            engines.load_reported(
+                now,
+                key,
+                RunnerLoad {
+                    running: 1,
+                    waiting: 0,
+                    slots: 20,
+                },
+            );
             if engines.choose_item(now, &item).is_some() {
                 break;
             }
@@ -615,7 +713,15 @@
 fn an_item_that_is_due_soon_takes_the_reserve_too() {
     let mut engines = engines(6, 1, 20, llm(220, 4_000_000), 1);
     let key = engines.runner_key("i-00000000").unwrap();
-    engines.load_reported(1_000, key, 19, 0, 20);
+    engines.load_reported(
+        1_000,
+        key,
+        RunnerLoad {
+            running: 19,
+            waiting: 0,
+            slots: 20,
+        },
+    );
     let item = |left_ms| RequestProfile {
         retryable: true,
         remaining_ms: left_ms,
@@ -646,7 +752,7 @@
         let now = 1_000 + n * 20;
         let key = sent_to(engines.choose(now, &wanted));
         at_home += u32::from(*homes.entry(part).or_insert(key) == key);
-        let send = engines.attempt_started(now, key, &wanted, false);
+        let send = engines.attempt_started(now, key, &wanted, Traffic::Live);
         engines.first_token_received(now + 20, send);
         engines.attempt_ended(now + 200, send, Outcome::Completed);
     }
@@ -670,7 +776,7 @@
             };
             match engines.choose(now, &wanted) {
                 Choice::Send { runner } => {
-                    sends.push(engines.attempt_started(now, runner, &wanted, now % 7 == 0))
+                    sends.push(engines.attempt_started(now, runner, &wanted, traffic(now % 7 == 0)))
                 }
                 other => said += &format!("{other:?}"),
             }
@@ -717,8 +823,17 @@
     let mut engines = engines(6, 6, 20, llm(220, 4_000_000), 10);
     let keys = keys(&engines, 6);
     for now in 0..50 {
-        keys.iter()
-            .for_each(|key| engines.load_reported(1_000 + now, *key, 20, 60, 20));
+        keys.iter().for_each(|key| {
+            engines.load_reported(
+                1_000 + now,
+                *key,
+                RunnerLoad {
+                    running: 20,
+                    waiting: 60,
+                    slots: 20,
+                },
+            )
+        });
     }
     let item = RequestProfile {
         retryable: true,
@@ -741,9 +856,17 @@
     assert!(engines.item_capacity(4_000, SVC) >= 1);
     assert!(engines.choose_item(4_000, &item).is_some());
     for key in &keys {
-        engines.load_reported(4_010, *key, 20, 60, 20);
+        engines.load_reported(
+            4_010,
+            *key,
+            RunnerLoad {
+                running: 20,
+                waiting: 60,
+                slots: 20,
+            },
+        );
     }
-    let send = engines.attempt_started(4_000, key, &want(300, 100), false);
+    let send = engines.attempt_started(4_000, key, &want(300, 100), Traffic::Live);
     engines.attempt_ended(4_010, send, Outcome::Rejected);
     assert!(matches!(
         engines.choose(4_020, &want(300, 100)),
@@ -758,10 +881,10 @@
     let reserve = |e: &Balancer| e.service_estimates(SVC).unwrap().item_reserve;
     let least = reserve(&engines);
     let live: Vec<_> = (0..40)
-        .map(|n| engines.attempt_started(1_000 + n, key, &want(300, 100), false))
+        .map(|n| engines.attempt_started(1_000 + n, key, &want(300, 100), Traffic::Live))
         .collect();
     for _ in 0..100 {
-        let item = engines.attempt_started(1_050, key, &want(300, 100), true);
+        let item = engines.attempt_started(1_050, key, &want(300, 100), Traffic::Item);
         engines.attempt_ended(1_060, item, Outcome::Completed);
     }
     let busy = reserve(&engines);
@@ -769,7 +892,7 @@
     live.into_iter()
         .for_each(|send| engines.attempt_ended(1_100, send, Outcome::Completed));
     for _ in 0..200 {
-        let item = engines.attempt_started(1_200, key, &want(300, 100), true);
+        let item = engines.attempt_started(1_200, key, &want(300, 100), Traffic::Item);
         engines.attempt_ended(1_210, item, Outcome::Completed);
     }
     assert!(
@@ -797,17 +920,25 @@
                 ..want(20, 10)
             },
         );
-        let send = engines.attempt_started(now, key, &item, true);
+        let send = engines.attempt_started(now, key, &item, Traffic::Item);
         engines.attempt_ended(now + 1, send, Outcome::Completed);
     }
-    engines.load_reported(1_000, key, 0, 0, 40);
+    engines.load_reported(
+        1_000,
+        key,
+        RunnerLoad {
+            running: 0,
+            waiting: 0,
+            slots: 40,
+        },
+    );
     for sent in 0..12u32 {
         let room = engines.item_capacity(1_000, SVC);
         assert!(
             2 * (room + sent) <= 40,
             "two dispatchers with {sent} sent and {room} more each"
         );
-        engines.attempt_started(1_000, key, &item, true);
+        engines.attempt_started(1_000, key, &item, Traffic::Item);
     }
 }
 
@@ -823,19 +954,28 @@
         ..want(5_000, 100)
     };
     for now in 0..200 {
-        let send = engines.attempt_started(now, keys[0], &item(now), true);
+        let send = engines.attempt_started(now, keys[0], &item(now), Traffic::Item);
         engines.attempt_ended(now + 60, send, Outcome::Completed);
     }
-    keys.iter()
-        .for_each(|key| engines.load_reported(1_000, *key, 0, 0, 24));
+    keys.iter().for_each(|key| {
+        engines.load_reported(
+            1_000,
+            *key,
+            RunnerLoad {
+                running: 0,
+                waiting: 0,
+                slots: 24,
+            },
+        )
+    });
     // Some 270 free slots are 27 for each of ten; but each item takes fifty milliseconds to read.
     assert!(
         (1..=3).contains(&engines.item_capacity(1_000, SVC)),
         "{}",
         engines.item_capacity(1_000, SVC)
     );
-    engines.attempt_started(1_000, keys[0], &item(1_000), true);
-    engines.attempt_started(1_000, keys[1], &item(1_001), true);
+    engines.attempt_started(1_000, keys[0], &item(1_000), Traffic::Item);
+    engines.attempt_started(1_000, keys[1], &item(1_001), Traffic::Item);
     assert_eq!(
         engines.item_capacity(1_000, SVC),
         0,
@@ -849,7 +989,15 @@
     for slots in [1, 48] {
         let mut engines = engines(3, 3, 6, plain(100), 4);
         let keys = keys(&engines, 3);
-        engines.load_reported(1_000, keys[0], 0, 0, slots);
+        engines.load_reported(
+            1_000,
+            keys[0],
+            RunnerLoad {
+                running: 0,
+                waiting: 0,
+                slots,
+            },
+        );
         engines.remove_runner("i-00000000");
         let choice = engines.choose(1_100, &want(0, 0));
         assert!(
--- a/crates/gateway/runner-selection/tests/common/fleet.rs
+++ b/crates/gateway/runner-selection/tests/common/fleet.rs
@@ -1,11 +1,11 @@
 //! Dispatchers, runners and their traffic, a millisecond at a time.
 
 use super::model::{Event, Job, Make, Model};
-use super::{exponential, listed, llm, SVC};
+use super::{exponential, listed, llm, traffic, SVC};
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use runner_selection::{
-    AttemptId, Balancer, Choice, LoadReport, Millis, Outcome, RequestProfile, RunnerKey,
+    AttemptId, Balancer, Choice, LoadReport, Millis, Outcome, RequestProfile, RunnerKey, RunnerLoad,
 };
 use std::collections::{BTreeMap, VecDeque};
 
@@ -256,8 +256,8 @@
             .position(|k| *k == key)
             .expect("a known runner");
         self.sends.push((self.now, d, runner, item));
-        let send =
-            (!self.blind).then(|| self.engines[d].attempt_started(self.now, key, &want, item));
+        let send = (!self.blind)
+            .then(|| self.engines[d].attempt_started(self.now, key, &want, traffic(item)));
         let job = Job {
             id,
             prefix: want.prompt_parts.clone(),
@@ -281,7 +281,15 @@
         let (running, waiting) = self.runners[runner].load();
         let slots = self.runners[runner].make.slots as u32;
         if let Some(send) = send {
-            self.engines[d].load_reported(self.now, key, running, waiting, slots);
+            self.engines[d].load_reported(
+                self.now,
+                key,
+                RunnerLoad {
+                    running,
+                    waiting,
+                    slots,
+                },
+            );
             self.engines[d].attempt_ended(self.now, send, Outcome::Rejected);
         }
         if item {
@@ -380,7 +388,15 @@
             if let Some(send) = f.send {
                 let model = &self.runners[f.runner];
                 let (running, waiting) = model.load();
-                self.engines[d].load_reported(now, key, running, waiting, model.make.slots as u32);
+                self.engines[d].load_reported(
+                    now,
+                    key,
+                    RunnerLoad {
+                        running,
+                        waiting,
+                        slots: model.make.slots as u32,
+                    },
+                );
                 self.engines[d].first_token_received(now, send);
             }
             return;
--- a/crates/gateway/runner-selection/tests/common/mod.rs
+++ b/crates/gateway/runner-selection/tests/common/mod.rs
@@ -7,7 +7,7 @@
 use rand_pcg::rand_core::RngCore;
 use rand_pcg::Pcg64Mcg;
 use runner_registry::{Runner, RunnerState};
-use runner_selection::{Balancer, RequestProfile, ServiceTerms};
+use runner_selection::{Balancer, RequestProfile, ServiceTerms, Traffic};
 
 pub const SVC: &str = "lm";
 
@@ -69,6 +69,14 @@
     engines
 }
 
+pub fn traffic(is_item: bool) -> Traffic {
+    if is_item {
+        Traffic::Item
+    } else {
+        Traffic::Live
+    }
+}
+
 pub fn want(tokens_in: u32, tokens_out: u32) -> RequestProfile {
     RequestProfile {
         service: SVC.into(),
