--- a/crates/dispatcher/discovery-pacing/src/capacity.rs
+++ b/crates/dispatcher/discovery-pacing/src/capacity.rs
@@ -1,78 +1,89 @@
-//! What is known of the workers of one machine kind.
+//! How many slots the workers of one machine kind have.
 
-use crate::fleet_load::{outstanding_per_core, sound};
+use crate::fleet_load::{is_weight, outstanding_per_core};
 
-/// Slots of a worker before anything is known of any.
+/// Slots of a worker before anything is known of its kind.
 const BASE_SLOTS: f64 = 4.0;
-/// The quantile of the free slots reported that is followed: that many slots has a worker.
+/// The quantile of the reported free slots that counts as the slots of a worker.
 const FREE_QUANTILE: f64 = 0.98;
-/// How fast it is followed, slots for each report.
-const FREE_STEP: f64 = 0.5;
-/// More slots than this no worker has.
-const LARGEST: f64 = 1024.0;
-/// Slots of a job, where only the number of jobs is told.
-const WIDE: f64 = 1.4;
+/// How fast that quantile is tracked, slots a report.
+const QUANTILE_STEP: f64 = 0.5;
+/// No worker has more slots than this.
+const MAX_SLOTS: f64 = 1024.0;
+/// Slots of a job, where only the number of jobs is known.
+const SLOTS_PER_JOB: f64 = 1.4;
 
 /// What is known of the workers of one machine kind. All figures are slots.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct KindCapacity {
-    ran: f64,
-    above: f64,
-    most: f64,
+    /// The most that were seen running at a time.
+    max_running: f64,
+    /// The tracked quantile of free slots, relative to the base.
+    quantile_above_base: f64,
+    /// The most that were reported free.
+    max_free: f64,
+    /// The largest weight in the list, which stands for the size; 0 for none.
     size: f64,
 }
 
 impl KindCapacity {
-    /// One of them reported free slots. LoadReporting are noisy: their highest value says too much, so a quantile is
-    /// followed.
+    /// A worker reported free slots. Reports are noisy, and the highest is too high, so a quantile is
+    /// tracked.
     pub fn record_free_slots(&mut self, free: f64) {
-        self.most = self.most.max(free);
-        let over = f64::from(u8::from(free > self.base() + self.above));
-        self.above = (self.above + FREE_STEP * (over + FREE_QUANTILE - 1.0)).max(-self.base());
+        self.max_free = self.max_free.max(free);
+        let above = free > self.base() + self.quantile_above_base;
+        let step = QUANTILE_STEP * (f64::from(u8::from(above)) + FREE_QUANTILE - 1.0);
+        self.quantile_above_base = (self.quantile_above_base + step).max(-self.base());
     }
 
-    /// So many slots were seen at work at one of them.
+    /// So many slots were seen at work at a worker.
     pub fn record_running(&mut self, running: f64) {
-        self.ran = self.ran.max(running);
+        self.max_running = self.max_running.max(running);
     }
 
-    /// A list gave one of them this live weight. Returns the slots that seem to have been held there; none if the
-    /// weight says nothing.
+    /// The list gave a worker this live weight. Returns the slots that seem to be held there; none if
+    /// it is no plausible weight.
     pub fn record_weight(&mut self, weight: f64) -> Option<f64> {
-        let weight = Some(weight).filter(|w| sound(*w))?;
+        let weight = Some(weight).filter(|w| is_weight(*w))?;
         self.size = self.size.max(weight);
-        Some(WIDE * self.slots() * outstanding_per_core(self.size, weight)?)
+        Some(SLOTS_PER_JOB * self.slots() * outstanding_per_core(self.size, weight)?)
     }
 
-    /// All that is known, for a successor.
+    /// All that is known, for a successor process.
     pub fn snapshot(&self) -> [f64; 4] {
-        [self.ran, self.above, self.most, self.size]
+        [
+            self.max_running,
+            self.quantile_above_base,
+            self.max_free,
+            self.size,
+        ]
     }
 
-    /// What a predecessor knew; what makes no sense counts as nothing known.
-    pub fn from_snapshot([ran, above, most, size]: [f64; 4]) -> Option<Self> {
-        let sane = [ran, most, size]
-            .into_iter()
-            .all(|v| (0.0..=LARGEST).contains(&v));
-        (sane && above.abs() <= LARGEST).then_some(KindCapacity {
-            ran,
-            above,
-            most,
+    /// What a predecessor process knew; none if it is not plausible.
+    pub fn from_snapshot(
+        [max_running, quantile_above_base, max_free, size]: [f64; 4],
+    ) -> Option<Self> {
+        let counts = [max_running, max_free, size];
+        let plausible = counts.into_iter().all(|v| (0.0..=MAX_SLOTS).contains(&v))
+            && quantile_above_base.abs() <= MAX_SLOTS;
+        plausible.then_some(KindCapacity {
+            max_running,
+            quantile_above_base,
+            max_free,
             size,
         })
     }
 
-    /// The slots that one of them has, as far as is known.
+    /// The slots that a worker has, as far as is known; at least 1.
     pub fn slots(&self) -> f64 {
-        self.ran.max((self.base() + self.above).round()).max(1.0)
+        let quantile = (self.base() + self.quantile_above_base).round();
+        self.max_running.max(quantile).max(1.0)
     }
 
-    /// The slots that one of them has for certain, where it reports them; a size told is as good.
+    /// The slots that a worker has for certain, where it reports them; a listed size is as good.
     pub fn certain_slots(&self) -> f64 {
-        self.most
-            .max(self.ran)
-            .max(self.size)
-            .clamp(1.0, self.slots())
+        let shown = self.max_free.max(self.max_running).max(self.size);
+        shown.clamp(1.0, self.slots())
     }
 
     fn base(&self) -> f64 {
--- a/crates/dispatcher/discovery-pacing/src/reachability.rs
+++ b/crates/dispatcher/discovery-pacing/src/reachability.rs
@@ -1,22 +1,23 @@
 //! Which zones can be reached.
 //!
-//! A zone that is lost takes half of a fleet with it, and the list says so only seconds later. A dispatcher that sees
-//! little of any worker would learn of each by a failure of its own; what it learns of one holds for its zone.
+//! A zone that is lost takes a large part of the fleet with it, and the list says so only seconds
+//! later. A dispatcher that sends little to any one worker would learn of each by a failure of its own;
+//! so what it learns of one worker holds for its zone.
 
 use std::collections::BTreeMap;
 
-/// What a failure leaves of the trust in a zone.
-const FAILED: f64 = 0.5;
-/// How far a success leads back to full trust.
-const REACHED: f64 = 0.5;
-/// The least trust: some attempts go on to ask.
-const LEAST: f64 = 0.01;
-/// From here on a zone counts as reached.
+/// Factor of the trust in a zone after a failure.
+const FAILURE_FACTOR: f64 = 0.5;
+/// Share of the way back to full trust after a success.
+const SUCCESS_STEP: f64 = 0.5;
+/// The least trust: some attempts go on, so that a recovery is noticed.
+const MIN_TRUST: f64 = 0.01;
+/// Above this a zone counts as reachable.
 const TRUSTED: f64 = 0.4;
-/// Zones that are kept track of; more are not told apart by any list of sense.
-const ZONES: usize = 64;
+/// Zones that are tracked: no plausible list has more, and memory stays bounded.
+const MAX_ZONES: usize = 64;
 
-/// How far each zone is trusted to be reached: 1 to begin with.
+/// How far each zone is trusted to be reachable: 1 to begin with.
 #[derive(Debug, Clone, Default)]
 pub struct ZoneReachability {
     zones: BTreeMap<u32, f64>,
@@ -25,16 +26,17 @@
 impl ZoneReachability {
     /// A worker of the zone was reached.
     pub fn record_success(&mut self, zone: u32) {
-        self.set(zone, self.trust(zone) + REACHED * (1.0 - self.trust(zone)));
+        let trust = self.trust(zone);
+        self.set(zone, trust + SUCCESS_STEP * (1.0 - trust));
     }
 
-    /// Whether an attempt at a worker of the zone has failed since no connection came up.
+    /// An attempt at a worker of the zone failed, since no connection came up.
     pub fn record_failure(&mut self, zone: u32) {
-        self.set(zone, (self.trust(zone) * FAILED).max(LEAST));
+        self.set(zone, (self.trust(zone) * FAILURE_FACTOR).max(MIN_TRUST));
     }
 
     fn set(&mut self, zone: u32, trust: f64) {
-        if self.zones.len() < ZONES || self.zones.contains_key(&zone) {
+        if self.zones.len() < MAX_ZONES || self.zones.contains_key(&zone) {
             self.zones.insert(zone, trust);
         }
     }
@@ -44,7 +46,8 @@
         self.zones.get(&zone).copied().unwrap_or(1.0)
     }
 
-    /// Whether the zone can be counted on: one failure, or one success after many, does not decide it.
+    /// Whether the zone can be counted on. One failure does not end that, and one success after many
+    /// failures does not restore it.
     pub fn is_trusted(&self, zone: u32) -> bool {
         self.trust(zone) > TRUSTED
     }
--- a/crates/dispatcher/fordrelay/src/folder.rs
+++ b/crates/dispatcher/fordrelay/src/folder.rs
@@ -187,18 +187,18 @@
         let words = [(
             "s-1".to_owned(),
             SavedOverride {
-                out: true,
-                at,
-                since: at,
+                disabled: true,
+                set_at: at,
+                disabled_since: at,
             },
         )]
         .into();
         HandoverFile {
-            written: at,
+            written_at: at,
             clients: 0,
-            words,
+            overrides: words,
             discovery: None,
-            list: Some(1),
+            endpoints: Some(1),
             known: None,
         }
     }
--- a/crates/dispatcher/fordrelay/src/succession.rs
+++ b/crates/dispatcher/fordrelay/src/succession.rs
@@ -70,7 +70,7 @@
 fn newest(into: &mut BTreeMap<String, SavedOverride>, words: BTreeMap<String, SavedOverride>) {
     for (name, word) in words {
         let known = into.entry(name).or_insert(word);
-        if word.at > known.at {
+        if word.set_at > known.set_at {
             *known = word;
         }
     }
@@ -81,9 +81,9 @@
         (
             name,
             TargetOverride {
-                disabled: w.out,
-                set_at: w.at,
-                disabled_since: w.since,
+                disabled: w.disabled,
+                set_at: w.set_at,
+                disabled_since: w.disabled_since,
             },
         )
     };
@@ -103,8 +103,8 @@
         };
         let (mut list, mut words): (Option<Told>, _) = (None, BTreeMap::new());
         for mut note in folder.look() {
-            newest(&mut words, std::mem::take(&mut note.words));
-            if list.as_ref().is_none_or(|l| l.written < note.written) {
+            newest(&mut words, std::mem::take(&mut note.overrides));
+            if list.as_ref().is_none_or(|l| l.written_at < note.written_at) {
                 list = Some(note);
             }
         }
@@ -150,15 +150,15 @@
     pub fn known(&self, configured: Option<List>) -> Option<List> {
         let found = self.found.borrow().0.clone();
         let Some(HandoverFile {
-            written,
+            written_at,
             discovery,
-            list: Some(mut list),
+            endpoints: Some(mut list),
             ..
         }) = found
         else {
             return configured;
         };
-        let young = self.clock.now().saturating_sub(written) <= LIST_AGE;
+        let young = self.clock.now().saturating_sub(written_at) <= LIST_AGE;
         if young && discovery.as_deref() == Some(&self.discovery) {
             // Whoever wrote it watches the list on.
             if self.others() > 0 {
@@ -253,20 +253,20 @@
             (
                 name.to_owned(),
                 SavedOverride {
-                    out: r.disabled,
-                    at: r.set_at,
-                    since: r.disabled_since,
+                    disabled: r.disabled,
+                    set_at: r.set_at,
+                    disabled_since: r.disabled_since,
                 },
             )
         });
         let words: BTreeMap<String, SavedOverride> = words.collect();
         newest(&mut self.heard.borrow_mut(), words.clone());
         let note = Told {
-            written: now,
+            written_at: now,
             clients: self.clients.get(),
-            words,
+            overrides: words,
             discovery: Some(from.clone()),
-            list: Some(list),
+            endpoints: Some(list),
             known: Some(Knowledge {
                 classes: self.classes.clone(),
                 kinds: self.kinds.clone(),
@@ -315,9 +315,9 @@
                 // Only what is news: each would answer the other's note with its own else, without end.
                 let mut heard = self.heard.borrow_mut();
                 let news = |(name, word): &(String, SavedOverride)| {
-                    heard.get(name).is_none_or(|h| word.at > h.at)
+                    heard.get(name).is_none_or(|h| word.set_at > h.set_at)
                 };
-                let news: Vec<_> = note.words.into_iter().filter(news).collect();
+                let news: Vec<_> = note.overrides.into_iter().filter(news).collect();
                 if !news.is_empty() {
                     newest(&mut heard, news.iter().cloned().collect());
                     loop_handle.send_input(input(news));
--- a/crates/dispatcher/fordrelay/tests/outer_forms.rs
+++ b/crates/dispatcher/fordrelay/tests/outer_forms.rs
@@ -631,7 +631,7 @@
     let notes = files.filter(|path| path.extension().is_some_and(|kind| kind == "note"));
     notes
         .filter_map(|path| Left::decode(&std::fs::read(path).ok()?).ok())
-        .max_by_key(|note| note.written)
+        .max_by_key(|note| note.written_at)
 }
 
 /// A note as an earlier version left it, with words on targets, a list, what was known of two targets and of both classes, and a
@@ -646,10 +646,10 @@
     let written: serde_json::Value = serde_json::from_slice(body).unwrap();
     assert_eq!(serde_json::to_value(&note).unwrap(), written);
     assert_eq!(
-        Left::decode(&note.encode().unwrap()).unwrap().words,
-        note.words
+        Left::decode(&note.encode().unwrap()).unwrap().overrides,
+        note.overrides
     );
-    let (known, left) = (note.known.clone().unwrap(), note.list.clone().unwrap());
+    let (known, left) = (note.known.clone().unwrap(), note.endpoints.clone().unwrap());
     assert_eq!(
         (known.classes, known.kinds),
         (
@@ -661,7 +661,7 @@
         (left.full, left.servers.len(), known.known.workers.len()),
         (true, 5, 3)
     );
-    assert_eq!(note.words.len(), 2);
+    assert_eq!(note.overrides.len(), 2);
     let kept = known.maintenance.unwrap();
     assert_eq!(
         (kept.plan.id, kept.plan.by, kept.gone, kept.since.len()),
@@ -699,9 +699,12 @@
     dispatcher.answer_with("/metrics", "\nsvc_pool_ejected 2\n");
     let began = Instant::now();
     let after = loop {
-        let after = note_in(&notes(&folder, listen)).filter(|note| note.written > before.written);
+        let after =
+            note_in(&notes(&folder, listen)).filter(|note| note.written_at > before.written_at);
         match after {
-            Some(after) if after.known.is_some() && after.words == before.words => break after,
+            Some(after) if after.known.is_some() && after.overrides == before.overrides => {
+                break after
+            }
             _ => assert!(
                 began.elapsed() < NEVER,
                 "no note was written that has the words"
--- a/crates/dispatcher/hot-restart/src/lib.rs
+++ b/crates/dispatcher/hot-restart/src/lib.rs
@@ -1,5 +1,8 @@
-//! Two processes of one dispatcher, as while a new version is brought in: who may do what, and what passes between
-//! them. Nothing here reads a clock, touches a file or a socket.
+//! Hot restart: two processes of one dispatcher during an upgrade.
+//!
+//! [`ProcessRole`] says what a process may do while another one is alive, and [`HandoverFile`] is the
+//! file by which each tells the others what it knows. Nothing here reads a clock or touches a file or a
+//! socket.
 
 mod file;
 mod process_role;
--- a/crates/dispatcher/hot-restart/src/process_role.rs
+++ b/crates/dispatcher/hot-restart/src/process_role.rs
@@ -1,30 +1,30 @@
-//! What a process may do, by how far it is and whether another one of the same dispatcher lives.
+//! What a process may do, by its stage and by whether another process of the same dispatcher is alive.
 
-/// How far a process is.
+/// The stage of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
-    /// Another one serves, and it does not know the targets well enough yet.
+    /// Another process serves, and this one does not know the endpoints well enough yet.
     Starting,
     /// It serves.
     Serving,
-    /// It was told to stop.
+    /// It was told to stop, and answers what it has accepted.
     Draining,
 }
 
-/// What moves a process on.
+/// What may change the stage of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Event {
-    /// Discovery has told it of the targets.
+    /// It knows the endpoints.
     EndpointsKnown,
-    /// It has waited for that for as long as it may: whoever starts it is waiting, too.
+    /// It has waited for them for as long as it may, since whoever started it waits, too.
     WaitExpired,
-    /// So many other processes of this dispatcher live.
+    /// So many other processes of this dispatcher are alive.
     OtherProcesses(usize),
     /// It was told to stop.
     Stop,
 }
 
-/// One process among those of its dispatcher.
+/// The role of one process among those of its dispatcher.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ProcessRole {
     stage: Stage,
@@ -32,7 +32,7 @@
 }
 
 impl ProcessRole {
-    /// A process that starts while so many others live. With none it serves at once: nobody else does.
+    /// The role of a process that starts while so many others are alive. With none it serves at once.
     pub fn new(others: usize) -> Self {
         ProcessRole {
             stage: if others == 0 {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Moves it on.
+    /// Handles an event.
     pub fn handle_event(&mut self, event: Event) {
         self.stage = match (self.stage, event) {
             (_, Event::Stop) => Stage::Draining,
@@ -59,27 +59,28 @@
         }
     }
 
-    /// How far it is.
+    /// Its stage.
     pub fn stage(&self) -> Stage {
         self.stage
     }
 
-    /// Jobs can be sent to it; whoever brought it in may stop the others now.
+    /// Whether it serves: whoever started it may stop the others now.
     pub fn is_ready(&self) -> bool {
         self.stage == Stage::Serving
     }
 
-    /// It takes connections from the socket that all share. One that leaves does so only while nobody else could.
+    /// Whether it accepts connections from the socket that all processes share. A draining one does so
+    /// only while no other could.
     pub fn accepts_connections(&self) -> bool {
         self.stage == Stage::Serving || self.stage == Stage::Draining && self.others == 0
     }
 
-    /// It holds the port for datagrams from other dispatchers, or tries to.
+    /// Whether it holds the port for datagrams from other dispatchers, or tries to.
     pub fn holds_peer_port(&self) -> bool {
         self.stage != Stage::Draining
     }
 
-    /// Processes that the limits of the dispatcher are there for.
+    /// Processes that share the limits of the dispatcher.
     pub fn process_count(&self) -> usize {
         1 + self.others
     }
--- a/crates/dispatcher/hot-restart/tests/bytes.rs
+++ b/crates/dispatcher/hot-restart/tests/bytes.rs
@@ -11,18 +11,18 @@
         (
             name.to_owned(),
             SavedOverride {
-                out,
-                at,
-                since: at - 10,
+                disabled: out,
+                set_at: at,
+                disabled_since: at - 10,
             },
         )
     };
     HandoverFile {
-        written: 1_764_000_000_000_000,
+        written_at: 1_764_000_000_000_000,
         clients: 3,
-        words: [word("s-1", true, 20), word("s-2", false, 40)].into(),
+        overrides: [word("s-1", true, 20), word("s-2", false, 40)].into(),
         discovery: Some("127.0.0.1:85".into()),
-        list: Some(vec!["s-1".into(), "s-2".into()]),
+        endpoints: Some(vec!["s-1".into(), "s-2".into()]),
         known: Some(7),
     }
 }
--- a/crates/dispatcher/hot-restart/tests/file_and_role.rs
+++ b/crates/dispatcher/hot-restart/tests/file_and_role.rs
@@ -10,19 +10,19 @@
         (
             name,
             SavedOverride {
-                out,
-                at,
-                since: at / 2,
+                disabled: out,
+                set_at: at,
+                disabled_since: at / 2,
             },
         )
     };
     let (list, known) = (Some(vec!["s-1".to_owned()]), Some(7));
     HandoverFile {
-        written: 1,
+        written_at: 1,
         clients: 3,
-        words: words.into_iter().map(word).collect(),
+        overrides: words.into_iter().map(word).collect(),
         discovery: None,
-        list,
+        endpoints: list,
         known,
     }
 }
@@ -52,7 +52,7 @@
         body.len(),
         crc32(body)
     );
-    assert_eq!(decode(old).unwrap().written, 5);
+    assert_eq!(decode(old).unwrap().written_at, 5);
 }
 
 fn crc32(text: &str) -> u32 {
