--- a/crates/dispatcher/degradation/src/dispatcher.rs
+++ b/crates/dispatcher/degradation/src/dispatcher.rs
@@ -119,18 +119,18 @@
 
     /// What a successor can use.
     pub fn known(&self) -> PolicySnapshot {
-        self.dispatcher.known()
+        self.dispatcher.snapshot()
     }
 
     /// Takes over what a predecessor knew.
     pub fn recall(&mut self, now: Micros, known: &PolicySnapshot) {
         self.now = self.now.max(now);
-        self.dispatcher.recall(self.now, known);
+        self.dispatcher.restore(self.now, known);
     }
 
-    /// So many processes of this dispatcher live, as [`Dispatcher::share_among`] takes it.
+    /// So many processes of this dispatcher live, as [`Dispatcher::set_process_count`] takes it.
     pub fn share_among(&mut self, processes: u32) {
-        self.dispatcher.share_among(processes);
+        self.dispatcher.set_process_count(processes);
     }
 
     /// Takes note of the use of the program's own limits; it counts from the next poll on.
@@ -204,7 +204,7 @@
     pub fn status(&self) -> Status {
         Status {
             now: self.now,
-            figures: self.dispatcher.figures(),
+            figures: self.dispatcher.metrics(),
             levels: self
                 .monitor
                 .as_ref()
@@ -220,7 +220,7 @@
         if self.now >= monitor.next_poll_at {
             monitor.next_poll_at = self.now + monitor.config.poll_interval;
             monitor.is_armed = false;
-            let metrics = self.dispatcher.figures();
+            let metrics = self.dispatcher.metrics();
             if let Some(change) = monitor.read(self.dispatchers, self.now, &metrics) {
                 self.apply(change, out);
             }
--- a/crates/dispatcher/dispatch-policy/src/backoff.rs
+++ b/crates/dispatcher/dispatch-policy/src/backoff.rs
@@ -1,51 +1,53 @@
-//! The spacing of pushes to one worker.
+//! Adaptive back-off: the spacing of attempts at one worker.
 
-use super::{span, unit, Micros, Pcg64Mcg, SleeperTerms};
+use super::{span, unit, BackoffConfig, Micros, Pcg64Mcg};
 
-/// The paper's AutoSleeper; its intervals are in the unit of the caller's clock.
+/// The AutoSleeper of "Responsive exponential backoff": an interval grows with each failure and shrinks after a run of
+/// successes, each time with jitter. Intervals are in the unit of the caller's clock.
 #[derive(Debug, Clone, Default)]
-pub struct Sleeper {
-    /// The current interval; zero while pushes are not spaced.
+pub struct AdaptiveBackoff {
+    /// The current interval; zero while attempts are not spaced.
     pub interval: f64,
     pub(crate) successes: u32,
-    /// When the next push may go.
+    /// When the next attempt may be sent.
     pub open_at: Micros,
 }
 
-impl Sleeper {
-    fn jittered(value: f64, terms: &SleeperTerms, rng: &mut Pcg64Mcg) -> f64 {
-        let delta = (terms.randomization * value).min(terms.max_randomization);
+impl AdaptiveBackoff {
+    fn jittered(value: f64, config: &BackoffConfig, rng: &mut Pcg64Mcg) -> f64 {
+        let delta = (config.jitter * value).min(config.max_jitter);
         value - delta + 2.0 * delta * unit(rng)
     }
 
-    /// Goes up: a push was refused, didn't reach the worker or came back unstarted.
-    pub fn failure(&mut self, now: Micros, terms: &SleeperTerms, rng: &mut Pcg64Mcg) {
-        let higher = Self::jittered(self.interval * terms.up, terms, rng).min(terms.max);
+    /// Goes up: a push was refused, didn't reach the worker or accepted_at back unstarted.
+    pub fn record_failure(&mut self, now: Micros, config: &BackoffConfig, rng: &mut Pcg64Mcg) {
+        let higher =
+            Self::jittered(self.interval * config.increase_factor, config, rng).min(config.max);
         self.interval = if self.interval == 0.0 {
-            terms.initial
+            config.initial
         } else {
             higher
         };
-        self.pushed(now);
+        self.restart_interval(now);
     }
 
-    /// Counts a success, and goes down after enough of them.
-    pub fn success(&mut self, terms: &SleeperTerms, rng: &mut Pcg64Mcg) {
+    /// Counts a success, and decreases the interval after enough of them.
+    pub fn record_success(&mut self, config: &BackoffConfig, rng: &mut Pcg64Mcg) {
         self.successes += u32::from(self.interval > 0.0);
-        if self.successes >= terms.successes_down {
+        if self.successes >= config.successes_to_decrease {
             self.successes = 0;
-            let lower = Self::jittered(self.interval * terms.down, terms, rng);
-            self.interval = if lower < terms.initial { 0.0 } else { lower };
+            let lower = Self::jittered(self.interval * config.decrease_factor, config, rng);
+            self.interval = if lower < config.initial { 0.0 } else { lower };
         }
     }
 
-    /// The interval starts anew.
-    pub fn pushed(&mut self, now: Micros) {
+    /// Starts the interval anew, as an attempt is sent.
+    pub fn restart_interval(&mut self, now: Micros) {
         self.open_at = now + span(self.interval);
     }
 
-    /// Whether a push may go.
-    pub fn open(&self, now: Micros) -> bool {
+    /// Whether an attempt may be sent.
+    pub fn is_open(&self, now: Micros) -> bool {
         self.interval == 0.0 || now >= self.open_at
     }
 }
--- a/crates/dispatcher/dispatch-policy/src/lib.rs
+++ b/crates/dispatcher/dispatch-policy/src/lib.rs
@@ -1,27 +1,35 @@
-//! Every decision of a dispatcher, by subject. The interface is the crate `api`.
-//! One `Sleeper` a worker spaces the pushes to it. A job goes to a random open worker, weighted by room; with
-//! none open it is held. Only `push` sends and only `finish` answers: the rules are kept there.
+//! The dispatch policy: every decision of a dispatcher, a module for each subject. No I/O, no clock; random numbers come
+//! from a seed, so the same events give the same actions. Events and actions are those of [`dispatch_api`].
+//!
+//! One [`AdaptiveBackoff`] per worker spaces the attempts sent to it. A job goes to a worker drawn at random among those with
+//! free capacity, weighted by it; with none, the job is queued. Only `Dispatcher::send_attempt` sends and only
+//! `Dispatcher::give_up` answers without a result, so the rules on repeats are checked in these two places.
 
+mod admission;
 mod backoff;
-mod cold;
 mod constants;
-mod figures;
-mod holding;
-mod kept;
-mod listing;
-mod memory;
+mod metrics;
 mod outcomes;
-mod placing;
+mod placement;
 mod probing;
-mod repeating;
-mod terms;
+mod queueing;
+mod responsiveness;
+mod retry_rules;
+mod snapshot;
+mod state;
+mod warm_up;
+mod worker_updates;
 
 use constants::{
-    AGEING, AWAY, BUCKETS, COLD_JOB, COLD_SAFETY, DOWN, ERRORS, HOMES, HOMES_FEW, HURRY, IDLE,
-    IDLE_LOST, INITIAL, KIN, KNOWN, LAST, MAX, MAX_RANDOMIZATION, MOST_SCOUTS, PACE_MEMORY,
-    PACE_PRIOR, PRICE_DOWN, PRICE_FLOOR, PRICE_UP, PROBE_SPEND, PROBE_SPEND_HOMES, RANDOMIZATION,
-    RARE, RESCAN, ROOM_SLACK, RUN_CAP, RUN_SPREAD, SAMPLE, SCOUTS, START_GRACE, START_OVERDUE,
-    SUCCESSES_DOWN, TALLY, TELL_SPEND, TOLD_FOR, UP, WASTE_PATIENCE,
+    BACKOFF_DECREASE, BACKOFF_INCREASE, BACKOFF_JITTER, BUDGET_BUCKETS, CAPACITY_TOLERANCE,
+    CONSECUTIVE_ERRORS, IDLE_CONNECTION_AGE, IDLE_CONNECTION_LOSS, INITIAL_BACKOFF,
+    KNOWN_LOAD_SHARE, LOAD_EXCHANGE_BUDGET, MAX_BACKOFF, MAX_BACKOFF_JITTER, MAX_PROBES,
+    MAX_RELATIVE_RUN, MIN_PRICE, MIN_REMAINING_RUN, PACE_MEMORY, PACE_PRIOR, PEER_LOAD_VALIDITY,
+    PREFERENCE_FACTOR, PREFERRED_WORKERS, PREFERRED_WORKERS_SPARSE, PRICE_DECREASE, PRICE_INCREASE,
+    PROBES_PER_JOB, PROBE_BUDGET, PROBE_BUDGET_PREFERRED, RARE_FAILURE_FLEET, REPORT_HALF_LIFE,
+    RESCAN_INTERVAL, RUN_SPREAD, SAMPLE_SIZE, SPILLOVER_DELAY, START_GRACE, START_TIMEOUT,
+    STATISTICS_WINDOW, SUCCESSES_TO_DECREASE, WARM_UP_MAX_JOB, WARM_UP_SAFETY, WASTE_START_TIMEOUT,
+    WIDE_JOB_URGENCY,
 };
 use discovery_pacing::{BoundedLoadShare, FleetLoad, KindCapacity, WatchPacer, ZoneReachability};
 use dispatch_api::load_exchange::rendezvous_weight;
@@ -30,17 +38,17 @@
     Idempotency, JobClass, JobId, JobSpec, ListUpdateKind, LoadReport, LoadReporting, Micros,
     Outcome, RetryBudget, Rules, Settings, SettingsError, WorkerEntry, WorkerId, WorkerStatus,
 };
-use kept::{
-    paced, span, unit, Attempt, Candidate, Clock, Fleet, Job, Lane, Leg, Outstanding, Tally, Timer,
-    Worker,
-};
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use repeating::Budget;
+use retry_rules::RetryBudgetState;
+use state::{
+    backoff_config, span, unit, Attempt, AttemptKey, Candidate, ClassStatistics, Clock, FleetState,
+    InFlightAttempt, Job, QueueKey, Timer, Worker,
+};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 use std::sync::Arc;
-pub use {backoff::Sleeper, kept::SleeperTerms};
+pub use {backoff::AdaptiveBackoff, state::BackoffConfig};
 
 /// Decides for one dispatcher.
 #[derive(Debug)]
@@ -51,11 +59,11 @@
     clock: Clock,
     workers: BTreeMap<WorkerId, Worker>,
     jobs: BTreeMap<JobId, Job>,
-    held: BTreeMap<Lane, VecDeque<JobId>>,
-    classes: Vec<Tally>,
+    queued: BTreeMap<QueueKey, VecDeque<JobId>>,
+    classes: Vec<ClassStatistics>,
     kinds: BTreeMap<u32, KindCapacity>,
-    budget: Budget,
-    fleet: Fleet,
+    budget: RetryBudgetState,
+    fleet: FleetState,
 }
 
 impl Dispatcher {
@@ -65,12 +73,12 @@
     /// What makes the settings unusable.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
-        let tally = |c: &JobClass| Tally {
+        let statistics = |c: &JobClass| ClassStatistics {
             run: c.latency_target as f64,
             runs: 1.0,
-            ..Tally::default()
+            ..ClassStatistics::default()
         };
-        let classes = settings.classes.iter().map(tally).collect();
+        let classes = settings.classes.iter().map(statistics).collect();
         let grace = span(
             settings
                 .classes
@@ -81,15 +89,15 @@
                 * START_GRACE,
         );
         let rng = Pcg64Mcg::seed_from_u64(seed);
-        let budget = Budget {
+        let budget = RetryBudgetState {
             rule: settings.rules.retry_budget,
-            ..Budget::default()
+            ..RetryBudgetState::default()
         };
-        let (now, workers, jobs, held, kinds, fleet) = Default::default();
-        let ask = WatchPacer::new(settings.dispatchers, settings.discovery);
+        let (now, workers, jobs, queued, kinds, fleet) = Default::default();
+        let watch_pacer = WatchPacer::new(settings.dispatchers, settings.discovery);
         let clock = Clock {
             grace,
-            ask,
+            watch_pacer,
             ..Clock::default()
         };
         Ok(Dispatcher {
@@ -99,7 +107,7 @@
             clock,
             workers,
             jobs,
-            held,
+            queued,
             classes,
             kinds,
             budget,
@@ -107,23 +115,33 @@
         })
     }
 
-    /// Takes the time and one event, and appends what to do.
+    /// Handles one event at a time in microseconds, and appends the actions to carry out.
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         self.now = self.now.max(now);
         if self
             .clock
-            .ask
+            .watch_pacer
             .as_ref()
             .is_some_and(WatchPacer::is_first_call)
         {
-            self.ask(DiscoveryFailure::Failed);
+            self.schedule_watch(DiscoveryFailure::Failed);
         }
-        let news = event.worker();
+        let updated_worker = event.worker();
+        self.on_event(event, out);
+        updated_worker
+            .into_iter()
+            .for_each(|w| self.close_idle_connections(w, out));
+        self.fire_timers(out);
+        self.place_queued_jobs(updated_worker, out);
+        self.arm(out);
+    }
+
+    fn on_event(&mut self, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::WorkersUpdated { kind, entries } => self.on_listed(kind, &entries, out),
-            Event::WatchFailed(lost) => self.ask(lost),
+            Event::WorkersUpdated { kind, entries } => self.on_workers_updated(kind, &entries, out),
+            Event::WatchFailed(lost) => self.schedule_watch(lost),
             Event::JobAccepted(spec) => self.on_job(spec, out),
-            Event::ClientDisconnected(job) => self.close(job, false, out),
+            Event::ClientDisconnected(job) => self.close_job(job, false, out),
             Event::JobStarted {
                 job,
                 attempt,
@@ -137,12 +155,12 @@
             } => {
                 self.on_started(job, attempt, worker);
             }
-            // Bound to its attempt: no deadline, no further attempt, and nothing owed but the stream's end.
+            // Its client has the beginning of the result: no deadline, no retry; only the stream's end is awaited.
             Event::StreamStarted { job, .. } => self
                 .jobs
                 .get_mut(&job)
                 .into_iter()
-                .for_each(|j| j.over = true),
+                .for_each(|j| j.closed = true),
             Event::AttemptEnded {
                 job,
                 attempt,
@@ -152,37 +170,38 @@
                 report,
             } => {
                 self.on_report(worker, report);
-                self.on_ended((job, attempt, worker), outcome, finished, out);
+                let key = AttemptKey {
+                    job,
+                    attempt,
+                    worker,
+                };
+                self.on_ended(key, outcome, finished, out);
             }
             Event::ProbeEnded {
                 worker,
                 outcome,
                 report,
-            } => self.on_probed(worker, outcome, report),
-            Event::PeerLoad { from, held } => self.on_told(from, &held),
-            Event::AbortJob(job) => self.finish(job, out),
-            Event::AdmissionChanged(terms) => self.on_terms(terms, out),
+            } => self.on_probe_ended(worker, outcome, report),
+            Event::PeerLoad { from, held } => self.on_peer_load(from, &held),
+            Event::AbortJob(job) => self.give_up(job, out),
+            Event::AdmissionChanged(terms) => self.on_admission_changed(terms, out),
             Event::Wake => {}
         }
-        news.into_iter().for_each(|w| self.hang_up(w, out));
-        self.run_timers(out);
-        self.place_held(news, out);
-        self.arm(out);
     }
 
-    fn run_timers(&mut self, out: &mut Vec<Action>) {
+    fn fire_timers(&mut self, out: &mut Vec<Action>) {
         let now = self.now;
         while let Some(Reverse((_, timer))) =
             self.clock.timers.peek().filter(|t| t.0 .0 <= now).copied()
         {
             self.clock.timers.pop();
             match timer {
-                Timer::Answer(id) => self.finish(id, out),
+                Timer::AnswerDeadline(id) => self.give_up(id, out),
                 Timer::Late(id) => self.on_late(id, out),
-                Timer::Unplaced(id) => self.on_unplaced(id, out),
-                Timer::Overdue(id, attempt, worker) => self.on_overdue((id, attempt, worker), out),
-                Timer::Rewatch => {
-                    self.clock.asked = now;
+                Timer::QueueingTimeout(id) => self.on_queueing_timeout(id, out),
+                Timer::StartTimeout(key) => self.on_start_timeout(key, out),
+                Timer::Watch => {
+                    self.clock.last_watch_at = now;
                     out.push(Action::WatchWorkers);
                 }
             }
@@ -191,7 +210,7 @@
 
     fn arm(&mut self, out: &mut Vec<Action>) {
         let due = self.clock.timers.peek().map(|Reverse((due, _))| *due);
-        let look = (!self.held.is_empty()).then(|| self.clock.rescan_at.max(self.now + 1));
+        let look = (!self.queued.is_empty()).then(|| self.clock.rescan_at.max(self.now + 1));
         let Some(next) = [due, look].into_iter().flatten().min() else {
             return;
         };
--- a/crates/dispatcher/dispatch-policy/src/probing.rs
+++ b/crates/dispatcher/dispatch-policy/src/probing.rs
@@ -1,12 +1,13 @@
-//! Probes, and what reports and the other dispatchers say of loads.
+//! Load probes, load reports, and the exchange of loads among dispatchers.
 
 use super::{
-    paced, span, unit, Action, Dispatcher, LoadReport, LoadReporting, Outcome, VecDeque, Worker,
-    WorkerId, HOMES, HOMES_FEW, KNOWN, MOST_SCOUTS, SAMPLE, SCOUTS, TELL_SPEND, TOLD_FOR,
+    backoff_config, span, unit, Action, Dispatcher, LoadReport, LoadReporting, Outcome, VecDeque,
+    Worker, WorkerId, KNOWN_LOAD_SHARE, LOAD_EXCHANGE_BUDGET, MAX_PROBES, PEER_LOAD_VALIDITY,
+    PREFERRED_WORKERS, PREFERRED_WORKERS_SPARSE, PROBES_PER_JOB, SAMPLE_SIZE,
 };
 
 impl Dispatcher {
-    /// What a report says of free slots, if anything.
+    /// Records a load report; the free slots that it shows, if any.
     pub(crate) fn on_report(
         &mut self,
         worker: WorkerId,
@@ -16,12 +17,12 @@
             LoadReport::plausible(report.as_ref().and_then(of))
         };
         let (told, held) = (figure(|r| r.free_slots), figure(|r| r.outstanding));
-        let fading = self.fading();
+        let report_weight = self.report_weight();
         let w = self
             .workers
             .get_mut(&worker)
             .filter(|_| told.or(held).is_some())?;
-        // On an outcome the report is from before; its queue is gone, and would keep an idle worker shut.
+        // The report on an outcome is older than it: its queue is gone, and would keep an idle worker closed.
         let queued = figure(|r| r.queued).unwrap_or(0.0);
         let waiting = if told.is_some() && self.settings.reports == LoadReporting::Probes {
             queued
@@ -31,40 +32,41 @@
         let kind = self.kinds.entry(w.listing.kind).or_default();
         told.into_iter()
             .for_each(|free| kind.record_free_slots(free));
-        // Where free slots are not told, what is held says as much: all but what waits is running.
+        // Where free slots are not reported, occupied ones show as much: all that does not wait is running.
         let free = told.unwrap_or_else(|| {
             let held = held.unwrap_or(0.0);
-            // By one slot a report: none that is absurd makes a cold worker look large.
+            // By one slot per report, so that no absurd report makes a worker in warm-up look large.
             kind.record_running((held - queued).floor().min(kind.slots() + 1.0));
             kind.slots() - held
         });
-        if self.now < w.told_until {
+        if self.now < w.peer_reports_until {
             return Some(free);
         }
-        let others = (kind.slots() - free + waiting - w.own()).clamp(0.0, kind.slots());
+        let others = (kind.slots() - free + waiting - w.own_slots()).clamp(0.0, kind.slots());
         let (kept, fade) = (
-            w.reported.map_or(0.0, |t| fading(t) / 2.0),
-            fading(self.fleet.others.2),
+            w.reported_at.map_or(0.0, |t| report_weight(t) / 2.0),
+            report_weight(self.fleet.peer_load.2),
         );
-        (w.others, w.reported) = (w.others * kept + others * (1.0 - kept), Some(self.now));
-        self.fleet.others = (
-            self.fleet.others.0 * fade + others,
-            self.fleet.others.1 * fade + 1.0,
+        (w.peer_slots, w.reported_at) =
+            (w.peer_slots * kept + others * (1.0 - kept), Some(self.now));
+        self.fleet.peer_load = (
+            self.fleet.peer_load.0 * fade + others,
+            self.fleet.peer_load.1 * fade + 1.0,
             self.now,
         );
-        self.fleet.heard.retain(|id| *id != worker);
-        self.fleet.heard.push_front(worker);
-        self.fleet.heard.truncate(SAMPLE / 2);
+        self.fleet.recently_reported.retain(|id| *id != worker);
+        self.fleet.recently_reported.push_front(worker);
+        self.fleet.recently_reported.truncate(SAMPLE_SIZE / 2);
         Some(free)
     }
 
-    pub(crate) fn on_probed(
+    pub(crate) fn on_probe_ended(
         &mut self,
         worker: WorkerId,
         outcome: Outcome,
         report: Option<LoadReport>,
     ) {
-        self.fleet.scouts.retain(|(_, id)| *id != worker);
+        self.fleet.probes_in_flight.retain(|(_, id)| *id != worker);
         let mean_run = self.mean_run();
         let free = self
             .on_report(worker, report)
@@ -72,75 +74,89 @@
         let Some(w) = self.workers.get_mut(&worker) else {
             return;
         };
-        w.probing = None;
-        w.heed_probe(outcome, self.now);
+        w.probe_sent_at = None;
+        w.record_probe_outcome(outcome, self.now);
         match outcome {
-            // A rare pusher would not see a worker's recovery by its pushes.
-            Outcome::Done if free => w.backoff.success(&paced(mean_run), &mut self.rng),
-            Outcome::Done | Outcome::Reset => {} // broken off, it says as little of the worker as a job would
-            _ => w.backoff.failure(self.now, &paced(mean_run), &mut self.rng),
+            // A dispatcher that sends rarely would not see a worker's recovery by its attempts.
+            Outcome::Done if free => w
+                .backoff
+                .record_success(&backoff_config(mean_run), &mut self.rng),
+            Outcome::Done | Outcome::Reset => {} // a reset connection shows as little of the worker as it does for a job
+            _ => w
+                .backoff
+                .record_failure(self.now, &backoff_config(mean_run), &mut self.rng),
         }
     }
 
-    pub(crate) fn scout(&mut self, out: &mut Vec<Action>) {
-        let each = if self.sees_few() { 1 } else { SCOUTS };
-        let most = (each * self.held.values().map(VecDeque::len).sum::<usize>()).min(MOST_SCOUTS);
-        // So many tries and no more: a draw may find nobody to ask.
-        for _ in 0..MOST_SCOUTS {
-            if self.fleet.scouts.len() < most && self.may_scout() {
-                self.probe(self.bearable(self.fleet.scouted), out);
-                self.fleet.scouted += 1;
+    pub(crate) fn send_probes(&mut self, out: &mut Vec<Action>) {
+        let each = if self.knows_few_workers() {
+            1
+        } else {
+            PROBES_PER_JOB
+        };
+        let most = (each * self.queued.values().map(VecDeque::len).sum::<usize>()).min(MAX_PROBES);
+        // Bounded: a draw may find no worker to probe.
+        for _ in 0..MAX_PROBES {
+            if self.fleet.probes_in_flight.len() < most && self.may_probe() {
+                self.probe(self.max_probe_price(self.fleet.probes_since_placement), out);
+                self.fleet.probes_since_placement += 1;
             }
         }
     }
 
-    /// What a job may cost after so many probes: the cheapest come first, if that saves twice their cost.
-    pub(crate) fn bearable(&self, scouted: usize) -> f64 {
+    /// The price of a connection that is acceptable after so many probes: the cheapest workers come first, if that saves twice
+    /// the probes' cost.
+    pub(crate) fn max_probe_price(&self, probes_since_placement: usize) -> f64 {
         let limits = &self.settings.limits;
         let mut steps = [limits.cross_zone_price, limits.connect_price];
         steps.sort_by(f64::total_cmp);
         let worth = steps
             .iter()
-            .filter(|price| **price > 2.0 * SCOUTS as f64 * limits.probe_price)
+            .filter(|price| **price > 2.0 * PROBES_PER_JOB as f64 * limits.probe_price)
             .count();
         let levels = &[0.0, steps[0], steps[1]][..worth + worth / 2];
         levels
-            .get(scouted / SCOUTS)
+            .get(probes_since_placement / PROBES_PER_JOB)
             .copied()
             .unwrap_or(f64::INFINITY)
     }
 
-    pub(crate) fn probe(&mut self, bearable: f64, out: &mut Vec<Action>) {
+    pub(crate) fn probe(&mut self, max_probe_price: f64, out: &mut Vec<Action>) {
         let (drawn, idle) = (
-            self.unknown_home().or_else(|| self.draw(bearable)),
+            self.unknown_preferred_worker()
+                .or_else(|| self.draw_probe_target(max_probe_price)),
             self.idle_span(),
         );
-        let fits = |w: &Worker| w.probing.is_none() && w.ready() && self.price(w, idle) <= bearable;
+        let fits = |w: &Worker| {
+            w.probe_sent_at.is_none()
+                && w.ready()
+                && self.connection_price(w, idle) <= max_probe_price
+        };
         let Some(id) = drawn.filter(|id| self.workers.get(id).is_some_and(fits)) else {
             return;
         };
         self.fleet.probe_credit -= 1.0;
-        self.workers.entry(id).or_default().probing = Some(self.now);
-        self.fleet.scouts.push_back((self.now, id));
+        self.workers.entry(id).or_default().probe_sent_at = Some(self.now);
+        self.fleet.probes_in_flight.push_back((self.now, id));
         out.push(Action::Probe { worker: id });
     }
 
-    /// A look is a part of the fleet, and no list tells its loads: a dispatcher knows whom it asks just now.
-    pub(crate) fn sees_few(&self) -> bool {
-        self.fleet.ready.len() > SAMPLE && !self.told_loads()
+    /// Whether the load of few workers is known: a sample is a part of the fleet, and no list tells its loads.
+    pub(crate) fn knows_few_workers(&self) -> bool {
+        self.fleet.ready.len() > SAMPLE_SIZE && !self.has_listed_loads()
     }
 
-    /// The homes of a job where few workers are known.
-    pub(crate) fn most_homes(&self) -> usize {
-        if self.sees_few() {
-            HOMES_FEW
+    /// How many workers are preferred for a key.
+    pub(crate) fn max_preferred_workers(&self) -> usize {
+        if self.knows_few_workers() {
+            PREFERRED_WORKERS_SPARSE
         } else {
-            HOMES
+            PREFERRED_WORKERS
         }
     }
 
-    /// Nothing more will be learned of it just now: it has just said what it holds, or gets nothing.
-    pub(crate) fn is_asked(&self, id: WorkerId) -> bool {
+    /// Whether a probe would learn nothing more: the worker has just reported, or gets nothing anyway.
+    pub(crate) fn is_load_known(&self, id: WorkerId) -> bool {
         let Some(w) = self
             .workers
             .get(&id)
@@ -148,43 +164,52 @@
         else {
             return true;
         };
-        w.probing.is_none() && w.reported.map_or(0.0, self.fading()) >= KNOWN
+        w.probe_sent_at.is_none()
+            && w.reported_at.map_or(0.0, self.report_weight()) >= KNOWN_LOAD_SHARE
     }
 
-    /// The first home of a held job that is to be asked, where few are known.
-    fn unknown_home(&self) -> Option<WorkerId> {
-        let idle = |id: &&WorkerId| self.workers.get(id).is_some_and(|w| w.probing.is_none());
-        let held = self.held.values().flatten().filter(|_| self.sees_few());
+    /// The first preferred worker of a queued job that is to be probed, where few loads are known.
+    fn unknown_preferred_worker(&self) -> Option<WorkerId> {
+        let idle = |id: &&WorkerId| {
+            self.workers
+                .get(id)
+                .is_some_and(|w| w.probe_sent_at.is_none())
+        };
+        let held = self
+            .queued
+            .values()
+            .flatten()
+            .filter(|_| self.knows_few_workers());
         let first = |id| {
             self.jobs
                 .get(id)?
-                .homes
+                .preferred
                 .iter()
-                .find(|h| !self.is_asked(**h))
+                .find(|h| !self.is_load_known(**h))
                 .filter(idle)
         };
         held.filter_map(first).next().copied()
     }
 
-    pub(crate) fn may_scout(&self) -> bool {
+    pub(crate) fn may_probe(&self) -> bool {
         self.settings.limits.probe
             && self.settings.dispatchers > 1
             && self.fleet.probe_credit >= 1.0
     }
 
-    pub(crate) fn scouting(&self) -> bool {
-        !self.fleet.scouts.is_empty() || self.may_scout()
+    pub(crate) fn is_probing(&self) -> bool {
+        !self.fleet.probes_in_flight.is_empty() || self.may_probe()
     }
 
-    pub(crate) fn draw(&mut self, bearable: f64) -> Option<WorkerId> {
+    pub(crate) fn draw_probe_target(&mut self, max_probe_price: f64) -> Option<WorkerId> {
         let (limits, fleet) = (&self.settings.limits, &self.fleet);
-        let near = if bearable < limits.cross_zone_price {
-            &fleet.near
+        let near = if max_probe_price < limits.cross_zone_price {
+            &fleet.same_zone
         } else {
             &fleet.ready
         };
-        let pool = if bearable < limits.connect_price {
-            &fleet.used
+        let pool = if max_probe_price < limits.connect_price {
+            &fleet.recently_used
         } else {
             near
         };
@@ -192,46 +217,59 @@
             .copied()
     }
 
-    /// Each push buys entries for the others; the more must read a message, the more go into one.
-    pub(crate) fn tell(&mut self, out: &mut Vec<Action>) {
+    /// Publishes own load. Each attempt buys entries; the more dispatchers must read a message, the more entries go into one.
+    pub(crate) fn publish_load(&mut self, out: &mut Vec<Action>) {
         let (limits, others) = (
             &self.settings.limits,
             f64::from(self.settings.dispatchers - 1),
         );
-        let entries = TELL_SPEND / (limits.peer_price * others).max(1.0e-9);
-        self.fleet.tell_credit = (self.fleet.tell_credit + entries).min(limits.tell as f64);
-        if others == 0.0 || self.fleet.tell_credit < others.min(limits.tell as f64).max(1.0) {
+        let entries = LOAD_EXCHANGE_BUDGET / (limits.peer_price * others).max(1.0e-9);
+        self.fleet.load_exchange_credit =
+            (self.fleet.load_exchange_credit + entries).min(limits.tell as f64);
+        if others == 0.0
+            || self.fleet.load_exchange_credit < others.min(limits.tell as f64).max(1.0)
+        {
             return;
         }
-        let again = span(TOLD_FOR / 2.0 * self.mean_run());
-        let news = |w: &Worker| w.ready() && w.told_at.is_none_or(|t| self.now > t + again);
+        let again = span(PEER_LOAD_VALIDITY / 2.0 * self.mean_run());
+        let news =
+            |w: &Worker| w.ready() && w.load_published_at.is_none_or(|t| self.now > t + again);
         let news = self
             .workers
             .iter_mut()
             .filter(|(_, w)| news(w))
-            .take(self.fleet.tell_credit as usize);
+            .take(self.fleet.load_exchange_credit as usize);
         let told = |(id, w): (&WorkerId, &mut Worker)| {
-            (w.told_at.replace(self.now), (*id, w.own() as u32)).1
+            (
+                w.load_published_at.replace(self.now),
+                (*id, w.own_slots() as u32),
+            )
+                .1
         };
         let held: Vec<_> = news.map(told).collect();
-        self.fleet.tell_credit -= held.len() as f64;
+        self.fleet.load_exchange_credit -= held.len() as f64;
         out.push(Action::PublishLoad { held });
     }
 
-    pub(crate) fn on_told(&mut self, from: u32, held: &[(WorkerId, u32)]) {
-        let until = self.now + span(TOLD_FOR * self.mean_run());
+    pub(crate) fn on_peer_load(&mut self, from: u32, held: &[(WorkerId, u32)]) {
+        let until = self.now + span(PEER_LOAD_VALIDITY * self.mean_run());
         for (id, slots) in held {
             let Some(w) = self.workers.get_mut(id) else {
                 continue;
             };
-            w.told.insert(from, (f64::from(*slots), until));
-            w.told.retain(|_, (_, until)| *until >= self.now);
-            // The sum of a part of them says nothing of the rest; a dead dispatcher is not believed for good.
-            if w.told.len() + 1 >= self.settings.dispatchers as usize {
+            w.peer_reports.insert(from, (f64::from(*slots), until));
+            w.peer_reports.retain(|_, (_, until)| *until >= self.now);
+            // A partial sum says nothing of the rest; and the report of a dead dispatcher expires.
+            if w.peer_reports.len() + 1 >= self.settings.dispatchers as usize {
                 let most = self.kinds.entry(w.listing.kind).or_default().slots();
-                let others: f64 = w.told.values().map(|(slots, _)| slots).sum();
-                (w.others, w.reported) = (others.min(most), Some(self.now));
-                w.told_until = w.told.values().map(|(_, until)| *until).min().unwrap_or(0);
+                let others: f64 = w.peer_reports.values().map(|(slots, _)| slots).sum();
+                (w.peer_slots, w.reported_at) = (others.min(most), Some(self.now));
+                w.peer_reports_until = w
+                    .peer_reports
+                    .values()
+                    .map(|(_, until)| *until)
+                    .min()
+                    .unwrap_or(0);
             }
         }
     }
--- a/crates/dispatcher/dispatch-policy/src/memory.rs
+++ b/crates/dispatcher/dispatch-policy/src/snapshot.rs
@@ -1,34 +1,34 @@
-//! What passes from one process of a dispatcher to the next. Nothing is decided here.
+//! The snapshot that one process of a dispatcher hands to the next at a hot restart. Nothing is decided here.
 
 use super::Dispatcher;
 use discovery_pacing::KindCapacity;
 use dispatch_api::{ClassSnapshot, Micros, PolicySnapshot, WorkerSnapshot};
 
-/// What is known of single workers is believed for so long; kinds and classes change slowly.
-const WORKERS_AGE: Micros = 10_000_000;
-/// No figure that makes sense is larger.
-const LARGEST: f64 = 1.0e12;
+/// How long the state of single workers is valid, in microseconds; kinds and classes change slowly.
+const WORKER_SNAPSHOT_VALIDITY: Micros = 10_000_000;
+/// The largest plausible figure.
+const MAX_PLAUSIBLE: f64 = 1.0e12;
 
 fn sane(value: f64) -> bool {
-    (0.0..=LARGEST).contains(&value)
+    (0.0..=MAX_PLAUSIBLE).contains(&value)
 }
 
 impl Dispatcher {
-    /// What a successor can use.
-    pub fn known(&self) -> PolicySnapshot {
+    /// The state that a successor can use.
+    pub fn snapshot(&self) -> PolicySnapshot {
         let worker = |w: &super::Worker| WorkerSnapshot {
             name_hash: w.listing.name_hash,
             started: w.listing.started,
             interval: (w.backoff.interval, w.backoff.open_at),
             runs: (w.expected, w.actual),
-            // The successor's jobs are others than these.
+            // The successor's jobs are others than these, which count as peers' for it.
             held: (
-                w.others + w.own(),
-                w.reported.or((w.own() > 0.0).then_some(self.now)),
+                w.peer_slots + w.own_slots(),
+                w.reported_at.or((w.own_slots() > 0.0).then_some(self.now)),
             ),
-            cold: (w.cold.0, w.cold.2),
+            cold: (w.warm_up.0, w.warm_up.2),
         };
-        let class = |t: &super::Tally| ClassSnapshot {
+        let class = |t: &super::ClassStatistics| ClassSnapshot {
             run: (t.run, t.runs),
             arrivals: t.arrivals,
             ended: (t.asked, t.in_time),
@@ -41,7 +41,7 @@
                 .map(|(kind, known)| (*kind, known.snapshot()))
                 .collect(),
             classes: self.classes.iter().map(class).collect(),
-            price: (self.fleet.price, self.fleet.best),
+            price: (self.fleet.price, self.fleet.best_value),
             workers: self
                 .fleet
                 .ready
@@ -52,15 +52,15 @@
         }
     }
 
-    /// Takes over what a predecessor knew of what is listed by now. What makes no sense is passed over.
-    pub fn recall(&mut self, now: Micros, known: &PolicySnapshot) {
+    /// Restores a predecessor's state for the workers that are listed by now. Implausible figures are ignored.
+    pub fn restore(&mut self, now: Micros, known: &PolicySnapshot) {
         for (kind, figures) in &known.kinds {
             if let Some(recalled) = KindCapacity::from_snapshot(*figures) {
                 self.kinds.insert(*kind, recalled);
             }
         }
         if known.classes.len() == self.classes.len() {
-            for (tally, class) in self.classes.iter_mut().zip(&known.classes) {
+            for (statistics, class) in self.classes.iter_mut().zip(&known.classes) {
                 let figures = [
                     class.run.0,
                     class.run.1,
@@ -69,38 +69,39 @@
                     class.ended.1,
                 ];
                 if figures.into_iter().all(sane) && class.run.0 >= 1.0 && class.run.1 >= 1.0 {
-                    (tally.run, tally.runs) = class.run;
-                    (tally.arrivals, tally.asked, tally.in_time) =
+                    (statistics.run, statistics.runs) = class.run;
+                    (statistics.arrivals, statistics.asked, statistics.in_time) =
                         (class.arrivals, class.ended.0, class.ended.1);
                 }
             }
             if sane(known.price.0) && known.price.0 <= 1.0 && sane(known.price.1) {
-                (self.fleet.price, self.fleet.best) = known.price;
+                (self.fleet.price, self.fleet.best_value) = known.price;
             }
         }
-        if now > known.at.saturating_add(WORKERS_AGE) {
+        if now > known.at.saturating_add(WORKER_SNAPSHOT_VALIDITY) {
             return;
         }
-        for told in &known.workers {
+        for worker in &known.workers {
             let same = |w: &&mut super::Worker| {
-                w.listing.name_hash == told.name_hash && w.listing.started == told.started
+                w.listing.name_hash == worker.name_hash && w.listing.started == worker.started
             };
             let Some(w) = self.workers.values_mut().find(same) else {
                 continue;
             };
-            if sane(told.interval.0) {
-                (w.backoff.interval, w.backoff.open_at) = told.interval;
+            if sane(worker.interval.0) {
+                (w.backoff.interval, w.backoff.open_at) = worker.interval;
             }
-            if sane(told.runs.0) && sane(told.runs.1) {
-                (w.expected, w.actual) = told.runs;
+            if sane(worker.runs.0) && sane(worker.runs.1) {
+                (w.expected, w.actual) = worker.runs;
             }
-            if sane(told.held.0) {
-                (w.others, w.reported) = (told.held.0, told.held.1.map(|at| at.min(now)));
+            if sane(worker.held.0) {
+                (w.peer_slots, w.reported_at) =
+                    (worker.held.0, worker.held.1.map(|at| at.min(now)));
             }
-            w.cold = (
-                told.cold.0.min(now),
+            w.warm_up = (
+                worker.cold.0.min(now),
                 1.0,
-                told.cold.1.filter(|work| sane(*work)),
+                worker.cold.1.filter(|work| sane(*work)),
             );
         }
     }
--- a/crates/dispatcher/dispatch-policy/tests/few_known.rs
+++ b/crates/dispatcher/dispatch-policy/tests/few_known.rs
@@ -137,7 +137,7 @@
     });
     let slots = rig
         .d
-        .figures()
+        .metrics()
         .kinds
         .iter()
         .map(|kind| kind.slots)
--- a/crates/dispatcher/dispatch-policy/tests/rules.rs
+++ b/crates/dispatcher/dispatch-policy/tests/rules.rs
@@ -434,7 +434,7 @@
         let mut s = settings(vec![safe()]);
         (s.reports, s.limits.probe) = (LoadReporting::None, false);
         let mut rig = Rig::seeded(s, 0, seed);
-        rig.d.share_among(processes);
+        rig.d.set_process_count(processes);
         cold_load_of(rig, 0)
     };
     let alone = process(1, 7);
--- a/crates/dispatcher/dispatch-policy/tests/terms.rs
+++ b/crates/dispatcher/dispatch-policy/tests/terms.rs
@@ -44,7 +44,7 @@
         1,
         "another class is served"
     );
-    let counts = rig.d.figures().classes;
+    let counts = rig.d.metrics().classes;
     assert_eq!(
         (
             counts[0].rejected_by_level,
@@ -158,7 +158,7 @@
     s.progress_every = Some(1_000 * MS);
     let mut rig = Rig::new(s, 1);
     let sent = pushes(&rig.job(1, 0, 1.0));
-    let silent = |rig: &Rig| rig.d.figures().kinds[0].unresponsive;
+    let silent = |rig: &Rig| rig.d.metrics().kinds[0].unresponsive;
     rig.started(1, 0, sent[0].1);
     rig.after(1_400 * MS);
     assert_eq!(silent(&rig), 0.0);
--- a/crates/gateway/runner-selection/src/attempts.rs
+++ b/crates/gateway/runner-selection/src/attempts.rs
@@ -8,14 +8,14 @@
 use crate::health::Availability;
 use crate::runner::PendingFirstToken;
 use crate::{AttemptId, Millis, Outcome, RequestProfile, RunnerKey};
-use dispatch_policy::SleeperTerms;
+use dispatch_policy::BackoffConfig;
 
 /// How long an attempt held a slot, beside what is usual at its service.
 struct Run {
     took_ms: f64,
     usual_ms: f64,
     /// The backoff of a runner of this service.
-    backoff: SleeperTerms,
+    backoff: BackoffConfig,
 }
 
 /// 1 or 0, to average.
@@ -113,7 +113,7 @@
         // Live requests don't wait for a backoff where a free slot was reported, so they don't prolong
         // it either.
         if attempt.is_item() {
-            runner.backoff.pushed(now);
+            runner.backoff.restart_interval(now);
         }
     }
 
@@ -206,7 +206,7 @@
             runner.last_activity_at = runner.last_activity_at.max(now);
             runner.end_prefill(now, id);
             runner.health.recover(&mut rng);
-            runner.backoff.success(&terms, &mut rng);
+            runner.backoff.record_success(&terms, &mut rng);
         }
         self.rng = rng;
     }
@@ -250,10 +250,10 @@
                     runner.note_load(now, runner.slots + f64::from(runner.in_flight));
                 }
                 runner.last_rejected_at = Some(now);
-                runner.backoff.failure(now, &run.backoff, &mut rng);
+                runner.backoff.record_failure(now, &run.backoff, &mut rng);
             }
             Outcome::NotRun | Outcome::ConnectFailed => {
-                runner.backoff.failure(now, &run.backoff, &mut rng);
+                runner.backoff.record_failure(now, &run.backoff, &mut rng);
             }
             _ => {}
         }
--- a/crates/gateway/runner-selection/src/balancer.rs
+++ b/crates/gateway/runner-selection/src/balancer.rs
@@ -7,7 +7,7 @@
 use crate::service::Service;
 use crate::{Millis, RunnerKey, ServiceEstimates, ServiceTerms};
 use compact_str::CompactString;
-use dispatch_policy::Sleeper;
+use dispatch_policy::AdaptiveBackoff;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use runner_registry::RunnerState;
@@ -113,7 +113,7 @@
         let before = known.offered_slots();
         // Back at another address: what was held against the old one says nothing of this one.
         if known.addr != listed.addr {
-            (known.health, known.backoff) = (Health::default(), Sleeper::default());
+            (known.health, known.backoff) = (Health::default(), AdaptiveBackoff::default());
         }
         (known.addr, known.up, known.in_own_zone) = (listed.addr, listed.up, listed.in_own_zone);
         (known.slots, known.warming_until) = (listed.slots, listed.warming_until);
--- a/crates/gateway/runner-selection/src/constants.rs
+++ b/crates/gateway/runner-selection/src/constants.rs
@@ -2,7 +2,7 @@
 
 use crate::Millis;
 
-// The sleepers; spans are multiples of the mean run of a request, as in the old program.
+// The backoffs; spans are multiples of the mean run of a request, as in the old program.
 /// A runner of some dozens of slots frees one much more often than this: one refusal costs little.
 pub const INITIAL: f64 = 0.05;
 /// ... and one that refuses all the time is asked once in a few runs.
@@ -12,7 +12,7 @@
 pub const SUCCESSES_DOWN: u32 = 3;
 pub const RANDOMIZATION: f64 = 0.3;
 pub const MAX_RANDOMIZATION: f64 = 1.0;
-/// A sleeper's first interval is never shorter: less is no pause on a loaded machine.
+/// A backoff's first interval is never shorter: less is no pause on a loaded machine.
 pub const INITIAL_LEAST_MS: f64 = 5.0;
 
 // What is learned, and where it starts.
--- a/crates/gateway/runner-selection/src/estimate.rs
+++ b/crates/gateway/runner-selection/src/estimate.rs
@@ -34,7 +34,7 @@
 /// Why none of the runners that were looked at takes it.
 #[derive(Debug, Default)]
 pub(crate) struct Unavailable {
-    /// The first to open of those whose sleepers are unavailable or whose connections are all in use.
+    /// The first to open of those whose backoffs are unavailable or whose connections are all in use.
     pub(crate) opens_at: Option<Millis>,
     /// Those avoided, and until when.
     pub(crate) ejected: Vec<(Millis, RunnerKey)>,
@@ -88,14 +88,14 @@
                 self.cached_tokens(service, request, affinity, key, runner),
             );
             let full = runner.in_flight >= self.connection_limit(key);
-            // What it told since its refusal goes before the sleeper: a refusal while it has room costs
+            // What it told since its refusal goes before the backoff: a refusal while it has room costs
             // more.
             let since = runner
                 .reported
                 .is_some_and(|t| runner.last_rejected_at.is_none_or(|refused| t.at > refused));
             let told_room =
                 since && runner.report_is_fresh(now, service) && estimate.free_slots >= 1.0;
-            if full || (!runner.backoff.open(now) && !told_room) {
+            if full || (!runner.backoff.is_open(now) && !told_room) {
                 let opens = if full {
                     now + WAIT_MOST_MS
                 } else {
--- a/crates/gateway/runner-selection/src/health.rs
+++ b/crates/gateway/runner-selection/src/health.rs
@@ -8,7 +8,7 @@
     TRIAL_GRACE, WAIT_MOST_MS,
 };
 use crate::{Millis, Outcome};
-use dispatch_policy::{Sleeper, SleeperTerms};
+use dispatch_policy::{AdaptiveBackoff, BackoffConfig};
 use rand_pcg::Pcg64Mcg;
 
 /// Whether a runner gets anything.
@@ -21,10 +21,10 @@
     Ejected(Millis),
 }
 
-/// The avoidance is a sleeper of its own kind: a strike is a failure, an answer a success.
+/// The avoidance is a backoff of its own kind: a strike is a failure, an answer a success.
 #[derive(Debug, Default)]
 pub(crate) struct Health {
-    backoff: Sleeper,
+    backoff: AdaptiveBackoff,
     /// When the last strike came; what was sent before says no more.
     pub(crate) ejected_at: Option<Millis>,
     pub(crate) consecutive_errors: u32,
@@ -32,15 +32,15 @@
     pub(crate) probe: Option<u64>,
 }
 
-fn terms() -> SleeperTerms {
-    SleeperTerms {
+fn terms() -> BackoffConfig {
+    BackoffConfig {
         initial: AVOID_FIRST_MS,
         max: AVOID_MOST_MS,
-        up: AVOID_UP,
-        down: 0.0,
-        successes_down: 1,
-        randomization: AVOID_JITTER,
-        max_randomization: AVOID_MOST_MS,
+        increase_factor: AVOID_UP,
+        decrease_factor: 0.0,
+        successes_to_decrease: 1,
+        jitter: AVOID_JITTER,
+        max_jitter: AVOID_MOST_MS,
     }
 }
 
@@ -49,7 +49,7 @@
         let forgotten = self.backoff.open_at as f64 + self.backoff.interval * AVOID_FORGET;
         if self.backoff.interval == 0.0 || now as f64 >= forgotten {
             Availability::Healthy
-        } else if !self.backoff.open(now) {
+        } else if !self.backoff.is_open(now) {
             Availability::Ejected(self.backoff.open_at)
         } else if self.probe.is_none() {
             Availability::Probe
@@ -70,9 +70,9 @@
     /// Requests that were under way together fail together: that is one strike.
     pub(crate) fn eject(&mut self, now: Millis, least: f64, rng: &mut Pcg64Mcg) {
         self.probe = None;
-        if self.backoff.interval == 0.0 || self.backoff.open(now) {
+        if self.backoff.interval == 0.0 || self.backoff.is_open(now) {
             self.ejected_at = Some(now);
-            self.backoff.failure(now, &terms(), rng);
+            self.backoff.record_failure(now, &terms(), rng);
         }
         self.backoff.interval = self.backoff.interval.max(least);
         self.backoff.open_at = self.backoff.open_at.max(now + least as Millis);
@@ -81,7 +81,7 @@
     /// It has answered.
     pub(crate) fn recover(&mut self, rng: &mut Pcg64Mcg) {
         (self.probe, self.consecutive_errors) = (None, 0);
-        self.backoff.success(&terms(), rng);
+        self.backoff.record_success(&terms(), rng);
     }
 
     /// Counts how an attempt ended; for how long its runner is ejected at least, if it is.
--- a/crates/gateway/runner-selection/src/item_selection.rs
+++ b/crates/gateway/runner-selection/src/item_selection.rs
@@ -1,4 +1,4 @@
-//! Items of batch jobs: the sleepers say when, a draw weighted by room says where.
+//! Items of batch jobs: the backoffs say when, a draw weighted by room says where.
 
 use crate::balancer::Balancer;
 use crate::constants::{
@@ -105,11 +105,11 @@
         slack >= HURRY_MS && service.usage(now).is_some_and(|usage| usage >= most)
     }
 
-    /// A runner that an item may be pushed to by its sleeper, its health and its connections.
+    /// A runner that an item may be pushed to by its backoff, its health and its connections.
     fn accepts_item(&self, now: Millis, service: &Service, key: RunnerKey) -> Option<&Runner> {
         let runner = self
             .get(key)
-            .filter(|runner| runner.up && runner.backoff.open(now))?;
+            .filter(|runner| runner.up && runner.backoff.is_open(now))?;
         let conns = f64::from(self.connection_limit(key));
         let most_items = (conns * ITEM_CONNS).max(1.0);
         // One that says nothing of itself yet gets one: a dispatcher that starts must not flood.
--- a/crates/gateway/runner-selection/src/lib.rs
+++ b/crates/gateway/runner-selection/src/lib.rs
@@ -4,7 +4,7 @@
 //! in flight there itself, what their memory probably holds, how long first tokens took, and whether they
 //! answer. Live requests go where the first token is expected soonest, and long shared parts of prompts to
 //! their homes (by rendezvous, with bounded load). Items of batch jobs take the room that live requests leave: the
-//! sleepers of `decide` say when a runner may be pushed to again, and a draw weighted by room says which one.
+//! backoffs of `decide` say when a runner may be pushed to again, and a draw weighted by room says which one.
 //!
 //! How it is called: for a live request [`Balancer::choose`], then [`Balancer::sent`] for what is sent; for
 //! items [`Balancer::item_room`] before some are fetched, [`Balancer::choose_item`] for each, then `sent`. Of
--- a/crates/gateway/runner-selection/src/runner.rs
+++ b/crates/gateway/runner-selection/src/runner.rs
@@ -7,7 +7,7 @@
 use crate::service::Service;
 use crate::Millis;
 use compact_str::CompactString;
-use dispatch_policy::Sleeper;
+use dispatch_policy::AdaptiveBackoff;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
@@ -48,7 +48,7 @@
     pub(crate) slots: f64,
     pub(crate) up: bool,
     pub(crate) warming_until: Millis,
-    pub(crate) backoff: Sleeper,
+    pub(crate) backoff: AdaptiveBackoff,
     pub(crate) health: Health,
     pub(crate) in_flight: u32,
     pub(crate) items_in_flight: u32,
@@ -89,7 +89,7 @@
             slots: f64::from(registered.slots.max(1)),
             up: true,
             warming_until: now.saturating_add(registered.warmup_left_ms),
-            backoff: Sleeper::default(),
+            backoff: AdaptiveBackoff::default(),
             health: Health::default(),
             in_flight: 0,
             items_in_flight: 0,
--- a/crates/gateway/runner-selection/src/service.rs
+++ b/crates/gateway/runner-selection/src/service.rs
@@ -9,7 +9,7 @@
 use crate::prefix_table::PrefixTable;
 use crate::{Millis, RequestProfile, RunnerKey, ServiceTerms};
 use compact_str::CompactString;
-use dispatch_policy::SleeperTerms;
+use dispatch_policy::BackoffConfig;
 
 /// DecayingMean and mean deviation that forget.
 #[derive(Debug, Clone, Copy)]
@@ -220,16 +220,16 @@
         }
     }
 
-    pub(crate) fn backoff_terms(&self) -> SleeperTerms {
+    pub(crate) fn backoff_terms(&self) -> BackoffConfig {
         let run = self.run_ms.mean;
-        SleeperTerms {
+        BackoffConfig {
             initial: (INITIAL * run).max(INITIAL_LEAST_MS),
             max: (MAX * run).max(INITIAL_LEAST_MS),
-            up: UP,
-            down: DOWN,
-            successes_down: SUCCESSES_DOWN,
-            randomization: RANDOMIZATION,
-            max_randomization: MAX_RANDOMIZATION * run,
+            increase_factor: UP,
+            decrease_factor: DOWN,
+            successes_to_decrease: SUCCESSES_DOWN,
+            jitter: RANDOMIZATION,
+            max_jitter: MAX_RANDOMIZATION * run,
         }
     }
 
