--- a/crates/common/tier-settings/tests/keys.rs
+++ b/crates/common/tier-settings/tests/keys.rs
@@ -1,7 +1,6 @@
 //! Each key with its default, and the errors of its value.
 
 #![expect(clippy::unwrap_used, reason = "a test ends at the first surprise")]
-#![expect(clippy::too_many_lines, reason = "not revised yet")]
 
 use std::fmt::Write;
 use tier_settings::{
@@ -211,20 +210,14 @@
         "##);
 }
 
-/// A table at each key of a value, and a flag at each key of a table.
-#[test]
-fn a_value_of_another_type_is_refused_at_each_key() {
-    let mut text = String::new();
-    for key in ["Node", "Role", "Ip", "PortRange"] {
+/// The errors of files with another type at each key: a table where a value belongs, and a flag
+/// where a table belongs.
+fn type_errors() -> String {
+    let required = ["Node", "Role", "Ip", "PortRange"].map(|key| {
         let line = LEAST.lines().find(|line| line.starts_with(key)).unwrap();
-        writeln!(
-            text,
-            "{}",
-            fault(&LEAST.replace(line, &format!("{key} = {{}}")))
-        )
-        .unwrap();
-    }
-    for key in [
+        LEAST.replace(line, &format!("{key} = {{}}"))
+    });
+    let values = [
         "MachineClass",
         "Serves",
         "Zone",
@@ -237,25 +230,28 @@
         "Ingress",
         "HeartbeatMs",
         "Guarantees",
-    ] {
-        writeln!(text, "{}", fault(&format!("{LEAST}{key} = {{}}\n"))).unwrap();
-    }
-    for table in ["Zones", "Bind", "Limits", "FaultBudget", "Bounds"] {
-        writeln!(text, "{}", fault(&format!("{LEAST}{table} = true\n"))).unwrap();
-    }
-    for (table, key) in [
+    ];
+    let values = values.map(|key| format!("{LEAST}{key} = {{}}\n"));
+    let tables = ["Zones", "Bind", "Limits", "FaultBudget", "Bounds"];
+    let tables = tables.map(|table| format!("{LEAST}{table} = true\n"));
+    let inner = [
         ("Bind", "Http"),
         ("Bind", "Readyz"),
         ("Bind", "Ctl"),
         ("Zones", "any"),
-    ] {
-        writeln!(
-            text,
-            "{}",
-            fault(&format!("{LEAST}[{table}]\n{key} = {{}}\n"))
-        )
-        .unwrap();
-    }
+    ];
+    let inner = inner.map(|(table, key)| format!("{LEAST}[{table}]\n{key} = {{}}\n"));
+    let files = required
+        .into_iter()
+        .chain(values)
+        .chain(tables)
+        .chain(inner);
+    files.map(|file| fault(&file) + "\n").collect()
+}
+
+#[test]
+fn a_value_of_another_type_is_refused_at_each_key() {
+    let text = type_errors();
     insta::assert_snapshot!(text, @r##"
         S106 Node (line 1): must be a text
         S106 Role (line 2): must be a text
@@ -285,47 +281,25 @@
         "##);
 }
 
-/// Below and above the range of each number.
+/// The errors of files with this value at each key of a number.
+fn range_errors(value: &str) -> String {
+    let limits = ["CpuFrac", "Ncpu", "RamMb", "Nofile", "LinkMbps", "DiskMb"];
+    let limits = limits.map(|key| ("Limits", key));
+    let budget = ["Nodes", "Zones", "Regions"].map(|key| ("FaultBudget", key));
+    let bounds = Bounds::KEYS
+        .iter()
+        .map(|bound| bound.key)
+        .chain(["QuotaExcess"]);
+    let bounds = bounds.map(|key| ("Bounds", key));
+    let in_tables = limits.into_iter().chain(budget).chain(bounds);
+    let in_tables = in_tables.map(|(table, key)| format!("{LEAST}[{table}]\n{key} = {value}\n"));
+    let files = std::iter::once(format!("{LEAST}HeartbeatMs = {value}\n")).chain(in_tables);
+    files.map(|file| fault(&file) + "\n").collect()
+}
+
 #[test]
-fn a_number_out_of_range_is_refused_at_each_key() {
-    let mut text = String::new();
-    for value in ["-1", "1e30"] {
-        writeln!(
-            text,
-            "{}",
-            fault(&format!("{LEAST}HeartbeatMs = {value}\n"))
-        )
-        .unwrap();
-        for (table, keys) in [
-            (
-                "Limits",
-                &["CpuFrac", "Ncpu", "RamMb", "Nofile", "LinkMbps", "DiskMb"][..],
-            ),
-            ("FaultBudget", &["Nodes", "Zones", "Regions"]),
-        ] {
-            for key in keys {
-                writeln!(
-                    text,
-                    "{}",
-                    fault(&format!("{LEAST}[{table}]\n{key} = {value}\n"))
-                )
-                .unwrap();
-            }
-        }
-        for key in Bounds::KEYS
-            .iter()
-            .map(|bound| bound.key)
-            .chain(["QuotaExcess"])
-        {
-            writeln!(
-                text,
-                "{}",
-                fault(&format!("{LEAST}[Bounds]\n{key} = {value}\n"))
-            )
-            .unwrap();
-        }
-    }
-    insta::assert_snapshot!(text, @r##"
+fn a_number_below_its_range_is_refused_at_each_key() {
+    insta::assert_snapshot!(range_errors("-1"), @r##"
         S110 HeartbeatMs (line 5): must be from 10 to 600000, but is -1
         S110 Limits.CpuFrac (line 6): must be from 0.001 to 4096, but is -1
         S110 Limits.Ncpu (line 6): must be from 1 to 4096, but is -1
@@ -355,6 +329,12 @@
         S110 Bounds.CancelMs (line 6): must be from 0 to 86400000, but is -1
         S110 Bounds.SettleMs (line 6): must be from 0 to 86400000, but is -1
         S110 Bounds.QuotaExcess (line 6): must be from 0 to 1000, but is -1
+        "##);
+}
+
+#[test]
+fn a_number_above_its_range_is_refused_at_each_key() {
+    insta::assert_snapshot!(range_errors("1e30"), @r##"
         S110 HeartbeatMs (line 5): must be from 10 to 600000, but is 1000000000000000000000000000000
         S110 Limits.CpuFrac (line 6): must be from 0.001 to 4096, but is 1000000000000000000000000000000
         S110 Limits.Ncpu (line 6): must be from 1 to 4096, but is 1000000000000000000000000000000
--- a/crates/common/tier-settings/tests/settings.rs
+++ b/crates/common/tier-settings/tests/settings.rs
@@ -1,7 +1,6 @@
 //! Reading a complete file, its defaults, and the addresses derived from it.
 
 #![expect(clippy::unwrap_used, reason = "a test ends at the first surprise")]
-#![expect(clippy::too_many_lines, reason = "not revised yet")]
 
 use std::net::SocketAddr;
 use tier_settings::{Bounds, FaultBudget, PeerRole, PortRange, Settings};
@@ -82,13 +81,8 @@
         (read.http, read.readyz, read.ctl),
         (None, None, Some(addr("10.9.0.7:9001")))
     );
-    assert_eq!(
-        read.zones
-            .iter()
-            .map(|(z, r)| format!("{z}={r}"))
-            .collect::<Vec<_>>(),
-        ["north=upland", "south=lowland"]
-    );
+    let zones = read.zones.iter().map(|(z, r)| format!("{z}={r}"));
+    assert!(zones.eq(["north=upland", "south=lowland"]));
     assert_eq!(
         (
             read.limits.ncpu,
--- a/crates/control/failure-detector/tests/detector.rs
+++ b/crates/control/failure-detector/tests/detector.rs
@@ -1,13 +1,12 @@
 //! Which dispatchers are reported as failed, how soon, and which never.
 
-#![expect(clippy::too_many_lines, reason = "not revised yet")]
-
 mod support;
 
 use std::collections::{BTreeMap, BTreeSet};
+use std::net::SocketAddr;
 
 use failure_detector::{
-    watchers, Effect, FailureDetector, Message, Verdict, MAX_DISPATCHERS, WATCHERS,
+    watchers, Dispatcher, Effect, FailureDetector, Message, Verdict, MAX_DISPATCHERS, WATCHERS,
 };
 use proptest::prelude::*;
 use support::{dispatcher, Simulation};
@@ -273,6 +272,59 @@
     assert!(!simulation.reported_failed().is_empty());
 }
 
+/// Messages about a watched dispatcher from wrong addresses, or of no watcher.
+fn forged_messages(
+    one: &Dispatcher,
+    stranger: &Dispatcher,
+    watched: &Dispatcher,
+) -> [(SocketAddr, Message); 6] {
+    let of = watched.id;
+    let (by, heartbeat) = (one.id, u64::MAX);
+    [
+        (
+            stranger.addr,
+            Message::Suspect {
+                by,
+                of,
+                heartbeat: 9,
+            },
+        ),
+        (
+            watched.addr,
+            Message::Suspect {
+                by,
+                of,
+                heartbeat: 9,
+            },
+        ),
+        (
+            one.addr,
+            Message::Suspect {
+                by: 1,
+                of: 2,
+                heartbeat: 9,
+            },
+        ),
+        (
+            stranger.addr,
+            Message::Heartbeat {
+                id: one.id,
+                heartbeat,
+            },
+        ),
+        (
+            one.addr,
+            Message::Alive {
+                by: 0,
+                of,
+                heartbeat,
+                age_ms: 0,
+            },
+        ),
+        (one.addr, Message::Probe { by: 3, of }),
+    ]
+}
+
 #[test]
 fn messages_of_strangers_and_forged_votes_are_ignored() {
     let list = (0..8).map(|n| dispatcher(n, 2)).collect::<Vec<_>>();
@@ -282,54 +334,12 @@
     let watched = list.iter().find(|one| one.id == of).expect("listed");
     let mut reported_failed = false;
     for now in (0..10_000).step_by(100) {
-        // From wrong addresses, or of no watcher: no vote counts.
+        // No vote counts.
         for one in &list {
-            detector.handle_message(
-                now,
-                list[0].addr,
-                Message::Suspect {
-                    by: one.id,
-                    of,
-                    heartbeat: 9,
-                },
-            );
-            detector.handle_message(
-                now,
-                watched.addr,
-                Message::Suspect {
-                    by: one.id,
-                    of,
-                    heartbeat: 9,
-                },
-            );
-            detector.handle_message(
-                now,
-                one.addr,
-                Message::Suspect {
-                    by: 1,
-                    of: 2,
-                    heartbeat: 9,
-                },
-            );
-            detector.handle_message(
-                now,
-                list[0].addr,
-                Message::Heartbeat {
-                    id: one.id,
-                    heartbeat: u64::MAX,
-                },
-            );
-            detector.handle_message(
-                now,
-                one.addr,
-                Message::Alive {
-                    by: 0,
-                    of,
-                    heartbeat: u64::MAX,
-                    age_ms: 0,
-                },
-            );
-            detector.handle_message(now, one.addr, Message::Probe { by: 3, of });
+            let messages = forged_messages(one, &list[0], watched);
+            for (from, message) in messages {
+                detector.handle_message(now, from, message);
+            }
         }
         detector.tick(now);
         reported_failed |= detector
