--- a/crates/control/controller/src/core/frames.rs
+++ b/crates/control/controller/src/core/frames.rs
@@ -18,11 +18,11 @@
 /// Why a frame is rejected.
 #[derive(Debug, thiserror::Error)]
 enum FrameError {
-    #[error("{0}")]
+    #[error(transparent)]
     Control(#[from] DecodeError),
-    #[error("{0}")]
+    #[error(transparent)]
     Relay(#[from] relay_tree::DecodeError),
-    #[error("{0}")]
+    #[error(transparent)]
     Store(#[from] batch::wire::DecodeError),
     #[error("unknown kind")]
     UnknownKind,
--- a/crates/control/controller/src/event_loop.rs
+++ b/crates/control/controller/src/event_loop.rs
@@ -80,8 +80,8 @@
                 biased;
                 changed = synced.changed() => match changed {
                     Ok(()) => {
-                        let position = *synced.borrow_and_update();
-                        self.handle_synced(position);
+                        let lsn = *synced.borrow_and_update();
+                        self.handle_synced(lsn);
                     }
                     Err(_) => return Err(StartError::Disk(LogError::Closed)),
                 },
@@ -126,9 +126,9 @@
         }
     }
 
-    fn handle_synced(&mut self, position: u64) {
+    fn handle_synced(&mut self, lsn: u64) {
         let time = self.time();
-        let writes = self.journal.synced(time.now, position);
+        let writes = self.journal.synced(time.now, lsn);
         self.core.handle_synced(time, &writes);
         self.core.update_disk_state(time.now, self.journal.state());
     }
--- a/crates/control/controller/src/journal.rs
+++ b/crates/control/controller/src/journal.rs
@@ -18,16 +18,16 @@
 enum Backing {
     /// To a disk.
     Disk(WriteAheadLog),
-    /// Nowhere: each counts as synced at once. The newest ticket.
+    /// Nowhere: each counts as synced at once. The newest LSN.
     Nothing(watch::Sender<u64>),
 }
 
 impl Backing {
     fn append(&self, record: Record) -> Result<u64, LogError> {
         match self {
-            Backing::Disk(ring) => ring.append(record),
+            Backing::Disk(log) => log.append(record),
             Backing::Nothing(newest) => {
-                newest.send_modify(|ticket| *ticket += 1);
+                newest.send_modify(|lsn| *lsn += 1);
                 Ok(*newest.borrow())
             }
         }
@@ -35,13 +35,13 @@
 
     fn synced(&self) -> watch::Receiver<u64> {
         match self {
-            Backing::Disk(ring) => ring.synced_lsn(),
+            Backing::Disk(log) => log.synced_lsn(),
             Backing::Nothing(newest) => newest.subscribe(),
         }
     }
 }
 
-/// Bytes of records that may wait beside the ring's own queue; beyond it nothing more is agreed to.
+/// Bytes of records that may wait beside the log's own queue; beyond it nothing more is agreed to.
 const MAX_BACKLOG_BYTES: usize = 16 << 20;
 
 /// How much of the disk is used. Both 0 where there is none.
@@ -53,7 +53,7 @@
     pub capacity_bytes: u64,
 }
 
-/// A record that the ring hasn't taken yet.
+/// A record that the log hasn't taken yet.
 struct QueuedRecord {
     /// Rises by one a record.
     number: u64,
@@ -65,8 +65,8 @@
 
 /// A record that is on its way to the disk.
 struct UnsyncedRecord {
-    /// The ring's own ticket.
-    position: u64,
+    /// Its log sequence number (LSN).
+    lsn: u64,
     ticket: Option<WriteTicket>,
     since: Millis,
 }
@@ -76,11 +76,11 @@
     /// Numbers of the first and the last of its records.
     first: u64,
     last: u64,
-    /// The ring's ticket of the first, once the ring has taken it.
-    first_position: u64,
-    /// The ring's ticket of the last, once the ring has taken it and so what stands before the
+    /// The LSN of the first, once the log has taken it.
+    first_lsn: u64,
+    /// The LSN of the last, once the log has taken it and so what stands before the
     /// first is released.
-    last_position: Option<u64>,
+    last_lsn: Option<u64>,
 }
 
 /// The disk, and what waits for it, in order. A disk that refuses ends nothing: what was written
@@ -102,7 +102,7 @@
 
 impl Journal {
     /// A journal over a disk that was opened, and what was on it.
-    pub fn new(ring: WriteAheadLog, records: Vec<(u64, Record)>) -> (Self, RecoveredState) {
+    pub fn new(log: WriteAheadLog, records: Vec<(u64, Record)>) -> (Self, RecoveredState) {
         let mut recovered = RecoveredState::default();
         for (_, record) in records {
             recovered.replay(record.kind, record.body);
@@ -111,7 +111,7 @@
         (
             Journal {
                 initial_members,
-                ..Journal::over(Backing::Disk(ring))
+                ..Journal::over(Backing::Disk(log))
             },
             recovered,
         )
@@ -166,7 +166,7 @@
         });
     }
 
-    /// Hands over to the ring what it takes.
+    /// Hands over to the log what it takes.
     fn flush(&mut self) {
         while let Some(queued) = self.queue.front() {
             let body = queued.body.clone();
@@ -176,8 +176,8 @@
                 number: 0,
                 body,
             };
-            // Full: goes on with the next sync, or once the ring has grown.
-            let Ok(position) = self.backing.append(record) else {
+            // Full: goes on with the next sync, or once the log has grown.
+            let Ok(lsn) = self.backing.append(record) else {
                 return;
             };
             let Some(queued) = self.queue.pop_front() else {
@@ -191,41 +191,38 @@
                 ..
             } = queued;
             self.backlog_bytes = self.backlog_bytes.saturating_sub(body.len());
-            self.unsynced.push_back(UnsyncedRecord {
-                position,
-                ticket,
-                since,
-            });
-            self.advance_compaction(number, position);
+            self.unsynced
+                .push_back(UnsyncedRecord { lsn, ticket, since });
+            self.advance_compaction(number, lsn);
         }
     }
 
-    /// Once the ring has taken the last record of a compaction, what stands before the first is
+    /// Once the log has taken the last record of a compaction, what stands before the first is
     /// released. Not before: after a crash nothing may be missing of what the new records replace.
-    /// The ring writes in order, and syncs all before it overwrites a file that was released.
-    fn advance_compaction(&mut self, number: u64, position: u64) {
+    /// The log writes in order, and syncs all before it overwrites a file that was released.
+    fn advance_compaction(&mut self, number: u64, lsn: u64) {
         let Some(compaction) = &mut self.compaction else {
             return;
         };
         if number == compaction.first {
-            compaction.first_position = position;
+            compaction.first_lsn = lsn;
         }
         if number == compaction.last {
-            compaction.last_position = Some(position);
-            if let Backing::Disk(ring) = &self.backing {
-                ring.release_before(compaction.first_position);
+            compaction.last_lsn = Some(lsn);
+            if let Backing::Disk(log) = &self.backing {
+                log.release_before(compaction.first_lsn);
             }
         }
     }
 
-    /// All up to this ticket of the ring is on disk: whose writes these were. While a compaction is
+    /// All up to this LSN is on disk: whose writes these were. While a compaction is
     /// not on disk completely, no write counts as synced: its snapshot voids the entries that stand
     /// before it, so one of them that is synced, and not applied, would be gone if the power went
     /// between the snapshot and the entry's second copy.
-    pub fn synced(&mut self, now: Millis, position: u64) -> Vec<WriteTicket> {
+    pub fn synced(&mut self, now: Millis, lsn: u64) -> Vec<WriteTicket> {
         self.last_progress_at = now;
         let mut tickets = Vec::new();
-        let is_open = |c: &Compaction| c.last_position.is_none_or(|last| last > position);
+        let is_open = |c: &Compaction| c.last_lsn.is_none_or(|last| last > lsn);
         if self.compaction.as_ref().is_some_and(is_open) {
             self.flush();
             return tickets;
@@ -233,7 +230,7 @@
         while self
             .unsynced
             .front()
-            .is_some_and(|record| record.position <= position)
+            .is_some_and(|record| record.lsn <= lsn)
         {
             tickets.extend(self.unsynced.pop_front().and_then(|record| record.ticket));
         }
@@ -241,16 +238,16 @@
         tickets
     }
 
-    /// How the disk is; to be called now and then, which also hands over what the ring didn't take
+    /// How the disk is; to be called now and then, which also hands over what the log didn't take
     /// before.
     pub fn state(&mut self) -> DiskStatus {
         self.flush();
         let oldest = self.unsynced.front().map(|record| record.since);
         let oldest = oldest.or(self.queue.front().map(|queued| queued.since));
         let (failing, preallocated) = match &self.backing {
-            Backing::Disk(ring) => (
-                ring.fault().is_some(),
-                ring.is_preallocated() && *ring.synced_lsn().borrow() > 0,
+            Backing::Disk(log) => (
+                log.fault().is_some(),
+                log.is_preallocated() && *log.synced_lsn().borrow() > 0,
             ),
             // It never counts as able.
             Backing::Nothing(_) => (false, false),
@@ -263,18 +260,18 @@
         }
     }
 
-    /// Once half of the ring is used, writes all that counts once more, and gives up what stands
-    /// before. What is still on its way to the disk stands before it in the ring, and is part of
+    /// Once half of the capacity is used, writes all that counts once more, and gives up what stands
+    /// before. What is still on its way to the disk stands before it in the log, and is part of
     /// what is written: the core has emitted all that it wants written. So this needs no pause in
     /// the writes, and no disk that takes them now.
     pub fn compact_if_needed(&mut self, now: Millis, core: &ControllerCore) {
-        let Backing::Disk(ring) = &self.backing else {
+        let Backing::Disk(log) = &self.backing else {
             return;
         };
-        let newest = *ring.synced_lsn().borrow();
-        let is_done = |c: &mut Compaction| c.last_position.is_some_and(|last| last <= newest);
+        let newest = *log.synced_lsn().borrow();
+        let is_done = |c: &mut Compaction| c.last_lsn.is_some_and(|last| last <= newest);
         self.compaction.take_if(is_done);
-        if self.compaction.is_some() || ring.used_bytes() * 2 < ring.capacity_bytes() {
+        if self.compaction.is_some() || log.used_bytes() * 2 < log.capacity_bytes() {
             return;
         }
         let first = self.queued + 1;
@@ -291,13 +288,13 @@
         self.compaction = Some(Compaction {
             first,
             last,
-            first_position: 0,
-            last_position: None,
+            first_lsn: 0,
+            last_lsn: None,
         });
         self.flush();
     }
 
-    /// Tells the ring's newest ticket that is on disk.
+    /// Tells the newest LSN that is on disk.
     pub fn subscribe_synced(&self) -> watch::Receiver<u64> {
         self.backing.synced()
     }
@@ -305,9 +302,9 @@
     /// How much of the disk is used.
     pub fn usage(&self) -> DiskUsage {
         match &self.backing {
-            Backing::Disk(ring) => DiskUsage {
-                used_bytes: ring.used_bytes(),
-                capacity_bytes: ring.capacity_bytes(),
+            Backing::Disk(log) => DiskUsage {
+                used_bytes: log.used_bytes(),
+                capacity_bytes: log.capacity_bytes(),
             },
             Backing::Nothing(_) => DiskUsage::default(),
         }
--- a/crates/control/controller/src/peers.rs
+++ b/crates/control/controller/src/peers.rs
@@ -127,7 +127,7 @@
             .map(|p| now.saturating_sub(p.last_contact_at))
     }
 
-    /// Forgets those that have been silent for [`FORGET_AFTER`].
+    /// Forgets those that have been silent for a minute.
     pub fn forget_silent(&mut self, now: Millis) {
         self.peers.retain(|_, p| p.silent_for(now) < FORGET_AFTER);
     }
--- a/crates/control/controller/src/program.rs
+++ b/crates/control/controller/src/program.rs
@@ -19,17 +19,15 @@
 use tier_settings::{PeerRole, Settings, SettingsError};
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::sync::{mpsc, watch};
-use write_ahead_log::{LogError, OpenAs, Options};
+use write_ahead_log::{LogError, OpenAs, Options, MIN_SEGMENTS};
 
 /// Connections that may wait to be accepted.
 const LISTEN_BACKLOG: u32 = 1024;
-/// The size of a file of the ring: two of the largest configurations fit in.
-const RING_FILE_BYTES: u64 = 8 * 1024 * 1024;
-/// Fewest files of the ring: one to write to, and the next.
-const MIN_RING_FILES: usize = 2;
-/// The share of `Limits.DiskMb` for the ring; the rest is for the files' heads and what the file
+/// Size of a segment of the log: two of the largest configurations fit in.
+const SEGMENT_BYTES: u64 = 8 * 1024 * 1024;
+/// The share of `Limits.DiskMb` for the log; the rest is for the segments' headers and what the file
 /// system needs.
-const RING_SHARE: f64 = 0.9;
+const LOG_SHARE: f64 = 0.9;
 /// An initial member waits so long for its first record before it serves what needs no disk.
 const FIRST_RECORD_TIMEOUT: Duration = Duration::from_millis(500);
 
@@ -191,10 +189,10 @@
         .limits
         .disk_mb
         .ok_or(StartError::MissingSetting("Limits.DiskMb"))?;
-    let ring_bytes = disk_mb as f64 * 1.0e6 * RING_SHARE;
-    let max_segments = ((ring_bytes / RING_FILE_BYTES as f64) as usize).max(MIN_RING_FILES);
+    let log_bytes = disk_mb as f64 * 1.0e6 * LOG_SHARE;
+    let max_segments = ((log_bytes / SEGMENT_BYTES as f64) as usize).max(MIN_SEGMENTS);
     let options = Options {
-        segment_bytes: RING_FILE_BYTES,
+        segment_bytes: SEGMENT_BYTES,
         max_segments,
     };
     let open_as = OpenAs {
@@ -265,7 +263,7 @@
 
 async fn wait_for_first_record(mut synced: watch::Receiver<u64>) {
     let newest = *synced.borrow();
-    let on_disk = synced.wait_for(|position| *position > newest);
+    let on_disk = synced.wait_for(|lsn| *lsn > newest);
     // A disk that takes longer is no reason not to serve: nothing is announced until it does.
     let _ = tokio::time::timeout(FIRST_RECORD_TIMEOUT, on_disk).await;
 }
--- a/crates/control/controller/tests/journal.rs
+++ b/crates/control/controller/tests/journal.rs
@@ -1,4 +1,4 @@
-//! A controller's journal over a ring on a disk in memory, which is written by hand: its room stays
+//! A controller's journal over a log on a disk in memory, which is written by hand: its room stays
 //! bounded under writes that never pause and while the disk refuses.
 
 #![expect(clippy::unwrap_used, reason = "a test ends at the first surprise")]
@@ -205,7 +205,7 @@
     }
 }
 
-// The ring was begun anew only while nothing was on its way to the disk, so never.
+// The log was compacted only while nothing was on its way to the disk, so never.
 #[test]
 fn under_continuous_writes_the_log_is_compacted_before_it_is_full() {
     let mut machine = Machine::new();
@@ -233,7 +233,7 @@
         "of {} writes {told} were said to be synced",
         machine.written
     );
-    assert!(most < 90, "{most} of a hundred parts of the ring were used");
+    assert!(most < 90, "{most} percent of the log were used");
 }
 
 // Entry 10, snapshot 9, entry 10 again: if the first entry 10 counted as synced alone, power that
@@ -277,7 +277,7 @@
     let path = std::env::temp_dir().join(format!("controller-journal-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&path);
     let begin = || -> PreparedLog<LogDirectory, StdMonitor<SharedState>> {
-        prepare(LogDirectory::new(&path).expect("a folder"), OPTIONS, 9).expect("a ring")
+        prepare(LogDirectory::new(&path).expect("a folder"), OPTIONS, 9).expect("a log")
     };
     let opened = begin();
     let mut writer = opened.writer;
@@ -306,7 +306,7 @@
     drop(journal);
     let opened = begin();
     assert!(opened.identity == 9 && !opened.is_new);
-    // The newest founding record, and at most half a ring of writes behind it.
+    // The newest record of the initial members, and at most half a log of writes behind it.
     let kinds: Vec<u8> = opened
         .records
         .iter()
@@ -322,7 +322,7 @@
     std::fs::remove_dir_all(path).expect("a folder");
 }
 
-// While the disk refused, nothing was synced, so the ring was never begun anew; when it was full it
+// While the disk refused, nothing was synced, so the log was never compacted; when it was full it
 // took nothing more for good.
 #[test]
 fn a_log_filled_while_the_disk_fails_accepts_writes_afterwards() {
@@ -330,7 +330,7 @@
     let mut told = 0;
     for round in 0..5 {
         machine.disk.refuse(true);
-        // Less than half of the ring: a controller whose disk refuses soon takes no more that would
+        // Less than half of the log: a controller whose disk refuses soon takes no more that would
         // be written.
         for _ in 0..80 {
             machine.write();
--- a/crates/control/controller/tests/stored_data.rs
+++ b/crates/control/controller/tests/stored_data.rs
@@ -1,7 +1,7 @@
 //! Data that a controller stored before stays readable, and it goes on from there.
 //!
 //! `fixtures/changed/` holds the disks of three controllers: a configuration changed forty times
-//! amid changes of the view, on a ring that has gone round and begins with a snapshot; the last
+//! amid changes of the view, on a log that has gone round and begins with a snapshot; the last
 //! view was agreed on after it. `fixtures/bootstrapped/` holds those of a first start.
 //! [`write_disks`] writes such disks; with `WRITE_FIXTURES` set they take the place of the stored
 //! ones, and the expected values below are to be taken over from them.
@@ -118,7 +118,7 @@
     }
 }
 
-/// Which file of the ring this is, as its header says (docs/disk-files.md).
+/// Which segment of the log this is, as its header says (docs/disk-files.md).
 fn sequence(file: &Path) -> u64 {
     let bytes = std::fs::read(file).expect("a file");
     u64::from_le_bytes(bytes[32..40].try_into().expect("eight bytes"))
@@ -212,7 +212,7 @@
     for index in 0..CONTROLLERS {
         let order = files(&directory.join(cluster::node_name(index)));
         let order: Vec<u64> = order.iter().map(|file| sequence(file)).collect();
-        assert_eq!(order, [5, 2, 3, 4], "the ring has gone round");
+        assert_eq!(order, [5, 2, 3, 4], "the log has gone round");
     }
     insta::assert_snapshot!(listed(&directory, 0), @"
     3 58 dc7e5a958205d188
--- a/crates/control/controller/tests/support/cluster.rs
+++ b/crates/control/controller/tests/support/cluster.rs
@@ -18,7 +18,7 @@
 };
 
 pub const CONTROLLERS: usize = 3;
-/// Small files, so that forty configurations go round the ring.
+/// Small files, so that forty configurations go round the log.
 pub const OPTIONS: Options = Options {
     segment_bytes: 32 << 10,
     max_segments: 4,
@@ -51,7 +51,7 @@
     Settings::parse(&text).expect("settings")
 }
 
-/// The configuration of this version: valid, and large enough that forty go round the ring.
+/// The configuration of this version: valid, and large enough that forty go round the log.
 pub fn config_body(gen: u64) -> String {
     let note = format!("{gen:02} ").repeat(1_000);
     format!(
@@ -61,10 +61,10 @@
     )
 }
 
-pub type Ring = PreparedLog<LogDirectory, StdMonitor<SharedState>>;
+pub type OpenedDisk = PreparedLog<LogDirectory, StdMonitor<SharedState>>;
 
-/// Opens a controller's ring as its process does.
-pub fn open_ring(path: &Path, index: usize, identity: u64) -> Ring {
+/// Opens a controller's log as its process does.
+pub fn open_disk(path: &Path, index: usize, identity: u64) -> OpenedDisk {
     let open_as = OpenAs {
         new_identity: identity,
         owner: owner_id(&node_name(index), "controller"),
@@ -74,12 +74,12 @@
         OPTIONS,
         open_as,
     )
-    .expect("a ring")
+    .expect("a log")
 }
 
 /// The records that a disk holds, oldest first.
 pub fn records(path: &Path, index: usize) -> Vec<Record> {
-    open_ring(path, index, 0xbad)
+    open_disk(path, index, 0xbad)
         .records
         .into_iter()
         .map(|(_, record)| record)
@@ -96,9 +96,9 @@
 
 impl Process {
     fn start(path: &Path, index: usize, incarnation: u64, now: u64) -> Process {
-        let ring = open_ring(path, index, new_identity(index));
-        let (fresh, identity) = (ring.is_new, ring.identity);
-        let (mut journal, recovered) = Journal::new(ring.log, ring.records);
+        let disk = open_disk(path, index, new_identity(index));
+        let (fresh, identity) = (disk.is_new, disk.identity);
+        let (mut journal, recovered) = Journal::new(disk.log, disk.records);
         let settings = settings(index);
         let process = ProcessIdentity {
             incarnation,
@@ -116,7 +116,7 @@
             core,
             identity,
             journal,
-            writer: ring.writer,
+            writer: disk.writer,
             incarnation,
         }
     }
