--- a/crates/dispatcher/simulator-protocol/src/main.rs
+++ b/crates/dispatcher/simulator-protocol/src/main.rs
@@ -1,23 +1,36 @@
-//! Speaks the simulator's wire on standard input and output.
+//! Speaks the simulator's protocol on standard input and output.
 
 use bpaf::{long, Parser};
-use dispatcher_settings::operator::Operator;
-use simulator_protocol::Host;
+use dispatcher_settings::operator::{Operator, OperatorError};
+use simulator_protocol::{Host, LineError};
 use std::io::{self, BufRead, Write};
 use std::path::PathBuf;
 use std::process::ExitCode;
 
+/// Why the program ended.
+#[derive(Debug, thiserror::Error)]
+enum HostError {
+    #[error(transparent)]
+    Operator(#[from] OperatorError),
+    #[error("line {line}: {source}")]
+    Read { line: u64, source: io::Error },
+    #[error("line {line}: {source}")]
+    Line { line: u64, source: LineError },
+    #[error(transparent)]
+    Write(io::Error),
+}
+
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(text) => {
-            eprintln!("fordrelay-wirehost: {text}");
+        Err(error) => {
+            eprintln!("fordrelay-wirehost: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn run() -> Result<(), String> {
+fn run() -> Result<(), HostError> {
     let (mut input, mut output) = (io::stdin().lock(), io::stdout().lock());
     let operator = long("operator")
         .help("The operators' file, for what of it concerns the decisions")
@@ -26,27 +39,21 @@
         .to_options()
         .descr("The decisions on the simulator's wire, on standard input and output")
         .run();
-    let operator = operator
-        .map(|file| Operator::load(&file))
-        .transpose()
-        .map_err(|e| e.to_string())?;
-    let (mut host, mut line, mut count) = (Host::new(operator), String::new(), 0u64);
+    let operator = operator.map(|file| Operator::load(&file)).transpose()?;
+    let (mut host, mut text, mut line) = (Host::new(operator), String::new(), 0u64);
     loop {
-        line.clear();
-        count += 1;
-        let read = input
-            .read_line(&mut line)
-            .map_err(|e| format!("line {count}: {e}"))?;
-        if read == 0 {
+        text.clear();
+        line += 1;
+        let read = input.read_line(&mut text);
+        if read.map_err(|source| HostError::Read { line, source })? == 0 {
             return Ok(());
         }
-        let mut reply = host
-            .answer(&line)
-            .map_err(|e| format!("line {count}: {e}"))?;
+        let reply = host.answer(&text);
+        let mut reply = reply.map_err(|source| HostError::Line { line, source })?;
         reply.push('\n');
-        output
+        let written = output
             .write_all(reply.as_bytes())
-            .and_then(|()| output.flush())
-            .map_err(|e| e.to_string())?;
+            .and_then(|()| output.flush());
+        written.map_err(HostError::Write)?;
     }
 }
--- a/crates/dispatcher/simulator-protocol/tests/wire.rs
+++ b/crates/dispatcher/simulator-protocol/tests/protocol.rs
@@ -1,7 +1,6 @@
-//! The wire: lines written for the test in, replies out, through the host and the real program.
+//! The protocol: prepared lines in, replies out, through the host and the program.
 
 #![expect(clippy::unwrap_used, reason = "a test ends at the first surprise")]
-#![expect(clippy::too_many_lines, reason = "not revised yet")]
 
 use simulator_protocol::Host;
 use std::io::Write;
@@ -35,7 +34,7 @@
 "cores-needed":1,"route-key":null,"memory":null,"project":null,"work-ms":null,"cls":0}}"#;
 
 #[test]
-fn a_job_goes_out_and_its_answer_comes_back() {
+fn a_job_is_pushed_and_its_attempt_ends() {
     let mut host = Host::default();
     let reply = host.answer(&start(FACTS)).unwrap();
     assert_eq!(
@@ -59,7 +58,7 @@
 }
 
 #[test]
-fn a_full_answer_is_backed_off_and_an_unsent_job_is_bounced_when_its_time_is_up() {
+fn a_rejection_backs_off_and_an_unsent_job_is_rejected_at_its_deadline() {
     let mut host = Host::default();
     host.answer(&start(FACTS)).unwrap();
     host.answer(&batch(2, REQ)).unwrap();
@@ -78,7 +77,7 @@
 }
 
 #[test]
-fn killed_and_started_in_one_batch_leaves_a_new_instance() {
+fn a_kill_and_a_start_in_one_batch_leave_a_new_instance() {
     let mut host = Host::default();
     host.answer(&start(FACTS)).unwrap();
     let again = start(FACTS).replace(r#""msgs":["#, r#""msgs":[{"killed":{}},"#);
@@ -107,7 +106,7 @@
 }
 
 #[test]
-fn unusable_settings_are_reported_on_the_wire() {
+fn unusable_settings_are_reported_to_the_simulator() {
     let mut host = Host::default();
     let reply = host
         .answer(&start(
@@ -120,7 +119,7 @@
     );
 }
 
-fn drill(input: &str) -> Output {
+fn run_program(input: &str) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_fordrelay-wirehost"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -137,16 +136,16 @@
 }
 
 #[test]
-fn the_program_answers_each_line_and_ends_well() {
+fn the_program_answers_each_line_and_exits_with_success() {
     let input = format!("{}\n{}\n", start(FACTS), batch(2, REQ).replace('\n', ""));
-    let out = drill(&input);
+    let out = run_program(&input);
     assert!(out.status.success());
     assert_eq!(String::from_utf8(out.stdout).unwrap().lines().count(), 2);
     assert!(out.stderr.is_empty());
 }
 
 #[test]
-fn malformed_input_ends_it_with_one_plain_message() {
+fn malformed_input_ends_the_program_with_one_message() {
     let good = r#"{"sim-time-ms":1,"n":0,"dispatchers":[]}"#;
     for bad in [
         "{",
@@ -155,7 +154,7 @@
         &batch(2, r#"{"left":{"ref":1}}"#),
         "\u{1}",
     ] {
-        let out = drill(&format!("{good}\n{bad}\n{good}\n"));
+        let out = run_program(&format!("{good}\n{bad}\n{good}\n"));
         assert!(!out.status.success());
         let text = String::from_utf8(out.stderr).unwrap();
         assert_eq!(text.lines().count(), 1, "{text}");
@@ -169,7 +168,7 @@
 }
 
 #[test]
-fn dispatchers_name_workers_to_each_other_by_marks_and_bad_messages_are_passed_over() {
+fn dispatchers_name_workers_by_hashes_and_ignore_malformed_datagrams() {
     let facts = FACTS
         .replace(r#""probes":true"#, r#""probes":false,"peers":true"#)
         .replace(r#""peers-total":1"#, r#""peers-total":2"#);
@@ -193,7 +192,7 @@
         ))
         .unwrap();
     }
-    // Full by what the other tells: the next job is held.
+    // Full by the other's report: the next job is held.
     let full = format!(r#"{{"datagram":{{"src-peer":1,"raw":"{mark:08x}ff"}}}}"#);
     host.answer(&batch(4, &full)).unwrap();
     let reply = host.answer(&batch(5, &REQ.replace("77", "78"))).unwrap();
@@ -201,10 +200,10 @@
 }
 
 #[test]
-fn the_further_rules_are_carried_and_bind_only_where_stated() {
+fn optional_rules_apply_only_where_given() {
     let rules = r#""spare-attempts":0,"extra-ratio":0,"extra-window-ms":5000,"hang-up-within-ms":800,"full-may-have-run":true,"#;
     let facts = FACTS.replace(r#""rules":{"#, &format!(r#""rules":{{{rules}"#));
-    // The same day with and without them: a refusal, then a drain.
+    // The same events with and without them: a reset, then draining.
     let ended =
         r#"{"settled":{"ref":77,"leg":0,"worker":"10.0.0.1:80","how":251,"finished":false}}"#;
     let drain = r#"{"membership":{"kind":"patch","rev":2,"entries":[{"worker":"10.0.0.1:80","status":"draining"}]}}"#;
@@ -230,7 +229,7 @@
 }
 
 #[test]
-fn bad_figures_of_the_further_rules_are_typed_errors() {
+fn bad_numbers_of_the_optional_rules_are_typed_errors() {
     for (bad, name) in [
         (r#""spare-attempts":3"#, "retry_budget.window"),
         (r#""extra-ratio":0.1"#, "retry_budget.window"),
@@ -258,13 +257,8 @@
     }
 }
 
-/// Every kind of message that the host writes, word for word, over a day with a second dispatcher: see the snapshot.
-#[test]
-fn each_message_of_the_host_keeps_its_form() {
-    let facts = FACTS
-        .replace(r#""probes":true"#, r#""probes":false,"peers":true"#)
-        .replace(r#""peers-total":1"#, r#""peers-total":2"#)
-        .replace(r#""rules":{"#, r#""rules":{"hang-up-within-ms":800,"#);
+/// The replies to a sequence of events; the attempt of the second job ends with this outcome.
+fn replies(facts: &str, how: i64) -> String {
     let settled = |id: u64, leg: u32, how: i64| {
         format!(
             r#"{{"settled":{{"ref":{id},"leg":{leg},"worker":"10.0.0.1:80","how":{how},"finished":false,"report":[0,3]}}}}"#
@@ -285,45 +279,53 @@
         |how: i64| format!(r#"{{"echo":{{"worker":"10.0.0.1:80","how":{how},"report":[3,0]}}}}"#);
     let drain = r#"{"membership":{"kind":"patch","rev":2,"entries":[{"worker":"10.0.0.1:80","status":"draining"}]}}"#;
     let wake = r#"{"timer":{"handle":"wake"}}"#;
-    let day = |facts: &str, how: i64| {
-        let mut host = Host::default();
-        let begins = r#"{"started":{"ref":1,"worker":"10.0.0.1:80","leg":0}}"#;
-        let lines = [
-            start(facts),
-            batch(2, &request(1, 6_000.5)),
-            batch(3, &echo(0)),
-            batch(4, &interim(1, 1, 0.0)),
-            batch(5, &interim(1, 2, 0.5)),
-            batch(6, begins),
-            batch(7, &request(2, 6_000.5)),
-            batch(8, r#"{"left":{"ref":1}}"#),
-            batch(9, &settled(1, 0, 250)),
-            batch(10, &settled(2, 0, how)),
-            batch(11, wake),
-            batch(500, wake),
-            batch(1_000, &request(3, 9_000.5)),
-            batch(1_500, &settled(3, 0, 0)),
-            batch(2_000, r#"{"datagram":{"src-peer":1,"raw":"00000001ff"}}"#),
-            batch(3_000, r#"{"membership":{"kind":"failed"}}"#),
-            batch(4_500, wake),
-            batch(20_000, drain),
-            batch(20_001, &request(4, 21_500.5)),
-            batch(20_500, wake),
-            batch(21_000, wake),
-            batch(30_000, wake),
-            batch(30_001, r#"{"killed":{}}"#),
-        ];
-        let replies = lines.iter().map(|line| host.answer(line).unwrap());
-        replies.collect::<Vec<_>>().join("\n")
-    };
+    let mut host = Host::default();
+    let begins = r#"{"started":{"ref":1,"worker":"10.0.0.1:80","leg":0}}"#;
+    let lines = [
+        start(facts),
+        batch(2, &request(1, 6_000.5)),
+        batch(3, &echo(0)),
+        batch(4, &interim(1, 1, 0.0)),
+        batch(5, &interim(1, 2, 0.5)),
+        batch(6, begins),
+        batch(7, &request(2, 6_000.5)),
+        batch(8, r#"{"left":{"ref":1}}"#),
+        batch(9, &settled(1, 0, 250)),
+        batch(10, &settled(2, 0, how)),
+        batch(11, wake),
+        batch(500, wake),
+        batch(1_000, &request(3, 9_000.5)),
+        batch(1_500, &settled(3, 0, 0)),
+        batch(2_000, r#"{"datagram":{"src-peer":1,"raw":"00000001ff"}}"#),
+        batch(3_000, r#"{"membership":{"kind":"failed"}}"#),
+        batch(4_500, wake),
+        batch(20_000, drain),
+        batch(20_001, &request(4, 21_500.5)),
+        batch(20_500, wake),
+        batch(21_000, wake),
+        batch(30_000, wake),
+        batch(30_001, r#"{"killed":{}}"#),
+    ];
+    let replies = lines.iter().map(|line| host.answer(line).unwrap());
+    replies.collect::<Vec<_>>().join("\n")
+}
+
+/// Each kind of message that the host writes, word for word, with a second dispatcher: see the
+/// snapshot.
+#[test]
+fn each_message_keeps_its_form() {
+    let facts = FACTS
+        .replace(r#""probes":true"#, r#""probes":false,"peers":true"#)
+        .replace(r#""peers-total":1"#, r#""peers-total":2"#)
+        .replace(r#""rules":{"#, r#""rules":{"hang-up-within-ms":800,"#);
     let effect = facts.replace(r#""effect":"pure""#, r#""effect":"side_effect""#);
     let probes = facts.replace(r#""probes":false"#, r#""probes":true"#);
-    let mut all = vec![day(&probes, 254)];
+    let mut all = vec![replies(&probes, 254)];
     for how in [255, 254, 253, 252, 251, 250, 249, 248] {
-        all.push(format!("pure, {how}\n{}", day(&facts, how)));
-        all.push(format!("side effect, {how}\n{}", day(&effect, how)));
+        all.push(format!("pure, {how}\n{}", replies(&facts, how)));
+        all.push(format!("side effect, {how}\n{}", replies(&effect, how)));
     }
-    all.push(day(
+    all.push(replies(
         &facts.replace(r#""tick-ms":2.0"#, r#""tick-ms":2.0,"over-share-worth":3"#),
         0,
     ));
