--- a/crates/gateway/runner-selection/src/affinity.rs
+++ b/crates/gateway/runner-selection/src/affinity.rs
@@ -1,13 +1,13 @@
 //! Which runners are likely to have the parts of a prompt in their KV cache.
 //!
-//! A long shared part has homes by rendezvous hashing, the same at every dispatcher, and a home that
-//! is much fuller than the others is skipped (consistent hashing with bounded loads: Mirrokni, Thorup
-//! and Zadimoghaddam, 2018). Beside them counts where this dispatcher sent a part lately.
+//! A long shared part has homes by rendezvous hashing, the same at every dispatcher, and a home
+//! that is much fuller than the others is skipped (consistent hashing with bounded loads: Mirrokni,
+//! Thorup and Zadimoghaddam, 2018). Beside them counts where this dispatcher sent a part lately.
 
 use crate::balancer::Balancer;
 use crate::constants::{
-    HOLDER_STEER, HOLDER_SURE, HOME_BOUND, HOME_SLACK, KEPT_SHARE, LEAST_PART, MAX_PROMPT_PARTS,
-    SESSIONS, STEER_MS,
+    AFFINITY_MIN_MS, HOLDER_AFFINITY, HOLDER_HIT_RATE, HOME_BOUND, HOME_SLACK, MAX_PROMPT_PARTS,
+    MIN_PART_TOKENS, RETAINED_SHARE, SESSION_SHARE,
 };
 use crate::health::Availability;
 use crate::prefix_table::PrefixTable;
@@ -15,28 +15,28 @@
 use crate::service::Service;
 use crate::{Millis, RequestProfile, RunnerKey};
 
-/// What the parts of a prompt say of where it should go.
+/// Where a request should go by the parts of its prompt.
 #[derive(Debug, Default)]
 pub(crate) struct PrefixAffinity {
-    /// Homes that are fit for it, and the tokens up to the end of the part.
+    /// Homes that accept it, and the tokens up to the end of the part.
     pub(crate) homes: Vec<(RunnerKey, f64)>,
-    /// Ids of the parts that are worth remembering, and the tokens up to the end of each.
+    /// Ids of the parts that are remembered, and the tokens up to the end of each.
     pub(crate) depths: Vec<(u64, f64)>,
 }
 
-/// Tokens that a runner has of a prompt.
+/// Tokens of a prompt that a runner has in its KV cache.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct CachedTokens {
-    /// By what is likely there now.
+    /// Expected, by what was sent there and by the hit rate of homes.
     pub(crate) likely: f64,
-    /// ... of it by the others' requests alone.
+    /// Depth that is expected only since the runner is the home, by other dispatchers' requests.
     pub(crate) at_home: f64,
-    /// As it should be, so that copies come together.
+    /// As if homes always hit, so that copies of a part come together.
     pub(crate) for_affinity: f64,
 }
 
 impl Balancer {
-    /// The parts of a prompt that are worth a way, and the homes that can take it.
+    /// The parts of a prompt that are worth steering by, and the homes that accept it.
     pub(crate) fn affinity(
         &mut self,
         now: Millis,
@@ -68,16 +68,16 @@
             {
                 depth += f64::from(*tokens);
                 let own = n + 1 == request.prompt_parts.len()
-                    && parts.recurring_share < SESSIONS
+                    && parts.recurring_share < SESSION_SHARE
                     && !parts.is_known(*id);
-                if own || *tokens < LEAST_PART {
+                if own || *tokens < MIN_PART_TOKENS {
                     continue;
                 }
                 affinity.depths.push((*id, depth));
-                if service.prefill_ms(f64::from(*tokens)) < STEER_MS {
+                if service.prefill_ms(f64::from(*tokens)) < AFFINITY_MIN_MS {
                     continue;
                 }
-                // A session goes on where it was, home or not.
+                // A session continues where it was, home or not.
                 if n + 1 == request.prompt_parts.len() && parts.holders(*id).next().is_some() {
                     continue;
                 }
@@ -93,7 +93,7 @@
         affinity
     }
 
-    /// Bounded load: a home that is fuller than the others by far is passed over.
+    /// Bounded load: a home that is much fuller than the others is skipped.
     fn home_accepts(&self, now: Millis, service: &Service, key: RunnerKey) -> bool {
         let Some(runner) = self.get(key) else {
             return false;
@@ -108,7 +108,7 @@
             && runner.memory_share(now, service, 0.0) < 1.0
     }
 
-    /// What a runner has of a prompt.
+    /// The cached tokens of a prompt at a runner.
     pub(crate) fn cached_tokens(
         &self,
         service: &Service,
@@ -120,18 +120,19 @@
         let mut cached = CachedTokens::default();
         let held = |parts: &PrefixTable, id| {
             let read = parts.holder(id, key)?;
-            // The others have it read as much as this dispatcher does, and the oldest parts give way.
+            // Other dispatchers have it prefill as much as this one does; the oldest parts are
+            // evicted.
             let since = (runner.prefilled_tokens - read) * self.dispatchers;
             Some(
                 service
                     .kv_capacity
-                    .is_none_or(|size| since < KEPT_SHARE * size),
+                    .is_none_or(|size| since < RETAINED_SHARE * size),
             )
         };
         for (id, depth) in &affinity.depths {
             if held(&service.prefixes, *id) == Some(true) {
-                cached.likely = cached.likely.max(HOLDER_SURE * depth);
-                cached.for_affinity = cached.for_affinity.max(HOLDER_STEER * depth);
+                cached.likely = cached.likely.max(HOLDER_HIT_RATE * depth);
+                cached.for_affinity = cached.for_affinity.max(HOLDER_AFFINITY * depth);
             }
         }
         for (_, depth) in affinity.homes.iter().filter(|(home, _)| *home == key) {
--- a/crates/gateway/runner-selection/src/attempts.rs
+++ b/crates/gateway/runner-selection/src/attempts.rs
@@ -3,7 +3,8 @@
 use crate::attempt::{Attempt, FirstToken, Traffic};
 use crate::balancer::Balancer;
 use crate::constants::{
-    HOME_SURE_RANGE, LEAST_PART, MAX_PROMPT_PARTS, MAX_SENDS, MEMORY, PACE_MEMORY, PACE_RANGE,
+    HOME_HIT_RATE_RANGE, MAX_ATTEMPTS_IN_FLIGHT, MAX_PROMPT_PARTS, MEMORY, MIN_PART_TOKENS,
+    PACE_MEMORY, PACE_RANGE,
 };
 use crate::health::Availability;
 use crate::runner::PendingFirstToken;
@@ -34,7 +35,7 @@
     ) -> AttemptId {
         let id = self.next_attempt;
         self.next_attempt += 1;
-        if self.attempts.len() >= MAX_SENDS {
+        if self.attempts.len() >= MAX_ATTEMPTS_IN_FLIGHT {
             // Never ended, as it seems: the oldest is forgotten.
             if let Some(oldest) = self.attempts.keys().next().copied() {
                 self.attempt_ended(now, AttemptId(oldest), Outcome::ClientDisconnected);
@@ -110,8 +111,8 @@
         if is_probe {
             runner.health.probe = Some(id);
         }
-        // Live requests don't wait for a backoff where a free slot was reported, so they don't prolong
-        // it either.
+        // Live requests don't wait for a backoff where a free slot was reported, so they don't
+        // prolong it either.
         if attempt.is_item() {
             runner.backoff.restart_interval(now);
         }
@@ -142,7 +143,7 @@
             prefixes.recurring_share += (recurs - prefixes.recurring_share) / MEMORY;
         }
         for (part, tokens) in request.prompt_parts.iter().take(MAX_PROMPT_PARTS) {
-            if *tokens >= LEAST_PART {
+            if *tokens >= MIN_PART_TOKENS {
                 prefixes.note_holder(*part, now, attempt.runner, prefilled);
             }
         }
@@ -197,7 +198,7 @@
                 let was_hit = indicator(took < hit + half);
                 let learned = hit_rate + (was_hit - hit_rate) / MEMORY;
                 service.prefixes.home_hit_rate =
-                    learned.clamp(HOME_SURE_RANGE.0, HOME_SURE_RANGE.1);
+                    learned.clamp(HOME_HIT_RATE_RANGE.0, HOME_HIT_RATE_RANGE.1);
             } else {
                 service.prefill.add(attempt.uncached_tokens, took);
             }
--- a/crates/gateway/runner-selection/src/balancer.rs
+++ b/crates/gateway/runner-selection/src/balancer.rs
@@ -1,7 +1,10 @@
-//! The table of runners and services, and its one owner.
+//! The table of runners and services that one dispatcher selects from.
+//!
+//! Owns all that is known of the runners and the source of randomness. The other modules add the
+//! selection, the life of attempts and the probes.
 
 use crate::attempt::Attempt;
-use crate::constants::{LEAST_CONNS, MAX_RUNNERS, MAX_SVCS, REPORTS_BURST};
+use crate::constants::{MAX_RUNNERS, MAX_SERVICES, MIN_CONNS, PROBE_BURST};
 use crate::health::{Availability, Health};
 use crate::runner::Runner;
 use crate::service::Service;
@@ -14,7 +17,8 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// The table's place of a key, and how often it was used before.
+/// The low bits of a key are its index in the table, the rest counts the uses of that index: a key
+/// never names another runner.
 const INDEX_BITS: u32 = 16;
 
 #[derive(Debug, Default)]
@@ -23,7 +27,7 @@
     runner: Option<Box<Runner>>,
 }
 
-/// All that one dispatcher knows of the runners, and its choices among them.
+/// All that one dispatcher knows of the runners, and its selection among them.
 #[derive(Debug)]
 pub struct Balancer {
     pub(crate) rng: Pcg64Mcg,
@@ -36,16 +40,16 @@
     service_by_name: HashMap<CompactString, usize>,
     pub(crate) attempts: BTreeMap<u64, Attempt>,
     pub(crate) next_attempt: u64,
-    /// Rises when runners come, go, or change their state: homes are drawn anew.
+    /// Rises when runners come, go, or change their state: homes are computed anew.
     pub(crate) epoch: u64,
-    /// Reports that may be asked for, as of then.
+    /// Probes that may be sent, as of that time.
     pub(crate) probe_credit: (f64, Millis),
-    /// What stands for the address of a runner that is gone.
+    /// The address of a runner that is gone.
     nowhere: SocketAddr,
 }
 
 impl Balancer {
-    /// One that knows no runner yet. The same seed and calls give the same choices.
+    /// Knows no runner yet. The same seed and calls give the same selections.
     pub fn new(seed: u64, my_zone: &str) -> Self {
         Balancer {
             rng: Pcg64Mcg::seed_from_u64(seed),
@@ -59,7 +63,7 @@
             attempts: BTreeMap::new(),
             next_attempt: 0,
             epoch: 1,
-            probe_credit: (REPORTS_BURST, 0),
+            probe_credit: (PROBE_BURST, 0),
             nowhere: SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0)),
         }
     }
@@ -75,7 +79,7 @@
         let up = match registered.state {
             RunnerState::Up => true,
             RunnerState::Draining if self.key_by_id.contains_key(registered.id.as_str()) => false,
-            // Nothing will ever go there.
+            // No request will ever go there.
             RunnerState::Draining => return,
             RunnerState::Gone => return self.remove_runner(registered.id.as_str()),
         };
@@ -148,12 +152,13 @@
         self.dispatchers = f64::from(dispatchers.max(1));
     }
 
-    /// How many connections this dispatcher may hold to a runner: its share of what the runner accepts.
+    /// How many connections this dispatcher may hold to a runner: its share of what the runner
+    /// accepts.
     pub fn connection_limit(&self, key: RunnerKey) -> u32 {
         let Some(service) = self.get(key).and_then(|r| self.services.get(r.service)) else {
             return 0;
         };
-        ((f64::from(service.max_conns) / self.dispatchers) as u32).max(LEAST_CONNS)
+        ((f64::from(service.max_conns) / self.dispatchers) as u32).max(MIN_CONNS)
     }
 
     /// The runner's id; empty where it is not known any more.
@@ -171,7 +176,7 @@
         self.get(key).is_some_and(|r| r.up)
     }
 
-    /// Whether it is up and isn't avoided for trouble.
+    /// Whether it is up and not ejected.
     pub fn is_healthy(&self, now: Millis, key: RunnerKey) -> bool {
         self.get(key)
             .is_some_and(|r| r.up && r.health.availability(now) == Availability::Healthy)
@@ -228,7 +233,7 @@
         (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// Below `many`, or 0.
+    /// Uniform below `many`; 0 if there is none.
     pub(crate) fn below(&mut self, many: usize) -> usize {
         ((self.uniform() * many as f64) as usize).min(many.saturating_sub(1))
     }
@@ -254,7 +259,7 @@
             return Some(at);
         }
         let service = Service::new(name, terms);
-        let at = if self.services.len() < MAX_SVCS {
+        let at = if self.services.len() < MAX_SERVICES {
             self.services.push(service);
             self.services.len() - 1
         } else {
@@ -269,7 +274,7 @@
         Some(at)
     }
 
-    /// The slots of a service are the sum of those that its runners offer: each change of one is counted here.
+    /// Counts a change of the slots that the runners of a service offer.
     pub(crate) fn count_slots(&mut self, at: usize, more: f64) {
         if let Some(service) = self.services.get_mut(at) {
             service.slots = (service.slots + more).max(0.0);
--- a/crates/gateway/runner-selection/src/health.rs
+++ b/crates/gateway/runner-selection/src/health.rs
@@ -4,49 +4,49 @@
 
 use crate::attempt::FirstToken;
 use crate::constants::{
-    AVOID_FIRST_MS, AVOID_FORGET, AVOID_JITTER, AVOID_MOST_MS, AVOID_UP, AVOID_WRONG_MS, ERRORS,
-    TRIAL_GRACE, WAIT_MOST_MS,
+    EJECTION_FIRST_MS, EJECTION_FORGET, EJECTION_JITTER, EJECTION_MAX_MS, EJECTION_MISDIRECTED_MS,
+    EJECTION_UP, ERRORS_TO_EJECT, LIVE_PROBE_GRACE, MAX_WAIT_MS,
 };
 use crate::{Millis, Outcome};
 use dispatch_policy::{AdaptiveBackoff, BackoffConfig};
 use rand_pcg::Pcg64Mcg;
 
-/// Whether a runner gets anything.
+/// Whether a runner may get attempts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Availability {
     Healthy,
-    /// One repeatable request or item, to see.
+    /// One retryable request or item, as a probe.
     Probe,
-    /// Not before then.
+    /// None before then.
     Ejected(Millis),
 }
 
-/// The avoidance is a backoff of its own kind: a strike is a failure, an answer a success.
+/// The ejection of a runner is a backoff: an ejection is a failure, an answer a success.
 #[derive(Debug, Default)]
 pub(crate) struct Health {
     backoff: AdaptiveBackoff,
-    /// When the last strike came; what was sent before says no more.
+    /// When it was last ejected; attempts started before say nothing new.
     pub(crate) ejected_at: Option<Millis>,
     pub(crate) consecutive_errors: u32,
-    /// The sending that tries it, or a report asked for: then, without a sending's number.
+    /// The attempt that probes it; `u64::MAX` stands for a probe by `/-/report`.
     pub(crate) probe: Option<u64>,
 }
 
 fn terms() -> BackoffConfig {
     BackoffConfig {
-        initial: AVOID_FIRST_MS,
-        max: AVOID_MOST_MS,
-        increase_factor: AVOID_UP,
+        initial: EJECTION_FIRST_MS,
+        max: EJECTION_MAX_MS,
+        increase_factor: EJECTION_UP,
         decrease_factor: 0.0,
         successes_to_decrease: 1,
-        jitter: AVOID_JITTER,
-        max_jitter: AVOID_MOST_MS,
+        jitter: EJECTION_JITTER,
+        max_jitter: EJECTION_MAX_MS,
     }
 }
 
 impl Health {
     pub(crate) fn availability(&self, now: Millis) -> Availability {
-        let forgotten = self.backoff.open_at as f64 + self.backoff.interval * AVOID_FORGET;
+        let forgotten = self.backoff.open_at as f64 + self.backoff.interval * EJECTION_FORGET;
         if self.backoff.interval == 0.0 || now as f64 >= forgotten {
             Availability::Healthy
         } else if !self.backoff.is_open(now) {
@@ -54,20 +54,21 @@
         } else if self.probe.is_none() {
             Availability::Probe
         } else {
-            Availability::Ejected(now + WAIT_MOST_MS)
+            Availability::Ejected(now + MAX_WAIT_MS)
         }
     }
 
-    /// Whether a live request may be the trial: a report is cheaper and goes first.
+    /// Whether a live request may be the probe: a report is cheaper and goes first.
     pub(crate) fn allows_live_probe(&self, now: Millis) -> bool {
-        now as f64 >= self.backoff.open_at as f64 + self.backoff.interval * TRIAL_GRACE
+        now as f64 >= self.backoff.open_at as f64 + self.backoff.interval * LIVE_PROBE_GRACE
     }
 
     pub(crate) fn ejected_until(&self) -> Millis {
         self.backoff.open_at
     }
 
-    /// Requests that were under way together fail together: that is one strike.
+    /// Ejects the runner for `min_ms` at least. Requests in flight together fail together: that is
+    /// one ejection.
     pub(crate) fn eject(&mut self, now: Millis, least: f64, rng: &mut Pcg64Mcg) {
         self.probe = None;
         if self.backoff.interval == 0.0 || self.backoff.is_open(now) {
@@ -101,9 +102,9 @@
             }
             Outcome::ConnectionLost | Outcome::ServerError => {
                 self.consecutive_errors += 1;
-                (self.consecutive_errors >= ERRORS).then_some(0.0)
+                (self.consecutive_errors >= ERRORS_TO_EJECT).then_some(0.0)
             }
-            Outcome::Misdirected => Some(AVOID_WRONG_MS),
+            Outcome::Misdirected => Some(EJECTION_MISDIRECTED_MS),
             Outcome::ClientDisconnected if first_token == FirstToken::Overdue => Some(0.0),
             Outcome::Rejected
             | Outcome::NotRun
--- a/crates/gateway/runner-selection/src/lib.rs
+++ b/crates/gateway/runner-selection/src/lib.rs
@@ -1,18 +1,23 @@
-//! Which runner a request or an item goes to; no I/O.
+//! Which runner a request or an item goes to: a load balancer for model runners; no I/O.
 //!
-//! One [`Balancer`] a dispatcher holds what it knows of the runners: what they told of their load, what it has
-//! in flight there itself, what their memory probably holds, how long first tokens took, and whether they
-//! answer. Live requests go where the first token is expected soonest, and long shared parts of prompts to
-//! their homes (by rendezvous, with bounded load). Items of batch jobs take the room that live requests leave: the
-//! backoffs of `decide` say when a runner may be pushed to again, and a draw weighted by room says which one.
+//! One [`Balancer`] a dispatcher holds what it knows of the runners: the load that they reported,
+//! what it has in flight there itself, what their KV caches probably hold, how long first tokens
+//! took, and whether they answer. A live request goes where about the earliest first token is
+//! expected, and long shared parts of prompts to their homes (rendezvous hashing with bounded
+//! loads). Items of batch jobs take the slots that live requests leave: the adaptive backoff of
+//! `dispatch-policy` says when a runner may be pushed to again, and a draw weighted by free slots
+//! says which one.
 //!
-//! How it is called: for a live request [`Balancer::choose`], then [`Balancer::sent`] for what is sent; for
-//! items [`Balancer::item_room`] before some are fetched, [`Balancer::choose_item`] for each, then `sent`. Of
-//! an answer [`Balancer::load`], where it tells one, [`Balancer::first_token`], [`Balancer::event`] and
-//! [`Balancer::ended`]. Some ten times a second [`Balancer::overdue`] and [`Balancer::ask_reports`]; a report's
-//! answer goes to [`Balancer::report`], its absence to [`Balancer::report_lost`].
+//! A live request calls [`Balancer::choose`], then [`Balancer::attempt_started`] for the attempt;
+//! items call [`Balancer::item_capacity`] before some are fetched and [`Balancer::choose_item`] for
+//! each. Of an answer the caller tells [`Balancer::load_reported`],
+//! [`Balancer::first_token_received`], [`Balancer::event_received`] and
+//! [`Balancer::attempt_ended`]. Some ten times a second it asks for [`Balancer::overdue_attempts`]
+//! and [`Balancer::runners_to_probe`]; the answer of a probe goes to [`Balancer::report_received`],
+//! its absence to [`Balancer::report_failed`].
 //!
-//! Time comes in as milliseconds on a steady clock, randomness as a seed.
+//! Time comes in as milliseconds on a monotonic clock, randomness as a seed. The reasons of all
+//! constants are in `constants.rs`, those of the rules in `docs/decisions-under-load.md`.
 
 mod affinity;
 mod attempt;
@@ -37,5 +42,5 @@
     ServiceEstimates, ServiceTerms,
 };
 
-/// Milliseconds on a steady clock.
+/// Milliseconds on a monotonic clock, or a span of them.
 pub type Millis = u64;
--- a/crates/gateway/runner-selection/src/live_selection.rs
+++ b/crates/gateway/runner-selection/src/live_selection.rs
@@ -1,16 +1,17 @@
-//! Where a live request goes: to one of the runners with about the least cost, or it waits, or is rejected.
+//! Where a live request goes: to one of the runners with about the least cost, or it waits, or is
+//! rejected.
 
 use crate::affinity::PrefixAffinity;
 use crate::balancer::Balancer;
 use crate::constants::{
-    DRAWN, LATE_TIMES, MAX_TRIED, MEMORY, NEAR_MS, NEAR_SHARE, PANIC_SHARE, PATIENCE,
-    PLAIN_CHOICES, RETRY_NOBODY_MS, RETRY_RANGE_MS, RETRY_SHARE, RETRY_SPREAD, SCAN, WAIT_MOST_MS,
-    WAIT_SHARE,
+    MAX_ATTEMPTED, MAX_SCANNED, MAX_WAIT_MS, MEMORY, NEAR_MS, NEAR_SHARE, PANIC_SHARE,
+    PATIENCE_BY_PRIORITY, PLAIN_CHOICES, REJECT_BEYOND_TARGET, RETRY_NO_RUNNER_MS, RETRY_RANGE_MS,
+    RETRY_SHARE, RETRY_SPREAD, SAMPLED, WAIT_SHARE,
 };
 use crate::estimate::{Estimate, Query, Unavailable};
 use crate::{Choice, Millis, RequestProfile, RunnerKey};
 
-/// The objective; a route without one has all the time that its client waits.
+/// The latency target; without one, all the time that its client waits.
 fn target(request: &RequestProfile) -> u32 {
     if request.target_ms == 0 {
         request.remaining_ms.saturating_add(request.waited_ms)
@@ -37,12 +38,13 @@
 /// Whether even the best of full runners would be too late for this request.
 fn misses_target(estimates: &[(RunnerKey, Estimate)], request: &RequestProfile) -> bool {
     let share = if request.priority == 0 {
-        PATIENCE.0
+        PATIENCE_BY_PRIORITY.0
     } else {
-        PATIENCE.1
+        PATIENCE_BY_PRIORITY.1
     };
     let patience = share * f64::from(request.remaining_ms);
-    let in_time = LATE_TIMES * f64::from(target(request).saturating_sub(request.waited_ms));
+    let in_time =
+        REJECT_BEYOND_TARGET * f64::from(target(request).saturating_sub(request.waited_ms));
     least(estimates, |estimate| estimate.first_token_ms) > patience
         || least(estimates, |estimate| estimate.wait_ms) > in_time
 }
@@ -73,8 +75,8 @@
             .all(|(_, estimate)| estimate.free_slots < 1.0);
         let many_ejected = unavailable.ejected.len() as f64 > PANIC_SHARE * looked_at as f64;
         if (estimates.is_empty() && unavailable.opens_at.is_none()) || (all_full && many_ejected) {
-            // An ejection is a guess. Rather than to nobody, or to the few that are left and full: to
-            // the one whose ejection ends first.
+            // An ejection is a guess. Rather than to nobody, or to the few that are left and full:
+            // to the one whose ejection ends first.
             if let Some((until, runner)) = unavailable.ejected.iter().min().copied() {
                 return match self.wait_or_reject(now, request, Some(until)) {
                     Choice::Wait { until } if estimates.is_empty() => Choice::Wait { until },
@@ -111,7 +113,7 @@
         let mut unavailable = Unavailable::default();
         let attempted = request
             .attempted
-            .get(..MAX_TRIED)
+            .get(..MAX_ATTEMPTED)
             .unwrap_or(&request.attempted);
         let is_new = |key| !attempted.contains(&key);
         let mut estimates = self.estimates(query, &pool, &mut unavailable, &is_new);
@@ -120,7 +122,7 @@
             .all(|(_, estimate)| estimate.free_slots < 1.0);
         if all_full && pool.len() < self.services.get(at).map_or(0, |s| s.members.len()) {
             // A few drawn ones may all be full or ejected: one wider look.
-            let wider = self.sample(at, SCAN);
+            let wider = self.sample(at, MAX_SCANNED);
             estimates = self.estimates(query, &wider, &mut unavailable, &is_new);
         }
         if estimates.is_empty() && !attempted.is_empty() {
@@ -133,7 +135,7 @@
         }
     }
 
-    /// Nobody takes it now: a short wait, while that is no late refusal.
+    /// No runner takes it now: a short wait, as long as a rejection after it is not late.
     fn wait_or_reject(
         &mut self,
         now: Millis,
@@ -141,19 +143,19 @@
         opens: Option<Millis>,
     ) -> Choice {
         let until = opens
-            .unwrap_or(now + WAIT_MOST_MS)
-            .clamp(now + 1, now + WAIT_MOST_MS);
+            .unwrap_or(now + MAX_WAIT_MS)
+            .clamp(now + 1, now + MAX_WAIT_MS);
         let waited = f64::from(request.waited_ms) + (until - now) as f64;
         let most = if request.attempted.is_empty() {
             WAIT_SHARE * f64::from(target(request))
         } else {
-            // It was offered to a runner in time: what is left may be used.
+            // It was offered to a runner in time: the rest of its time may be used.
             f64::from(request.waited_ms) + RETRY_SHARE * f64::from(request.remaining_ms)
         };
         if waited <= most && ((until - now) as f64) < f64::from(request.remaining_ms) {
             return Choice::Wait { until };
         }
-        let opens = opens.map_or(RETRY_NOBODY_MS, |at| at.saturating_sub(now) as f64);
+        let opens = opens.map_or(RETRY_NO_RUNNER_MS, |at| at.saturating_sub(now) as f64);
         Choice::Reject {
             retry_after_ms: self.retry_after(request, opens),
         }
@@ -166,7 +168,7 @@
         (frees * spread).clamp(RETRY_RANGE_MS.0, most) as u64
     }
 
-    /// The runners to look at.
+    /// The runners to estimate.
     pub(crate) fn candidates(
         &mut self,
         at: usize,
@@ -176,11 +178,14 @@
         let Some(service) = self.services.get(at) else {
             return Vec::new();
         };
-        if service.llm && service.members.len() <= SCAN {
+        if service.llm && service.members.len() <= MAX_SCANNED {
             return service.members.clone();
         }
         if !service.llm {
-            return self.sample(at, PLAIN_CHOICES + request.attempted.len().min(MAX_TRIED));
+            return self.sample(
+                at,
+                PLAIN_CHOICES + request.attempted.len().min(MAX_ATTEMPTED),
+            );
         }
         let mut pool: Vec<RunnerKey> = affinity.homes.iter().map(|(home, _)| *home).collect();
         pool.extend(
@@ -188,15 +193,15 @@
                 .depths
                 .iter()
                 .flat_map(|(id, _)| service.prefixes.holders(*id))
-                .take(SCAN),
+                .take(MAX_SCANNED),
         );
-        pool.extend(self.sample(at, DRAWN));
+        pool.extend(self.sample(at, SAMPLED));
         pool.sort_unstable();
         pool.dedup();
         pool
     }
 
-    /// So many of a service's runners, drawn without preference; all where there are no more.
+    /// A uniform sample of a service's runners; all where there are no more.
     pub(crate) fn sample(&mut self, at: usize, many: usize) -> Vec<RunnerKey> {
         let Some(len) = self.services.get(at).map(|s| s.members.len()) else {
             return Vec::new();
@@ -222,7 +227,7 @@
             .collect()
     }
 
-    /// One of those that are about equal: the better, the likelier.
+    /// Draws one of those of about the least cost; the lower its cost, the likelier (softmin).
     fn sample_among_nearest(&mut self, found: &[(RunnerKey, Estimate)]) -> Option<RunnerKey> {
         let least = found
             .iter()
--- a/crates/gateway/runner-selection/src/prefix_table.rs
+++ b/crates/gateway/runner-selection/src/prefix_table.rs
@@ -1,16 +1,16 @@
-//! PrefixTable of prompts: their homes, and where they were sent lately.
+//! Parts of prompts: their homes, and where they were sent lately.
 
-use crate::constants::{HOLDERS, HOMES, HOME_SURE, MAX_PARTS};
+use crate::constants::{HOLDERS, HOMES, HOME_HIT_RATE, MAX_PARTS};
 use crate::{Millis, RunnerKey};
 use std::collections::HashMap;
 
-/// A part of prompts as this dispatcher has seen it.
+/// A part of prompts as this dispatcher has seen it, mostly a shared prefix.
 #[derive(Debug, Default)]
 pub(crate) struct Prefix {
     last_used_at: Millis,
-    /// Runners that it was sent to, and what they had read by then; the newest last.
+    /// Runners that it was sent to, and the tokens they had prefilled by then; the newest last.
     holders: Vec<(RunnerKey, f64)>,
-    /// Its first homes, as of that state of the service's runners.
+    /// Its homes, as of that epoch of the service's runners.
     homes: Vec<RunnerKey>,
     epoch: u64,
 }
@@ -18,9 +18,9 @@
 #[derive(Debug)]
 pub(crate) struct PrefixTable {
     known: HashMap<u64, Prefix>,
-    /// Share of last parts that had come before.
+    /// Share of last parts that had come before: above a bound they are sessions.
     pub(crate) recurring_share: f64,
-    /// How sure it is that a home has its part by the others' requests.
+    /// Learned chance that a home has its part by other dispatchers' requests.
     pub(crate) home_hit_rate: f64,
 }
 
@@ -29,12 +29,12 @@
         PrefixTable {
             known: HashMap::new(),
             recurring_share: 0.0,
-            home_hit_rate: HOME_SURE,
+            home_hit_rate: HOME_HIT_RATE,
         }
     }
 }
 
-/// The same at every dispatcher, on every machine.
+/// Mixes two hashes (SplitMix64); the same at every dispatcher, on every machine.
 pub(crate) fn mixed(a: u64, b: u64) -> u64 {
     let mut z = a ^ b.rotate_left(32).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -53,7 +53,8 @@
         self.known.contains_key(&id)
     }
 
-    /// The runners of the highest draws for this part, the highest first; `up` gives the hashes of all.
+    /// The homes of a part by rendezvous hashing (Thaler and Ravishankar, 1998), the highest first;
+    /// `up` gives the hashes of all runners.
     pub(crate) fn homes(
         &mut self,
         id: u64,
@@ -81,7 +82,7 @@
         &part.homes
     }
 
-    /// What that runner had read when it was last sent the part.
+    /// What that runner had prefilled when it was last sent the part.
     pub(crate) fn holder(&self, id: u64, key: RunnerKey) -> Option<f64> {
         self.known
             .get(&id)?
@@ -109,7 +110,8 @@
         part.holders.push((key, read));
     }
 
-    /// Where there are too many the older half goes: no list has to be cached in order for that.
+    /// Where there are too many the older half is dropped: no list has to be kept in order for
+    /// that.
     fn make_room(&mut self, now: Millis) {
         if self.known.len() < MAX_PARTS {
             return;
--- a/crates/gateway/runner-selection/src/probing.rs
+++ b/crates/gateway/runner-selection/src/probing.rs
@@ -1,15 +1,17 @@
-//! What is worth asking, and what has been silent for too long.
+//! Probes of runners, and attempts that have been silent for too long.
+//!
+//! Probes are rate-limited by a token bucket, as each is priced.
 
 use crate::attempt::Attempt;
 use crate::balancer::Balancer;
 use crate::constants::{
-    HUNG_LEAST_MS, REPORTS_BURST, REPORTS_PER_S, REPORT_AGE_MS, REPORT_FILL, SCAN,
+    HUNG_MIN_MS, MAX_SCANNED, PROBES_PER_S, PROBE_BURST, PROBE_USAGE, REPORT_STALE_MS,
 };
 use crate::health::Availability;
 use crate::{AttemptId, Millis, RunnerKey};
 
 impl Balancer {
-    /// Strikes those that hang.
+    /// Ejects the runners that hang.
     pub(crate) fn eject_hung(&mut self, now: Millis, pool: &[RunnerKey]) {
         for key in pool {
             if self.get(*key).is_some_and(|runner| runner.is_hung(now)) {
@@ -26,16 +28,16 @@
         self.rng = rng;
     }
 
-    /// Runners that are worth a `/-/report` now: each is priced as a probe. Those that were in trouble go
-    /// first, since a report that comes ends their avoidance without a request at stake; then those that have
-    /// said nothing lately in a fleet that is filled well.
+    /// Runners that are worth a `/-/report` now: each is priced as a probe. Those whose ejection is
+    /// over go first, since a report readmits them with no request at stake; then those that have
+    /// reported nothing recently in a fleet that is well used.
     pub fn runners_to_probe(&mut self, now: Millis) -> Vec<RunnerKey> {
         let (credit, since) = self.probe_credit;
-        let earned = now.saturating_sub(since) as f64 / 1_000.0 * REPORTS_PER_S;
-        let mut credit = (credit + earned).min(REPORTS_BURST);
-        let mut asked = Vec::new();
+        let earned = now.saturating_sub(since) as f64 / 1_000.0 * PROBES_PER_S;
+        let mut credit = (credit + earned).min(PROBE_BURST);
+        let mut probed = Vec::new();
         if credit >= 1.0 {
-            let mut wanted: Vec<(bool, Millis, RunnerKey)> = Vec::new();
+            let mut candidates: Vec<(bool, Millis, RunnerKey)> = Vec::new();
             for at in 0..self.services.len() {
                 let Some(service) = self.services.get(at).filter(|s| s.llm) else {
                     continue;
@@ -43,28 +45,28 @@
                 let busy = service.live_in_flight > 0 || service.mean_live_in_flight >= 0.1;
                 let filled = service.load_by_others(now)
                     + f64::from(service.live_in_flight) / service.slots.max(1.0)
-                    >= REPORT_FILL;
-                for key in self.sample(at, SCAN) {
+                    >= PROBE_USAGE;
+                for key in self.sample(at, MAX_SCANNED) {
                     let Some(runner) = self.get(key).filter(|runner| runner.up) else {
                         continue;
                     };
                     let age = now.saturating_sub(runner.reported.map_or(0, |t| t.at));
-                    let lately = runner
+                    let recently = runner
                         .last_probe_at
-                        .is_some_and(|a| now.saturating_sub(a) < REPORT_AGE_MS);
+                        .is_some_and(|a| now.saturating_sub(a) < REPORT_STALE_MS);
                     match runner.health.availability(now) {
-                        Availability::Probe => wanted.push((true, age, key)),
+                        Availability::Probe => candidates.push((true, age, key)),
                         Availability::Healthy
-                            if busy && filled && age >= REPORT_AGE_MS && !lately =>
+                            if busy && filled && age >= REPORT_STALE_MS && !recently =>
                         {
-                            wanted.push((false, age, key))
+                            candidates.push((false, age, key))
                         }
                         _ => {}
                     }
                 }
             }
-            wanted.sort_unstable_by(|a, b| b.cmp(a));
-            for (trial, _, key) in wanted.into_iter().take(credit as usize) {
+            candidates.sort_unstable_by(|a, b| b.cmp(a));
+            for (trial, _, key) in candidates.into_iter().take(credit as usize) {
                 credit -= 1.0;
                 if let Some(runner) = self.get_mut(key) {
                     runner.last_probe_at = Some(now);
@@ -72,27 +74,27 @@
                         runner.health.probe = Some(u64::MAX);
                     }
                 }
-                asked.push(key);
+                probed.push(key);
             }
         }
         self.probe_credit = (credit, now);
-        asked
+        probed
     }
 
-    /// A report that was asked for didn't come.
+    /// A probe was not answered.
     pub fn report_failed(&mut self, now: Millis, key: RunnerKey) {
         self.eject(now, key, 0.0);
     }
 
-    /// Repeatable sendings without a first token for far longer than their peers, whose runner has shown no
-    /// sign of life since: each is told once. They may be sent again elsewhere at once.
+    /// Retryable attempts without a first token for far longer than their peers, whose runner has
+    /// shown no sign of life since: each is reported once. They may be retried elsewhere at once.
     pub fn overdue_attempts(&mut self, now: Millis) -> Vec<AttemptId> {
         let waits =
             |s: &Attempt| s.first_token_at.is_none() && !s.reported_overdue && now > s.hung_at;
         let old = self
             .attempts
             .iter()
-            .take_while(|(_, s)| now.saturating_sub(s.started_at) as f64 >= HUNG_LEAST_MS);
+            .take_while(|(_, s)| now.saturating_sub(s.started_at) as f64 >= HUNG_MIN_MS);
         let late: Vec<u64> = old.filter(|(_, s)| waits(s)).map(|(id, _)| *id).collect();
         let mut silent = Vec::new();
         for id in late {
@@ -106,9 +108,9 @@
                 continue;
             }
             self.eject_hung(now, &[key]);
-            if let Some(sending) = self.attempts.get_mut(&id) {
-                sending.reported_overdue = true;
-                silent.extend(sending.retryable.then_some(AttemptId(id)));
+            if let Some(attempt) = self.attempts.get_mut(&id) {
+                attempt.reported_overdue = true;
+                silent.extend(attempt.retryable.then_some(AttemptId(id)));
             }
         }
         silent
--- a/crates/gateway/runner-selection/src/request.rs
+++ b/crates/gateway/runner-selection/src/request.rs
@@ -1,13 +1,13 @@
-//! What is asked and answered.
+//! The values that callers pass in and get back.
 
 use crate::Millis;
 use compact_str::CompactString;
 
-/// A runner as [`crate::Balancer`] knows it; a runner that comes anew has another one.
+/// Names a runner within one [`crate::Balancer`]; a runner that comes again has another key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RunnerKey(pub u32);
 
-/// One sending to a runner.
+/// One attempt at a runner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AttemptId(pub u64);
 
@@ -16,13 +16,13 @@
 pub struct ServiceTerms {
     /// Connections that a runner accepts from all dispatchers together.
     pub max_conns: u32,
-    /// Tokens that a runner's memory holds, where it is a model runner.
+    /// Tokens that a runner's KV cache holds, where it is a model runner.
     pub kv_capacity: Option<u64>,
     /// Whether its runners are model runners: prompts, tokens and `/-/report`.
     pub llm: bool,
 }
 
-/// What looks for a runner.
+/// What matters of a request for the selection of a runner.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct RequestProfile {
     /// The service.
@@ -32,49 +32,49 @@
     pub prompt_parts: Vec<(u64, u32)>,
     /// Tokens of the prompt.
     pub prompt_tokens: u32,
-    /// The most tokens to be sent out.
+    /// Tokens of the answer at most.
     pub max_output_tokens: u32,
-    /// The objective: milliseconds to the first token (or the answer).
+    /// The latency target: milliseconds to the first token (or the answer).
     pub target_ms: u32,
     /// Milliseconds that the client still waits; for an item those until it is due.
     pub remaining_ms: u32,
     /// Milliseconds since the request came.
     pub waited_ms: u32,
-    /// Rank of the route, 0 the highest.
+    /// Priority of the route, 0 the highest.
     pub priority: u8,
-    /// Runners that it was sent to already: avoided while there are others.
+    /// Runners that were attempted already: avoided while there are others.
     pub attempted: Vec<RunnerKey>,
-    /// It can be sent once more and then not again.
+    /// This is the last attempt that its route allows.
     pub is_last_attempt: bool,
-    /// It may run more than once: idempotent, resumable or an item. Only such ones try a runner that was
-    /// in trouble.
+    /// It may run more than once: idempotent, resumable or an item. Only such requests probe a
+    /// runner that was ejected.
     pub retryable: bool,
 }
 
 /// Where a live request goes now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Choice {
-    /// To this runner; [`crate::Balancer::sent`] is to be called when it is sent.
+    /// To this runner; [`crate::Balancer::attempt_started`] is to be called then.
     Send {
         /// The runner.
         runner: RunnerKey,
     },
-    /// Nobody is fit just now: ask again then (or when an answer has come).
+    /// No runner is available just now: ask again then (or when an answer has come).
     Wait {
-        /// The time on the steady clock.
+        /// The time on the monotonic clock.
         until: Millis,
     },
-    /// It can't make its time: refuse it now.
+    /// It would miss its time: reject it now.
     Reject {
-        /// When a new try has a chance, milliseconds from now.
+        /// When a retry has a chance, milliseconds from now.
         retry_after_ms: u64,
     },
 }
 
-/// How a sending ended.
+/// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// A whole answer.
+    /// A complete answer.
     Completed,
     /// Not run: the runner is full.
     Rejected,
@@ -84,13 +84,13 @@
     ConnectionLost,
     /// The runner's own 500: it ran.
     ServerError,
-    /// Not run for another reason, or handed back unstarted.
+    /// Not run for another reason, or returned unstarted.
     NotRun,
     /// 421: another runner has this address by now.
     Misdirected,
     /// No answer within its time.
     TimedOut,
-    /// The client left, or the dispatcher broke it off itself.
+    /// The client left, or the dispatcher cancelled it.
     ClientDisconnected,
 }
 
@@ -112,9 +112,9 @@
     pub queued: u32,
     /// Requests that run there.
     pub active: u32,
-    /// Tokens in memory that can't give way.
+    /// Tokens in the KV cache that can't be evicted.
     pub kv_in_use: u64,
-    /// Tokens that its memory holds.
+    /// Tokens that its KV cache holds.
     pub kv_size: u64,
 }
 
@@ -137,19 +137,19 @@
 pub struct ServiceEstimates {
     /// Slots of its runners that are up.
     pub slots: f64,
-    /// Time to a first token with nothing to read and nothing ahead.
+    /// Time to a first token of an empty prompt with nothing ahead.
     pub base_ms: f64,
-    /// Time to read one token of a prompt.
+    /// Time to prefill one token.
     pub per_token_ms: f64,
-    /// DecayingMean time to first tokens.
+    /// Mean time to first tokens.
     pub first_token_ms: f64,
-    /// DecayingMean time of a run.
+    /// Mean time of a run.
     pub run_ms: f64,
-    /// How sure it is that a home has its part by the others' requests.
+    /// Learned chance that a home has its part by other dispatchers' requests.
     pub home_hit_rate: f64,
     /// Share of the slots that other dispatchers hold.
     pub load_by_others: f64,
-    /// Share of live requests that came late.
+    /// Share of live requests whose first token missed the target.
     pub late_share: f64,
     /// Share of the slots that items leave free.
     pub item_reserve: f64,
--- a/crates/gateway/runner-selection/src/runner.rs
+++ b/crates/gateway/runner-selection/src/runner.rs
@@ -1,7 +1,7 @@
-//! What is known of one runner.
+//! What one dispatcher knows of one runner.
 
 use crate::attempt::Attempt;
-use crate::constants::{COLD_PACE, PACE_DEAD, SILENT};
+use crate::constants::{COLD_PACE, PACE_NOISE, UNKNOWN_BELOW};
 use crate::health::Health;
 use crate::prefix_table::hashed;
 use crate::service::Service;
@@ -25,16 +25,16 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ReportedLoad {
     pub(crate) at: Millis,
-    /// Requests there that aren't this dispatcher's.
+    /// Requests of other dispatchers there.
     pub(crate) by_others: f64,
 }
 
-/// A sending without a first token yet.
+/// An attempt without a first token yet.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct PendingFirstToken {
     pub(crate) id: u64,
     pub(crate) started_at: Millis,
-    /// Silent until then the runner hangs.
+    /// Without a sign of life by then the runner hangs.
     pub(crate) hung_at: Millis,
 }
 
@@ -52,23 +52,23 @@
     pub(crate) health: Health,
     pub(crate) in_flight: u32,
     pub(crate) items_in_flight: u32,
-    /// Tokens, in and out, of what is in flight there.
+    /// Tokens of prompts and answers in flight there.
     pub(crate) tokens_in_flight: f64,
     pub(crate) reported: Option<ReportedLoad>,
-    /// When what was sent there will have been read, as far as is known.
+    /// When the prompts sent there will be prefilled, as far as is known.
     pub(crate) prefill_until: f64,
     pub(crate) pending_first_tokens: VecDeque<PendingFirstToken>,
-    /// The last sign of life.
+    /// When it last showed a sign of life.
     pub(crate) last_activity_at: Millis,
-    /// Time of recent runs as a multiple of what was expected.
+    /// Time of recent runs as a multiple of the mean of its service.
     pub(crate) relative_pace: f64,
-    /// Tokens that this dispatcher had it read: the age of what its memory keeps.
+    /// Tokens that this dispatcher had it prefill: the age of what its KV cache holds.
     pub(crate) prefilled_tokens: f64,
-    /// Memory in use, of its size, and when it was told.
+    /// KV cache in use, if it was reported.
     pub(crate) kv: Option<KvUsage>,
-    /// When it turned something away as full last.
+    /// When it last rejected an attempt as full.
     pub(crate) last_rejected_at: Option<Millis>,
-    /// When a report was asked for last.
+    /// When it was last probed.
     pub(crate) last_probe_at: Option<Millis>,
 }
 
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Slots that count for its service.
+    /// Slots that count for its service: none while it drains.
     pub(crate) fn offered_slots(&self) -> f64 {
         if self.up {
             self.slots
@@ -115,11 +115,11 @@
         }
     }
 
-    /// Requests of the others: what was told fades to the mean.
+    /// Requests of other dispatchers: a report decays to the mean of the service.
     pub(crate) fn load_by_others(&self, now: Millis, service: &Service) -> f64 {
         let mean = service.load_by_others(now) * self.slots;
         match self.reported {
-            Some(told) => mean + (told.by_others - mean) * service.report_weight(now, told.at),
+            Some(load) => mean + (load.by_others - mean) * service.report_weight(now, load.at),
             None => mean,
         }
     }
@@ -128,22 +128,22 @@
         self.load_by_others(now, service) + f64::from(self.in_flight)
     }
 
-    /// Whether what it told is recent enough to go by.
+    /// Whether its report is recent enough to go by.
     pub(crate) fn report_is_fresh(&self, now: Millis, service: &Service) -> bool {
         self.reported
             .is_some_and(|t| service.report_weight(now, t.at) >= 0.5)
     }
 
-    /// Nothing is known of it by now, and no answer is on its way that would tell.
+    /// Whether no report counts any more, and no attempt is in flight whose answer would bring one.
     pub(crate) fn is_unknown(&self, now: Millis, service: &Service) -> bool {
         self.pending_first_tokens.is_empty()
             && self
                 .reported
-                .is_none_or(|t| service.report_weight(now, t.at) < SILENT)
+                .is_none_or(|t| service.report_weight(now, t.at) < UNKNOWN_BELOW)
     }
 
     pub(crate) fn pace_at(&self, now: Millis) -> f64 {
-        let pace = if self.relative_pace > PACE_DEAD.0 && self.relative_pace < PACE_DEAD.1 {
+        let pace = if self.relative_pace > PACE_NOISE.0 && self.relative_pace < PACE_NOISE.1 {
             1.0
         } else {
             self.relative_pace
@@ -162,7 +162,7 @@
         });
     }
 
-    /// Share of its memory that is taken, beyond one where a request of so many tokens would not fit.
+    /// Share of its KV cache in use with a request of so many tokens; above 1 it does not fit.
     pub(crate) fn memory_share(&self, now: Millis, service: &Service, tokens: f64) -> f64 {
         let Some(size) = self
             .kv
@@ -174,7 +174,7 @@
         };
         let guess = self.tokens_in_flight + self.load_by_others(now, service) * service.tokens;
         let used = match self.kv {
-            // ReportedLoad a while ago: what is in flight by now counts as well.
+            // Reported a while ago: what is in flight by now counts as well.
             Some(KvUsage {
                 reported_at, used, ..
             }) => {
@@ -194,7 +194,8 @@
         }
     }
 
-    /// An attempt is over; whether its first token was overdue, with no sign of life since it started.
+    /// An attempt is over; whether its first token was overdue, with no sign of life since it
+    /// started.
     pub(crate) fn release(&mut self, now: Millis, id: u64, attempt: &Attempt) -> bool {
         let mut pending = self.pending_first_tokens.iter();
         let was_overdue = pending.any(|pending| pending.id == id && now > pending.hung_at)
@@ -211,7 +212,8 @@
         was_overdue
     }
 
-    /// Silence beyond its limit, since the last strike and with no other sign of life.
+    /// Whether an attempt is silent beyond its limit, since the last ejection and with no other
+    /// sign of life.
     pub(crate) fn is_hung(&self, now: Millis) -> bool {
         let after = self.health.ejected_at;
         let counts = |u: &&PendingFirstToken| {
@@ -223,7 +225,7 @@
             .is_some_and(|u| now > u.hung_at)
     }
 
-    /// How much longer than expected the oldest sending has waited.
+    /// How much longer than expected the oldest attempt has waited.
     pub(crate) fn overdue_ms(&self, now: Millis) -> f64 {
         self.pending_first_tokens
             .front()
--- a/crates/gateway/runner-selection/src/service.rs
+++ b/crates/gateway/runner-selection/src/service.rs
@@ -1,17 +1,18 @@
-//! What is learned of a service: reading speed, first tokens, runs, the others' load.
+//! What is learned of a service: prefill speed, first tokens, runs, the load by other dispatchers.
 
 use crate::constants::{
-    BASE_MS, BASE_RANGE, DOWN, FADE_RANGE_MS, FADE_RUNS, FIT_MEMORY, FIT_OUTLIER, FIT_PRIOR,
-    HOLD_MS, HUNG_DEVIATIONS, HUNG_LEAST_MS, HUNG_TIMES, INITIAL, INITIAL_LEAST_MS, ITEM_AHEAD,
-    MAX, MAX_RANDOMIZATION, MAX_TOKENS, MEMORY, OTHERS_HALF_MS, PER_TOKEN_MS, PER_TOKEN_RANGE,
-    RANDOMIZATION, SUCCESSES_DOWN, TARGET_MS, UP,
+    BACKOFF_DOWN, BACKOFF_INITIAL_RUNS, BACKOFF_MAX_RANDOMIZATION_RUNS, BACKOFF_MAX_RUNS,
+    BACKOFF_MIN_MS, BACKOFF_RANDOMIZATION, BACKOFF_SUCCESSES_DOWN, BACKOFF_UP, BASE_MS, BASE_RANGE,
+    FADE_RANGE_MS, FADE_RUNS, FIT_MEMORY, FIT_OUTLIER, FIT_PRIOR, HUNG_DEVIATIONS, HUNG_MIN_MS,
+    HUNG_TIMES, ITEM_PREFILL_SHARE, MAX_TOKENS, MEMORY, OTHERS_HALF_MS, PER_TOKEN_MS,
+    PER_TOKEN_RANGE, RUN_MS, TARGET_MS,
 };
 use crate::prefix_table::PrefixTable;
 use crate::{Millis, RequestProfile, RunnerKey, ServiceTerms};
 use compact_str::CompactString;
 use dispatch_policy::BackoffConfig;
 
-/// DecayingMean and mean deviation that forget.
+/// Mean and mean deviation that forget exponentially.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct DecayingMean {
     pub(crate) mean: f64,
@@ -36,7 +37,7 @@
     }
 }
 
-/// First-token time over tokens to read: least squares that forget.
+/// First-token time over uncached tokens: a line by least squares that forgets exponentially.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct PrefillFit {
     n: f64,
@@ -59,7 +60,7 @@
             base_ms: BASE_MS,
             per_token_ms: PER_TOKEN_MS,
         };
-        // The guess, as samples: nothing to read, and a prompt of some thousand tokens.
+        // The prior, as samples: an empty prompt, and one of some thousand tokens.
         for tokens in [0.0, 5_000.0] {
             fit.sample(tokens, BASE_MS + tokens * PER_TOKEN_MS, FIT_PRIOR / 2.0);
         }
@@ -85,11 +86,11 @@
         ] {
             *sum *= keep;
         }
-        // What nobody knew of was ahead of some: one such must not tilt the line.
+        // Something unknown was ahead of some samples: one of these must not tilt the line.
         let expected = self.base_ms + self.per_token_ms * tokens;
         self.sample(tokens, ms.min(FIT_OUTLIER * expected + BASE_MS), 1.0);
         let spread = self.n * self.xx - self.x * self.x;
-        // Prompts all of one size say nothing of the speed.
+        // Prompts of one size don't show the speed.
         if spread > 1.0e-3 * self.n * self.xx && spread > 0.0 {
             let slope = (self.n * self.xy - self.x * self.y) / spread;
             self.per_token_ms = slope.clamp(PER_TOKEN_RANGE.0, PER_TOKEN_RANGE.1);
@@ -105,29 +106,30 @@
     pub(crate) llm: bool,
     pub(crate) max_conns: u32,
     pub(crate) kv_capacity: Option<f64>,
-    /// All its runners that are known.
+    /// All its known runners.
     pub(crate) members: Vec<RunnerKey>,
     /// Slots of those that are up.
     pub(crate) slots: f64,
     pub(crate) prefill: PrefillFit,
     pub(crate) first_token_ms: DecayingMean,
-    /// From the sending to the end.
+    /// Time in a slot.
     pub(crate) run_ms: DecayingMean,
-    /// Tokens of a request, in and out.
+    /// Mean tokens of a prompt and its answer.
     pub(crate) tokens: f64,
-    /// Tokens of a request that had to be read.
+    /// Mean uncached tokens of a prompt.
     pub(crate) uncached_tokens: f64,
-    /// Load by others for each slot, over the runners, and when a runner spoke last.
+    /// Load by other dispatchers for each slot, over the runners, and when a runner last reported.
     pub(crate) load_by_others: f64,
     pub(crate) last_report_at: Millis,
-    /// Share of live requests that came late.
+    /// Share of live requests whose first token missed the target.
     pub(crate) late_share: f64,
     /// Requests and items of this dispatcher in flight.
     pub(crate) in_flight: u32,
-    /// Items of this dispatcher without a first token, and the objective of live requests.
+    /// Items of this dispatcher without a first token, and the mean latency target of live
+    /// requests.
     pub(crate) items_in_prefill: f64,
     pub(crate) target_ms: f64,
-    /// When the item that was sent last is due.
+    /// When the item is due that was started last.
     pub(crate) last_item_due_at: Millis,
     /// Live requests of this dispatcher in flight, now and on average.
     pub(crate) live_in_flight: u32,
@@ -146,7 +148,7 @@
             slots: 0.0,
             prefill: PrefillFit::new(),
             first_token_ms: DecayingMean::from(BASE_MS),
-            run_ms: DecayingMean::from(HOLD_MS),
+            run_ms: DecayingMean::from(RUN_MS),
             tokens: 1_000.0,
             uncached_tokens: 500.0,
             load_by_others: 0.0,
@@ -182,36 +184,37 @@
         half / (half + now.saturating_sub(at) as f64)
     }
 
-    /// What others hold of each slot on average; without any word for long it fades to nothing.
+    /// Mean load by other dispatchers for each slot; without reports it decays to nothing.
     pub(crate) fn load_by_others(&self, now: Millis) -> f64 {
         self.load_by_others * OTHERS_HALF_MS
             / (OTHERS_HALF_MS + now.saturating_sub(self.last_report_at) as f64)
     }
 
-    /// Share of the slots in use, requests that wait for one included; none where no runner spoke lately.
+    /// Share of the slots in use, queued requests included; none where no runner reported lately.
     pub(crate) fn usage(&self, now: Millis) -> Option<f64> {
         let recent = self.last_report_at > 0
             && now.saturating_sub(self.last_report_at) as f64 <= OTHERS_HALF_MS;
         recent.then(|| self.load_by_others + f64::from(self.in_flight) / self.slots.max(1.0))
     }
 
-    /// Milliseconds until the next items are due: stores give the oldest due first, so no earlier than the last one was.
+    /// Milliseconds until the next items are due: stores give the earliest due first, so no earlier
+    /// than the last one was.
     pub(crate) fn item_slack(&self, now: Millis) -> f64 {
         self.last_item_due_at.saturating_sub(now) as f64
     }
 
-    /// Tokens of a prompt, as far as they are to be believed.
+    /// Tokens of a prompt, bounded by what a runner can hold.
     pub(crate) fn prompt_tokens(&self, request: &RequestProfile) -> f64 {
         f64::from(request.prompt_tokens).min(self.kv_capacity.unwrap_or(MAX_TOKENS))
     }
 
-    /// ... with what may be sent out.
+    /// Tokens of a prompt and its answer, bounded alike.
     pub(crate) fn total_tokens(&self, request: &RequestProfile) -> f64 {
         let most = self.kv_capacity.unwrap_or(MAX_TOKENS);
         (f64::from(request.prompt_tokens) + f64::from(request.max_output_tokens)).min(most)
     }
 
-    /// Milliseconds to read so many tokens.
+    /// Milliseconds to prefill so many tokens.
     pub(crate) fn prefill_ms(&self, tokens: f64) -> f64 {
         if self.llm {
             tokens * self.prefill.per_token_ms
@@ -223,25 +226,25 @@
     pub(crate) fn backoff_terms(&self) -> BackoffConfig {
         let run = self.run_ms.mean;
         BackoffConfig {
-            initial: (INITIAL * run).max(INITIAL_LEAST_MS),
-            max: (MAX * run).max(INITIAL_LEAST_MS),
-            increase_factor: UP,
-            decrease_factor: DOWN,
-            successes_to_decrease: SUCCESSES_DOWN,
-            jitter: RANDOMIZATION,
-            max_jitter: MAX_RANDOMIZATION * run,
+            initial: (BACKOFF_INITIAL_RUNS * run).max(BACKOFF_MIN_MS),
+            max: (BACKOFF_MAX_RUNS * run).max(BACKOFF_MIN_MS),
+            increase_factor: BACKOFF_UP,
+            decrease_factor: BACKOFF_DOWN,
+            successes_to_decrease: BACKOFF_SUCCESSES_DOWN,
+            jitter: BACKOFF_RANDOMIZATION,
+            max_jitter: BACKOFF_MAX_RANDOMIZATION_RUNS * run,
         }
     }
 
-    /// Items of one dispatcher that so many runners may have to read at a time.
+    /// Items of one dispatcher that so many runners may have in prefill at a time.
     pub(crate) fn max_items_in_prefill(&self, dispatchers: f64, runners: f64) -> f64 {
         let each = self.prefill_ms(self.uncached_tokens).max(1.0);
-        (runners * ITEM_AHEAD * self.target_ms / each / dispatchers).max(1.0)
+        (runners * ITEM_PREFILL_SHARE * self.target_ms / each / dispatchers).max(1.0)
     }
 
-    /// How long a sending with this expected first token may be silent.
+    /// Milliseconds after which an attempt without its expected first token counts as hung.
     pub(crate) fn hung_after_ms(&self, expected: f64) -> f64 {
         let peers = self.first_token_ms.mean + HUNG_DEVIATIONS * self.first_token_ms.deviation;
-        (HUNG_TIMES * expected).max(peers).max(HUNG_LEAST_MS)
+        (HUNG_TIMES * expected).max(peers).max(HUNG_MIN_MS)
     }
 }
--- a/crates/gateway/runner-selection/tests/anything.rs
+++ b/crates/gateway/runner-selection/tests/any_calls.rs
@@ -3,15 +3,16 @@
 
 #![expect(clippy::unwrap_used, reason = "a test ends at the first surprise")]
 
-mod common;
+#[expect(dead_code, reason = "each test file uses a part")]
+mod support;
 
-use common::{listed, llm, plain, traffic};
 use proptest::prelude::*;
 use runner_registry::RunnerState;
 use runner_selection::{
     AttemptId, Balancer, Choice, LoadReport, Outcome, RequestProfile, RunnerKey, RunnerLoad,
     ServiceTerms,
 };
+use support::{listed, llm, plain, traffic};
 
 #[derive(Debug, Clone)]
 enum Call {
@@ -98,8 +99,8 @@
     #![proptest_config(ProptestConfig { cases: 256, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn nothing_panics_and_nothing_that_is_gone_is_chosen(seed in any::<u64>(), calls in calls()) {
-        let mut engines = Balancer::new(seed, "z0");
+    fn any_calls_neither_panic_nor_select_a_removed_runner(seed in any::<u64>(), calls in calls()) {
+        let mut balancer = Balancer::new(seed, "z0");
         let (mut now, mut sends): (u64, Vec<AttemptId>) = (1, Vec::new());
         let mut keys: Vec<RunnerKey> = vec![RunnerKey(0); 12];
         for call in calls {
@@ -112,46 +113,46 @@
                         1 => RunnerState::Gone,
                         _ => RunnerState::Up,
                     };
-                    engines.update_runner(now, &runner, terms);
-                    keys[n] = engines.runner_key(&runner.id).unwrap_or(keys[n]);
+                    balancer.update_runner(now, &runner, terms);
+                    keys[n] = balancer.runner_key(&runner.id).unwrap_or(keys[n]);
                 }
-                Call::Remove(n) => engines.remove_runner(&format!("i-{n:08x}")),
-                Call::Choose(want) => match engines.choose(now, &want) {
-                    Choice::Send { runner } => prop_assert!(engines.is_up(runner)),
+                Call::Remove(n) => balancer.remove_runner(&format!("i-{n:08x}")),
+                Call::Choose(want) => match balancer.choose(now, &want) {
+                    Choice::Send { runner } => prop_assert!(balancer.is_up(runner)),
                     Choice::Wait { until } => prop_assert!(until > now && until <= now + 1_000),
                     Choice::Reject { retry_after_ms } => prop_assert!(retry_after_ms <= 5_000),
                 },
                 Call::Item(want) => {
-                    let chosen = engines.choose_item(now, &want);
-                    prop_assert!(chosen.is_none_or(|key| engines.is_up(key)));
-                    prop_assert!(engines.item_capacity(now, want.service.as_str()) <= 12 * 60);
+                    let chosen = balancer.choose_item(now, &want);
+                    prop_assert!(chosen.is_none_or(|key| balancer.is_up(key)));
+                    prop_assert!(balancer.item_capacity(now, want.service.as_str()) <= 12 * 60);
                 }
-                Call::Sent(n, want, item) => sends.push(engines.attempt_started(now, keys[n], &want, traffic(item))),
-                Call::First(n) => sends.get(n).into_iter().for_each(|s| engines.first_token_received(now, *s)),
+                Call::Sent(n, want, item) => sends.push(balancer.attempt_started(now, keys[n], &want, traffic(item))),
+                Call::First(n) => sends.get(n).into_iter().for_each(|s| balancer.first_token_received(now, *s)),
                 Call::Ended(n, end) if n < sends.len() => {
                     let send = sends.swap_remove(n);
-                    engines.attempt_ended(now, send, ENDS[usize::from(end)]);
+                    balancer.attempt_ended(now, send, ENDS[usize::from(end)]);
                 }
                 Call::Ended(..) => {}
-                Call::Load(n, running, waiting, slots) => engines.load_reported(now, keys[n], RunnerLoad { running, waiting, slots }),
+                Call::Load(n, running, waiting, slots) => balancer.load_reported(now, keys[n], RunnerLoad { running, waiting, slots }),
                 Call::LoadReport(n, kv_in_use, kv_size) => {
                     let report = LoadReport { queued: 1, active: 2, kv_in_use, kv_size };
-                    engines.report_received(now, keys[n], report);
+                    balancer.report_received(now, keys[n], report);
                 }
                 Call::Look => {
-                    engines.overdue_attempts(now);
-                    engines.runners_to_probe(now);
+                    balancer.overdue_attempts(now);
+                    balancer.runners_to_probe(now);
                 }
-                Call::Share(dispatchers) => engines.set_dispatcher_count(dispatchers),
+                Call::Share(dispatchers) => balancer.set_dispatcher_count(dispatchers),
                 Call::Pass(ms) => now += ms,
             }
         }
         for send in sends {
-            engines.attempt_ended(now, send, Outcome::Completed);
+            balancer.attempt_ended(now, send, Outcome::Completed);
         }
         // Whatever was learned is a figure.
         for svc in ["lm", "plain"] {
-            if let Some(l) = engines.service_estimates(svc) {
+            if let Some(l) = balancer.service_estimates(svc) {
                 let all = [l.base_ms, l.per_token_ms, l.first_token_ms, l.run_ms, l.home_hit_rate, l.load_by_others, l.late_share, l.item_reserve];
                 prop_assert!(all.iter().all(|v| v.is_finite() && *v >= 0.0), "{l:?}");
             }
--- a/crates/gateway/runner-selection/tests/backoff.rs
+++ b/crates/gateway/runner-selection/tests/backoff.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn the_first_failure_gives_the_initial_interval_and_the_next_ones_grow_to_the_longest() {
+fn backoff_starts_at_the_initial_interval_and_grows_to_the_maximum() {
     for seed in 0..200 {
         let (mut backoff, mut rng) = (AdaptiveBackoff::default(), rng(seed));
         assert!(backoff.is_open(0));
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn every_third_success_goes_down_and_below_the_initial_interval_it_is_zero() {
+fn backoff_shrinks_with_every_third_success_to_zero() {
     for seed in 0..200 {
         let (mut backoff, mut rng) = (AdaptiveBackoff::default(), rng(seed));
         backoff.record_success(&TERMS, &mut rng);
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn dispatchers_that_were_refused_together_do_not_come_back_together() {
+fn backoffs_of_dispatchers_rejected_together_are_spread() {
     let mut opens: Vec<u64> = (0..50)
         .map(|seed| {
             let (mut backoff, mut rng) = (AdaptiveBackoff::default(), rng(seed));
--- a/crates/gateway/runner-selection/tests/fleet.rs
+++ b/crates/gateway/runner-selection/tests/fleet.rs
@@ -2,11 +2,12 @@
 
 #![expect(clippy::unwrap_used, reason = "a test ends at the first surprise")]
 
-mod common;
+#[expect(dead_code, reason = "each test file uses a part")]
+mod support;
 
-use common::fleet::{Fleet, Kind};
-use common::model::Make;
-use common::SVC;
+use support::fleet::{Fleet, Kind};
+use support::model::Make;
+use support::SVC;
 
 const MAKE: Make = Make {
     slots: 24,
@@ -71,7 +72,7 @@
         f.reports,
         f.sends.len()
     );
-    println!("{name} {:?}", f.engines[0].service_estimates(SVC));
+    println!("{name} {:?}", f.balancers[0].service_estimates(SVC));
 }
 
 #[test]
@@ -93,11 +94,11 @@
 }
 
 #[test]
-fn the_reading_speed_and_the_runs_are_learned() {
+fn prefill_speed_and_run_time_are_learned() {
     for seed in 1..4 {
         let fleet = played(seed, false);
-        for engines in &fleet.engines {
-            let learned = engines.service_estimates(SVC).unwrap();
+        for balancer in &fleet.balancers {
+            let learned = balancer.service_estimates(SVC).unwrap();
             assert!(
                 (1.0 / 250.0..1.0 / 60.0).contains(&learned.per_token_ms),
                 "{learned:?}"
@@ -109,7 +110,7 @@
 }
 
 #[test]
-fn where_memory_is_scarce_homes_still_keep_most_of_what_fits() {
+fn homes_keep_most_of_what_fits_where_the_kv_cache_is_scarce() {
     let make = Make {
         slots: 48,
         kv: 200_000,
@@ -170,7 +171,7 @@
 }
 
 #[test]
-fn items_take_the_room_that_live_requests_leave() {
+fn items_use_the_slots_that_live_requests_leave() {
     for seed in 1..4 {
         let mut alone = with_items(seed, 0);
         alone.run(13_000);
@@ -200,7 +201,7 @@
 }
 
 #[test]
-fn items_are_done_when_nobody_else_asks() {
+fn items_use_an_idle_fleet() {
     let mut fleet = Fleet::new(
         5,
         10,
@@ -227,7 +228,7 @@
 }
 
 #[test]
-fn a_runner_that_hangs_is_left_alone_and_found_again() {
+fn hung_runner_is_ejected_and_readmitted() {
     for seed in 1..6 {
         let mut fleet = Fleet::new(seed, 10, 12, MAKE, vec![SHORT, LONG]);
         fleet.run(5_000);
@@ -260,7 +261,7 @@
 }
 
 #[test]
-fn beyond_what_the_runners_can_do_it_is_refused_at_once_and_the_rest_is_in_time() {
+fn overload_is_rejected_at_once_and_the_rest_is_in_time() {
     for seed in 1..4 {
         let mut fleet = Fleet::new(
             seed,
@@ -299,11 +300,11 @@
 }
 
 #[test]
-fn a_dispatcher_that_starts_anew_does_not_flood() {
+fn restarted_dispatcher_does_not_flood_the_runners() {
     for seed in 1..6 {
         let mut fleet = with_items(seed, 0);
         fleet.run(5_000);
-        let d = fleet.engines.len();
+        let d = fleet.balancers.len();
         fleet.start(seed + 77, 11);
         for _ in 0..500 {
             let want = fleet.make_want(2);
--- a/crates/gateway/runner-selection/tests/choice.rs
+++ b/crates/gateway/runner-selection/tests/selection.rs
@@ -2,9 +2,9 @@
 
 #![expect(clippy::unwrap_used, reason = "a test ends at the first surprise")]
 
-mod common;
+#[expect(dead_code, reason = "each test file uses a part")]
+mod support;
 
-use common::{engines, listed, llm, plain, traffic, unit, want, SVC};
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use runner_registry::RunnerState;
@@ -12,10 +12,11 @@
     Balancer, Choice, LoadReport, Outcome, RequestProfile, RunnerKey, RunnerLoad, Traffic,
 };
 use std::collections::HashMap;
+use support::{balancer, listed, llm, plain, traffic, unit, want, SVC};
 
-fn keys(engines: &Balancer, many: usize) -> Vec<RunnerKey> {
+fn keys(balancer: &Balancer, many: usize) -> Vec<RunnerKey> {
     (0..many)
-        .map(|n| engines.runner_key(&format!("i-{n:08x}")).unwrap())
+        .map(|n| balancer.runner_key(&format!("i-{n:08x}")).unwrap())
         .collect()
 }
 
@@ -27,7 +28,7 @@
 }
 
 #[test]
-fn never_refused_while_a_place_is_free_by_what_is_known() {
+fn never_rejected_while_a_slot_is_known_to_be_free() {
     for seed in 0..400 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let (runners, slots) = (
@@ -39,8 +40,8 @@
         } else {
             plain(200)
         };
-        let mut engines = engines(seed, runners, slots, terms, 1 + (seed % 12) as u32);
-        let keys = keys(&engines, runners);
+        let mut balancer = balancer(seed, runners, slots, terms, 1 + (seed % 12) as u32);
+        let keys = keys(&balancer, runners);
         let free = (rng.next_u64() % runners as u64) as usize;
         for (n, key) in keys.iter().enumerate() {
             let (running, waiting) = if n == free {
@@ -48,7 +49,7 @@
             } else {
                 (slots, (unit(&mut rng) * 50.0) as u32)
             };
-            engines.load_reported(
+            balancer.load_reported(
                 1_000,
                 *key,
                 RunnerLoad {
@@ -65,7 +66,7 @@
                 target_ms: 1 + (rng.next_u64() % 500) as u32,
                 ..want(2_000, 200)
             };
-            let choice = engines.choose(1_000, &wanted);
+            let choice = balancer.choose(1_000, &wanted);
             assert!(
                 !matches!(choice, Choice::Reject { .. }),
                 "{seed}: {choice:?} with {left_ms} ms left"
@@ -75,10 +76,10 @@
 }
 
 #[test]
-fn refused_at_once_where_all_are_full_and_the_client_would_not_see_a_token() {
-    let mut engines = engines(3, 8, 10, llm(200, 1_000_000), 4);
-    for key in keys(&engines, 8) {
-        engines.load_reported(
+fn rejected_at_once_where_all_are_full_and_the_target_would_be_missed() {
+    let mut balancer = balancer(3, 8, 10, llm(200, 1_000_000), 4);
+    for key in keys(&balancer, 8) {
+        balancer.load_reported(
             1_000,
             key,
             RunnerLoad {
@@ -92,7 +93,7 @@
         remaining_ms: 1_500,
         ..want(600, 200)
     };
-    let Choice::Reject { retry_after_ms } = engines.choose(1_000, &wanted) else {
+    let Choice::Reject { retry_after_ms } = balancer.choose(1_000, &wanted) else {
         panic!("not refused")
     };
     assert!(
@@ -102,7 +103,7 @@
     // Those refused together don't come back together.
     let mut times: Vec<u64> = (0..40)
         .map(|_| {
-            match engines.choose(
+            match balancer.choose(
                 1_000,
                 &RequestProfile {
                     remaining_ms: 60_000,
@@ -119,25 +120,25 @@
 }
 
 #[test]
-fn refused_by_all_it_waits_for_the_first_sleeper_and_no_longer_than_is_no_late_refusal() {
-    let mut engines = engines(3, 3, 6, plain(100), 4);
+fn rejected_by_all_it_waits_for_the_first_backoff_within_its_wait_bound() {
+    let mut balancer = balancer(3, 3, 6, plain(100), 4);
     let mut wanted = RequestProfile {
         target_ms: 300,
         remaining_ms: 4_000,
         ..want(0, 0)
     };
     for _ in 0..3 {
-        let key = sent_to(engines.choose(1_000, &wanted));
+        let key = sent_to(balancer.choose(1_000, &wanted));
         assert!(!wanted.attempted.contains(&key), "another one each time");
-        let send = engines.attempt_started(1_000, key, &wanted, Traffic::Live);
-        engines.attempt_ended(1_000, send, Outcome::Rejected);
+        let send = balancer.attempt_started(1_000, key, &wanted, Traffic::Live);
+        balancer.attempt_ended(1_000, send, Outcome::Rejected);
         wanted.attempted.push(key);
     }
-    let Choice::Wait { until } = engines.choose(1_000, &wanted) else {
+    let Choice::Wait { until } = balancer.choose(1_000, &wanted) else {
         panic!("no wait")
     };
     assert!((1_001..=1_050).contains(&until));
-    let again = engines.choose(until + 50, &wanted);
+    let again = balancer.choose(until + 50, &wanted);
     assert!(
         matches!(again, Choice::Send { .. }),
         "the interval has passed: {again:?}"
@@ -149,23 +150,23 @@
         ..wanted
     };
     assert!(matches!(
-        engines.choose(1_000, &late),
+        balancer.choose(1_000, &late),
         Choice::Reject { .. }
     ));
 }
 
 #[test]
-fn what_is_told_after_a_refusal_goes_before_the_sleeper() {
-    let mut engines = engines(3, 1, 6, plain(100), 4);
+fn load_reported_after_a_rejection_overrides_the_backoff() {
+    let mut balancer = balancer(3, 1, 6, plain(100), 4);
     let wanted = want(0, 0);
-    let key = sent_to(engines.choose(1_000, &wanted));
+    let key = sent_to(balancer.choose(1_000, &wanted));
     for _ in 0..5 {
-        let send = engines.attempt_started(1_000, key, &wanted, Traffic::Live);
-        engines.attempt_ended(1_000, send, Outcome::Rejected);
+        let send = balancer.attempt_started(1_000, key, &wanted, Traffic::Live);
+        balancer.attempt_ended(1_000, send, Outcome::Rejected);
     }
-    let held = engines.choose(1_001, &wanted);
+    let held = balancer.choose(1_001, &wanted);
     assert!(matches!(held, Choice::Wait { .. }), "{held:?}");
-    engines.load_reported(
+    balancer.load_reported(
         1_002,
         key,
         RunnerLoad {
@@ -174,40 +175,40 @@
             slots: 6,
         },
     );
-    assert_eq!(sent_to(engines.choose(1_003, &wanted)), key);
+    assert_eq!(sent_to(balancer.choose(1_003, &wanted)), key);
     assert_eq!(
-        engines.choose_item(1_003, &wanted),
+        balancer.choose_item(1_003, &wanted),
         None,
         "an item waits out the interval"
     );
 }
 
 #[test]
-fn nothing_new_goes_to_one_that_drains_or_is_gone() {
-    let mut engines = engines(9, 4, 8, llm(200, 1_000_000), 2);
-    let keys = keys(&engines, 4);
-    let send = engines.attempt_started(10, keys[0], &want(100, 10), Traffic::Live);
+fn draining_and_removed_runners_get_nothing_new() {
+    let mut balancer = balancer(9, 4, 8, llm(200, 1_000_000), 2);
+    let keys = keys(&balancer, 4);
+    let send = balancer.attempt_started(10, keys[0], &want(100, 10), Traffic::Live);
     let mut draining = listed(0, SVC, 8);
     draining.state = RunnerState::Draining;
-    engines.update_runner(10, &draining, llm(200, 1_000_000));
+    balancer.update_runner(10, &draining, llm(200, 1_000_000));
     let mut gone = listed(1, SVC, 8);
     gone.state = RunnerState::Gone;
-    engines.update_runner(10, &gone, llm(200, 1_000_000));
-    engines.remove_runner("i-00000002");
-    assert!(!engines.is_up(keys[0]) && !engines.is_up(keys[1]) && !engines.is_up(keys[2]));
-    assert_eq!(engines.runner_id(keys[1]), "");
+    balancer.update_runner(10, &gone, llm(200, 1_000_000));
+    balancer.remove_runner("i-00000002");
+    assert!(!balancer.is_up(keys[0]) && !balancer.is_up(keys[1]) && !balancer.is_up(keys[2]));
+    assert_eq!(balancer.runner_id(keys[1]), "");
     for now in 20..220 {
-        assert_eq!(sent_to(engines.choose(now, &want(100, 10))), keys[3]);
-        assert!(engines
+        assert_eq!(sent_to(balancer.choose(now, &want(100, 10))), keys[3]);
+        assert!(balancer
             .choose_item(now, &want(100, 10))
             .is_none_or(|k| k == keys[3]));
     }
     // What is under way ends as ever.
-    engines.first_token_received(30, send);
-    engines.attempt_ended(40, send, Outcome::Completed);
-    engines.remove_runner("i-00000003");
+    balancer.first_token_received(30, send);
+    balancer.attempt_ended(40, send, Outcome::Completed);
+    balancer.remove_runner("i-00000003");
     assert!(matches!(
-        engines.choose(300, &want(100, 10)),
+        balancer.choose(300, &want(100, 10)),
         Choice::Wait { .. }
     ));
     let waited = RequestProfile {
@@ -215,26 +216,26 @@
         ..want(100, 10)
     };
     assert!(matches!(
-        engines.choose(300, &waited),
+        balancer.choose(300, &waited),
         Choice::Reject { .. }
     ));
 }
 
 #[test]
-fn a_key_is_never_anothers_and_sendings_to_those_gone_end() {
-    let mut engines = engines(9, 1, 8, plain(100), 1);
-    let old = engines.runner_key("i-00000000").unwrap();
-    let send = engines.attempt_started(0, old, &want(0, 0), Traffic::Live);
+fn keys_are_never_reused_and_attempts_at_removed_runners_end() {
+    let mut balancer = balancer(9, 1, 8, plain(100), 1);
+    let old = balancer.runner_key("i-00000000").unwrap();
+    let send = balancer.attempt_started(0, old, &want(0, 0), Traffic::Live);
     for n in 1..2_000 {
-        engines.remove_runner(&format!("i-{:08x}", n - 1));
-        engines.update_runner(n as u64, &listed(n, SVC, 8), plain(100));
-        assert_ne!(engines.runner_key(&format!("i-{n:08x}")), Some(old));
-        assert!(!engines.is_up(old));
-    }
-    engines.first_token_received(3_000, send);
-    engines.attempt_ended(3_000, send, Outcome::Completed);
-    engines.attempt_ended(3_000, send, Outcome::Completed);
-    engines.load_reported(
+        balancer.remove_runner(&format!("i-{:08x}", n - 1));
+        balancer.update_runner(n as u64, &listed(n, SVC, 8), plain(100));
+        assert_ne!(balancer.runner_key(&format!("i-{n:08x}")), Some(old));
+        assert!(!balancer.is_up(old));
+    }
+    balancer.first_token_received(3_000, send);
+    balancer.attempt_ended(3_000, send, Outcome::Completed);
+    balancer.attempt_ended(3_000, send, Outcome::Completed);
+    balancer.load_reported(
         3_000,
         old,
         RunnerLoad {
@@ -243,19 +244,19 @@
             slots: 1,
         },
     );
-    engines.report_received(3_000, old, LoadReport::default());
+    balancer.report_received(3_000, old, LoadReport::default());
 }
 
 #[test]
-fn many_dispatchers_that_know_the_same_do_not_all_go_to_the_same() {
+fn dispatchers_with_the_same_knowledge_spread_their_requests() {
     // The empty one in the own zone, and in another.
     for empty in [4, 5] {
         let mut at = HashMap::new();
         for seed in 0..10 {
-            let mut engines = engines(seed, 10, 24, llm(220, 400_000), 10);
-            let keys = keys(&engines, 10);
+            let mut balancer = balancer(seed, 10, 24, llm(220, 400_000), 10);
+            let keys = keys(&balancer, 10);
             for (n, key) in keys.iter().enumerate() {
-                engines.load_reported(
+                balancer.load_reported(
                     1_000,
                     *key,
                     RunnerLoad {
@@ -266,8 +267,8 @@
                 );
             }
             for _ in 0..3 {
-                let key = sent_to(engines.choose(1_001, &want(500, 100)));
-                engines.attempt_started(1_001, key, &want(500, 100), Traffic::Live);
+                let key = sent_to(balancer.choose(1_001, &want(500, 100)));
+                balancer.attempt_started(1_001, key, &want(500, 100), Traffic::Live);
                 *at.entry(key).or_insert(0) += 1;
             }
         }
@@ -278,12 +279,12 @@
 }
 
 #[test]
-fn equal_runners_are_drawn_with_the_own_zone_before_others() {
-    let mut engines = engines(5, 12, 24, llm(220, 400_000), 10);
-    let keys = keys(&engines, 12);
+fn equal_runners_are_drawn_with_the_own_zone_preferred() {
+    let mut balancer = balancer(5, 12, 24, llm(220, 400_000), 10);
+    let keys = keys(&balancer, 12);
     let (mut near, mut all) = (0, vec![0; 12]);
     for n in 0..1_200 {
-        let key = sent_to(engines.choose(n, &want(500, 100)));
+        let key = sent_to(balancer.choose(n, &want(500, 100)));
         let at = keys.iter().position(|k| *k == key).unwrap();
         near += u32::from(at % 4 == 0);
         all[at] += 1;
@@ -296,7 +297,7 @@
 }
 
 #[test]
-fn one_home_for_a_long_part_at_every_dispatcher_and_no_steering_by_short_ones() {
+fn long_parts_have_the_same_home_everywhere_and_short_ones_have_none() {
     let long = RequestProfile {
         prompt_parts: vec![(77, 14_000), (78, 900)],
         prompt_tokens: 14_900,
@@ -309,12 +310,12 @@
     };
     let (mut homes, mut others) = (HashMap::new(), HashMap::new());
     for seed in 0..40 {
-        let mut engines = engines(seed, 16, 24, llm(220, 400_000), 10);
+        let mut balancer = balancer(seed, 16, 24, llm(220, 400_000), 10);
         *homes
-            .entry(sent_to(engines.choose(1_000, &long)))
+            .entry(sent_to(balancer.choose(1_000, &long)))
             .or_insert(0) += 1;
         *others
-            .entry(sent_to(engines.choose(1_000, &short)))
+            .entry(sent_to(balancer.choose(1_000, &short)))
             .or_insert(0) += 1;
     }
     assert_eq!(homes.len(), 1, "{homes:?}");
@@ -322,7 +323,7 @@
 }
 
 #[test]
-fn a_home_that_is_far_fuller_than_the_others_is_passed_over_for_the_next_one() {
+fn overloaded_home_is_skipped_for_the_next_one() {
     let long = RequestProfile {
         prompt_parts: vec![(77, 14_000), (78, 900)],
         prompt_tokens: 14_900,
@@ -330,10 +331,10 @@
     };
     let mut next = HashMap::new();
     for seed in 0..20 {
-        let mut engines = engines(seed, 16, 24, llm(220, 400_000), 10);
-        let home = sent_to(engines.choose(1_000, &long));
-        for key in keys(&engines, 16) {
-            engines.load_reported(
+        let mut balancer = balancer(seed, 16, 24, llm(220, 400_000), 10);
+        let home = sent_to(balancer.choose(1_000, &long));
+        for key in keys(&balancer, 16) {
+            balancer.load_reported(
                 1_000,
                 key,
                 RunnerLoad {
@@ -343,7 +344,7 @@
                 },
             );
         }
-        let other = sent_to(engines.choose(1_001, &long));
+        let other = sent_to(balancer.choose(1_001, &long));
         assert_ne!(other, home);
         *next.entry(other).or_insert(0) += 1;
     }
@@ -351,44 +352,44 @@
 }
 
 #[test]
-fn a_sessions_own_part_is_followed_to_where_it_was_sent() {
-    let mut engines = engines(2, 16, 24, llm(220, 400_000), 1);
+fn session_returns_to_the_runner_that_has_its_part() {
+    let mut balancer = balancer(2, 16, 24, llm(220, 400_000), 1);
     let first = RequestProfile {
         prompt_parts: vec![(1, 100), (42, 6_000)],
         prompt_tokens: 6_100,
         ..want(0, 100)
     };
-    let key = sent_to(engines.choose(1_000, &first));
-    let send = engines.attempt_started(1_000, key, &first, Traffic::Live);
-    engines.first_token_received(1_060, send);
-    engines.attempt_ended(1_500, send, Outcome::Completed);
+    let key = sent_to(balancer.choose(1_000, &first));
+    let send = balancer.attempt_started(1_000, key, &first, Traffic::Live);
+    balancer.first_token_received(1_060, send);
+    balancer.attempt_ended(1_500, send, Outcome::Completed);
     for n in 0..20 {
-        assert_eq!(sent_to(engines.choose(2_000 + n, &first)), key);
+        assert_eq!(sent_to(balancer.choose(2_000 + n, &first)), key);
     }
 }
 
 #[test]
-fn one_that_cannot_be_reached_is_avoided_ever_longer_and_only_repeatable_ones_try_it() {
-    let mut engines = engines(4, 4, 24, plain(220), 1);
-    let keys = keys(&engines, 4);
+fn unreachable_runner_is_ejected_ever_longer_and_probed_by_retryable_requests_only() {
+    let mut balancer = balancer(4, 4, 24, plain(220), 1);
+    let keys = keys(&balancer, 4);
     let (mut now, mut spans) = (1_000, Vec::new());
     for _ in 0..5 {
-        let send = engines.attempt_started(now, keys[1], &want(0, 0), Traffic::Live);
-        engines.attempt_ended(now, send, Outcome::ConnectFailed);
+        let send = balancer.attempt_started(now, keys[1], &want(0, 0), Traffic::Live);
+        balancer.attempt_ended(now, send, Outcome::ConnectFailed);
         let from = now;
         let once = want(0, 0);
         let again = RequestProfile {
             retryable: true,
             ..want(0, 0)
         };
-        while !engines.is_healthy(now, keys[1]) {
+        while !balancer.is_healthy(now, keys[1]) {
             now += 1;
             assert_ne!(
-                sent_to(engines.choose(now, &once)),
+                sent_to(balancer.choose(now, &once)),
                 keys[1],
                 "one that can't be repeated"
             );
-            if (0..8).any(|_| sent_to(engines.choose(now, &again)) == keys[1]) {
+            if (0..8).any(|_| sent_to(balancer.choose(now, &again)) == keys[1]) {
                 break;
             }
         }
@@ -401,24 +402,24 @@
             .all(|w| w[1] as f64 > 1.2 * w[0] as f64 || w[1] >= 2_000),
         "{spans:?}"
     );
-    let send = engines.attempt_started(now, keys[1], &want(0, 0), Traffic::Live);
-    engines.attempt_ended(now + 10, send, Outcome::Completed);
-    assert!(engines.is_healthy(now + 10, keys[1]), "an answer ends it");
+    let send = balancer.attempt_started(now, keys[1], &want(0, 0), Traffic::Live);
+    balancer.attempt_ended(now + 10, send, Outcome::Completed);
+    assert!(balancer.is_healthy(now + 10, keys[1]), "an answer ends it");
 }
 
 #[test]
-fn all_avoided_are_better_than_nobody() {
-    let mut engines = engines(4, 3, 24, llm(220, 400_000), 1);
-    for key in keys(&engines, 3) {
-        let send = engines.attempt_started(1_000, key, &want(100, 10), Traffic::Live);
-        engines.attempt_ended(1_000, send, Outcome::ConnectionLost);
+fn ejected_runners_are_used_when_all_are_ejected() {
+    let mut balancer = balancer(4, 3, 24, llm(220, 400_000), 1);
+    for key in keys(&balancer, 3) {
+        let send = balancer.attempt_started(1_000, key, &want(100, 10), Traffic::Live);
+        balancer.attempt_ended(1_000, send, Outcome::ConnectionLost);
     }
     let waited = RequestProfile {
         waited_ms: 60,
         ..want(100, 10)
     };
-    sent_to(engines.choose(1_001, &waited));
-    let fresh = engines.choose(1_002, &want(100, 10));
+    sent_to(balancer.choose(1_001, &waited));
+    let fresh = balancer.choose(1_002, &want(100, 10));
     assert!(
         matches!(fresh, Choice::Wait { until } if until <= 1_051),
         "{fresh:?}"
@@ -426,40 +427,40 @@
 }
 
 #[test]
-fn overdue_sendings_are_named_once_where_they_may_be_repeated() {
-    let mut engines = engines(4, 3, 24, llm(220, 400_000), 1);
-    let keys = keys(&engines, 3);
+fn overdue_attempts_are_reported_once_where_retryable() {
+    let mut balancer = balancer(4, 3, 24, llm(220, 400_000), 1);
+    let keys = keys(&balancer, 3);
     let again = RequestProfile {
         retryable: true,
         ..want(100, 10)
     };
-    let first = engines.attempt_started(1_000, keys[0], &again, Traffic::Live);
-    engines.attempt_started(1_000, keys[0], &want(100, 10), Traffic::Live);
-    let alive = engines.attempt_started(1_000, keys[1], &again, Traffic::Live);
-    engines.event_received(1_400, alive);
-    assert!(engines.overdue_attempts(1_200).is_empty());
-    assert_eq!(engines.overdue_attempts(1_500), vec![first]);
-    assert!(engines.overdue_attempts(1_600).is_empty());
-    assert!(!engines.is_healthy(1_600, keys[0]));
+    let first = balancer.attempt_started(1_000, keys[0], &again, Traffic::Live);
+    balancer.attempt_started(1_000, keys[0], &want(100, 10), Traffic::Live);
+    let alive = balancer.attempt_started(1_000, keys[1], &again, Traffic::Live);
+    balancer.event_received(1_400, alive);
+    assert!(balancer.overdue_attempts(1_200).is_empty());
+    assert_eq!(balancer.overdue_attempts(1_500), vec![first]);
+    assert!(balancer.overdue_attempts(1_600).is_empty());
+    assert!(!balancer.is_healthy(1_600, keys[0]));
     assert!(
-        engines.is_healthy(1_600, keys[1]),
+        balancer.is_healthy(1_600, keys[1]),
         "it has shown a sign of life"
     );
 }
 
 #[test]
-fn a_report_that_comes_ends_an_avoidance_and_reports_are_few() {
-    let mut engines = engines(4, 50, 24, llm(220, 400_000), 1);
-    let keys = keys(&engines, 50);
+fn answered_probe_ends_an_ejection_and_probes_are_rate_limited() {
+    let mut balancer = balancer(4, 50, 24, llm(220, 400_000), 1);
+    let keys = keys(&balancer, 50);
     for key in &keys {
-        let send = engines.attempt_started(1_000, *key, &want(100, 10), Traffic::Live);
-        engines.attempt_ended(1_000, send, Outcome::TimedOut);
+        let send = balancer.attempt_started(1_000, *key, &want(100, 10), Traffic::Live);
+        balancer.attempt_ended(1_000, send, Outcome::TimedOut);
     }
     assert!(
-        engines.runners_to_probe(1_010).is_empty(),
+        balancer.runners_to_probe(1_010).is_empty(),
         "they are to be left alone for a while"
     );
-    let asked = engines.runners_to_probe(1_600);
+    let asked = balancer.runners_to_probe(1_600);
     assert!(!asked.is_empty() && asked.len() <= 4, "{asked:?}");
     let report = LoadReport {
         queued: 1,
@@ -467,38 +468,38 @@
         kv_in_use: 1_000,
         kv_size: 400_000,
     };
-    engines.report_received(1_650, asked[0], report);
-    assert!(engines.is_healthy(1_650, asked[0]));
-    engines.report_failed(1_650, asked[1]);
-    assert!(!engines.is_healthy(1_650, asked[1]));
+    balancer.report_received(1_650, asked[0], report);
+    assert!(balancer.is_healthy(1_650, asked[0]));
+    balancer.report_failed(1_650, asked[1]);
+    assert!(!balancer.is_healthy(1_650, asked[1]));
     let mut many = 0;
     for now in (1_700..11_700).step_by(100) {
-        many += engines.runners_to_probe(now).len();
+        many += balancer.runners_to_probe(now).len();
     }
     assert!(many <= 25, "two a second at most: {many}");
 }
 
 #[test]
-fn a_request_larger_than_the_memory_says_nothing_of_a_refusing_runner() {
-    let mut engines = engines(4, 1, 24, llm(220, 10_000), 1);
-    let key = engines.runner_key("i-00000000").unwrap();
-    let send = engines.attempt_started(1_000, key, &want(20_000, 100), Traffic::Live);
-    engines.attempt_ended(1_001, send, Outcome::Rejected);
-    assert_eq!(sent_to(engines.choose(1_002, &want(100, 10))), key);
+fn rejection_of_an_oversized_request_starts_no_backoff() {
+    let mut balancer = balancer(4, 1, 24, llm(220, 10_000), 1);
+    let key = balancer.runner_key("i-00000000").unwrap();
+    let send = balancer.attempt_started(1_000, key, &want(20_000, 100), Traffic::Live);
+    balancer.attempt_ended(1_001, send, Outcome::Rejected);
+    assert_eq!(sent_to(balancer.choose(1_002, &want(100, 10))), key);
 }
 
 #[test]
-fn a_dispatcher_holds_its_share_of_the_connections() {
-    let mut engines = engines(4, 2, 24, llm(220, 400_000), 10);
-    let keys = keys(&engines, 2);
-    assert_eq!(engines.connection_limit(keys[0]), 22);
-    engines.set_dispatcher_count(400);
-    assert_eq!(engines.connection_limit(keys[0]), 2);
-    engines.attempt_started(0, keys[0], &want(100, 10), Traffic::Live);
-    engines.attempt_started(0, keys[0], &want(100, 10), Traffic::Live);
+fn connections_are_limited_to_the_share_of_a_dispatcher() {
+    let mut balancer = balancer(4, 2, 24, llm(220, 400_000), 10);
+    let keys = keys(&balancer, 2);
+    assert_eq!(balancer.connection_limit(keys[0]), 22);
+    balancer.set_dispatcher_count(400);
+    assert_eq!(balancer.connection_limit(keys[0]), 2);
+    balancer.attempt_started(0, keys[0], &want(100, 10), Traffic::Live);
+    balancer.attempt_started(0, keys[0], &want(100, 10), Traffic::Live);
     for now in 1..50 {
         assert_eq!(
-            sent_to(engines.choose(now, &want(100, 10))),
+            sent_to(balancer.choose(now, &want(100, 10))),
             keys[1],
             "no connection is left there"
         );
@@ -506,9 +507,9 @@
 }
 
 #[test]
-fn items_go_by_room_and_an_unheard_runner_gets_one() {
-    let mut engines = engines(6, 3, 20, llm(220, 4_000_000), 1);
-    let keys = keys(&engines, 3);
+fn items_are_drawn_by_free_slots_and_an_unreported_runner_gets_one() {
+    let mut balancer = balancer(6, 3, 20, llm(220, 4_000_000), 1);
+    let keys = keys(&balancer, 3);
     let item = RequestProfile {
         retryable: true,
         remaining_ms: 10_000,
@@ -516,18 +517,18 @@
     };
     // Nobody has said anything: one each.
     let mut firsts = Vec::new();
-    while let Some(key) = engines.choose_item(1_000, &item) {
+    while let Some(key) = balancer.choose_item(1_000, &item) {
         firsts.push((
             key,
-            engines.attempt_started(1_000, key, &item, Traffic::Item),
+            balancer.attempt_started(1_000, key, &item, Traffic::Item),
         ));
         assert!(firsts.len() <= 3);
     }
     assert_eq!(firsts.len(), 3);
     for (key, send) in firsts {
-        engines.first_token_received(1_010, send);
-        engines.attempt_ended(1_020, send, Outcome::Completed);
-        engines.load_reported(
+        balancer.first_token_received(1_010, send);
+        balancer.attempt_ended(1_020, send, Outcome::Completed);
+        balancer.load_reported(
             1_020,
             key,
             RunnerLoad {
@@ -545,16 +546,16 @@
     }
     let mut got = HashMap::new();
     for _ in 0..1_000 {
-        *got.entry(engines.choose_item(1_021, &item).unwrap())
+        *got.entry(balancer.choose_item(1_021, &item).unwrap())
             .or_insert(0) += 1;
     }
     assert_eq!(got.get(&keys[2]), None, "it has no free slot");
     let (wide, narrow) = (got[&keys[0]] as f64, got[&keys[1]] as f64);
     assert!(wide / narrow > 1.6 && wide / narrow < 3.5, "{got:?}");
-    assert!(engines.item_capacity(1_021, SVC) >= 1);
+    assert!(balancer.item_capacity(1_021, SVC) >= 1);
     // Full everywhere: hold it.
     keys.iter().for_each(|key| {
-        engines.load_reported(
+        balancer.load_reported(
             1_030,
             *key,
             RunnerLoad {
@@ -564,25 +565,25 @@
             },
         )
     });
-    assert_eq!(engines.choose_item(1_031, &item), None);
-    assert_eq!(engines.item_capacity(1_031, SVC), 0);
+    assert_eq!(balancer.choose_item(1_031, &item), None);
+    assert_eq!(balancer.item_capacity(1_031, SVC), 0);
 }
 
 /// A fleet of eight runners, all full but one, and an item on its way that is due so long after its sending.
 fn nearly_full_fleet(item_left_ms: u32) -> Balancer {
-    let mut engines = engines(6, 8, 10, llm(220, 4_000_000), 1);
-    let keys = keys(&engines, 8);
+    let mut balancer = balancer(6, 8, 10, llm(220, 4_000_000), 1);
+    let keys = keys(&balancer, 8);
     let item = RequestProfile {
         retryable: true,
         remaining_ms: item_left_ms,
         ..want(300, 100)
     };
-    let send = engines.attempt_started(1_000, keys[0], &item, Traffic::Item);
-    engines.first_token_received(1_010, send);
+    let send = balancer.attempt_started(1_000, keys[0], &item, Traffic::Item);
+    balancer.first_token_received(1_010, send);
     for now in 1_010..1_060 {
         for key in &keys {
             let (running, waiting) = if *key == keys[7] { (4, 0) } else { (10, 2) };
-            engines.load_reported(
+            balancer.load_reported(
                 now,
                 *key,
                 RunnerLoad {
@@ -593,11 +594,11 @@
             );
         }
     }
-    engines
+    balancer
 }
 
 #[test]
-fn an_item_with_time_to_spare_waits_while_the_fleet_as_a_whole_is_full() {
+fn item_with_time_to_spare_waits_while_the_fleet_is_full() {
     assert_eq!(
         nearly_full_fleet(20_000).item_capacity(1_060, SVC),
         0,
@@ -632,20 +633,20 @@
 }
 
 #[test]
-fn the_nearer_items_are_due_the_more_of_the_reserve_they_may_use() {
+fn items_use_more_of_the_reserve_the_nearer_they_are_due() {
     let is_open = |item_left_ms| {
-        let mut engines = engines(6, 8, 100, llm(2_200, 40_000_000), 1);
-        let keys = keys(&engines, 8);
+        let mut balancer = balancer(6, 8, 100, llm(2_200, 40_000_000), 1);
+        let keys = keys(&balancer, 8);
         let item = RequestProfile {
             retryable: true,
             remaining_ms: item_left_ms,
             ..want(300, 100)
         };
-        let send = engines.attempt_started(1_000, keys[0], &item, Traffic::Item);
-        engines.first_token_received(1_010, send);
+        let send = balancer.attempt_started(1_000, keys[0], &item, Traffic::Item);
+        balancer.first_token_received(1_010, send);
         for now in 1_010..1_060 {
             for key in &keys {
-                engines.load_reported(
+                balancer.load_reported(
                     now,
                     *key,
                     RunnerLoad {
@@ -656,7 +657,7 @@
                 );
             }
         }
-        engines.item_capacity(1_060, SVC) > 0
+        balancer.item_capacity(1_060, SVC) > 0
     };
     assert!(
         !is_open(60_000) && is_open(4_000),
@@ -665,9 +666,9 @@
 }
 
 #[test]
-fn an_item_waits_out_the_interval_of_a_runner_that_refused_one() {
-    let mut engines = engines(6, 1, 20, llm(220, 4_000_000), 1);
-    let key = engines.runner_key("i-00000000").unwrap();
+fn items_wait_out_the_backoff_of_a_runner_that_rejected_one() {
+    let mut balancer = balancer(6, 1, 20, llm(220, 4_000_000), 1);
+    let key = balancer.runner_key("i-00000000").unwrap();
     let item = RequestProfile {
         retryable: true,
         remaining_ms: 10_000,
@@ -676,7 +677,7 @@
     let mut now = 1_000;
     let mut spans = Vec::new();
     for _ in 0..6 {
-        engines.load_reported(
+        balancer.load_reported(
             now,
             key,
             RunnerLoad {
@@ -685,13 +686,13 @@
                 slots: 20,
             },
         );
-        assert_eq!(engines.choose_item(now, &item), Some(key));
-        let send = engines.attempt_started(now, key, &item, Traffic::Item);
-        engines.attempt_ended(now, send, Outcome::Rejected);
+        assert_eq!(balancer.choose_item(now, &item), Some(key));
+        let send = balancer.attempt_started(now, key, &item, Traffic::Item);
+        balancer.attempt_ended(now, send, Outcome::Rejected);
         let from = now;
         loop {
             now += 1;
-            engines.load_reported(
+            balancer.load_reported(
                 now,
                 key,
                 RunnerLoad {
@@ -700,7 +701,7 @@
                     slots: 20,
                 },
             );
-            if engines.choose_item(now, &item).is_some() {
+            if balancer.choose_item(now, &item).is_some() {
                 break;
             }
         }
@@ -710,10 +711,10 @@
 }
 
 #[test]
-fn an_item_that_is_due_soon_takes_the_reserve_too() {
-    let mut engines = engines(6, 1, 20, llm(220, 4_000_000), 1);
-    let key = engines.runner_key("i-00000000").unwrap();
-    engines.load_reported(
+fn item_that_is_due_soon_uses_the_reserve() {
+    let mut balancer = balancer(6, 1, 20, llm(220, 4_000_000), 1);
+    let key = balancer.runner_key("i-00000000").unwrap();
+    balancer.load_reported(
         1_000,
         key,
         RunnerLoad {
@@ -727,16 +728,16 @@
         remaining_ms: left_ms,
         ..want(300, 100)
     };
-    assert_eq!(engines.choose_item(1_000, &item(10_000)), None);
-    assert_eq!(engines.choose_item(1_000, &item(0)), Some(key));
+    assert_eq!(balancer.choose_item(1_000, &item(10_000)), None);
+    assert_eq!(balancer.choose_item(1_000, &item(0)), Some(key));
 }
 
 #[test]
-fn thousands_of_runners_and_parts_are_borne() {
-    let mut engines = Balancer::new(1, "z0");
-    engines.set_dispatcher_count(300);
+fn thousands_of_runners_and_parts_are_bounded() {
+    let mut balancer = Balancer::new(1, "z0");
+    balancer.set_dispatcher_count(300);
     for n in 0..10_000 {
-        engines.update_runner(0, &listed(n, SVC, 24), llm(2_200, 400_000));
+        balancer.update_runner(0, &listed(n, SVC, 24), llm(2_200, 400_000));
     }
     let mut rng = Pcg64Mcg::seed_from_u64(8);
     let mut homes: HashMap<u64, RunnerKey> = HashMap::new();
@@ -750,11 +751,11 @@
             ..want(0, 100)
         };
         let now = 1_000 + n * 20;
-        let key = sent_to(engines.choose(now, &wanted));
+        let key = sent_to(balancer.choose(now, &wanted));
         at_home += u32::from(*homes.entry(part).or_insert(key) == key);
-        let send = engines.attempt_started(now, key, &wanted, Traffic::Live);
-        engines.first_token_received(now + 20, send);
-        engines.attempt_ended(now + 200, send, Outcome::Completed);
+        let send = balancer.attempt_started(now, key, &wanted, Traffic::Live);
+        balancer.first_token_received(now + 20, send);
+        balancer.attempt_ended(now + 200, send, Outcome::Completed);
     }
     assert!(
         at_home > 2_800,
@@ -763,9 +764,9 @@
 }
 
 #[test]
-fn the_same_seed_and_calls_give_the_same_choices() {
+fn same_seed_and_calls_give_the_same_selections() {
     let play = || {
-        let mut engines = engines(11, 9, 12, llm(90, 300_000), 3);
+        let mut balancer = balancer(11, 9, 12, llm(90, 300_000), 3);
         let mut rng = Pcg64Mcg::seed_from_u64(1);
         let mut said = String::new();
         let mut sends = Vec::new();
@@ -774,10 +775,13 @@
                 retryable: now % 3 == 0,
                 ..want((rng.next_u64() % 9_000) as u32, 100)
             };
-            match engines.choose(now, &wanted) {
-                Choice::Send { runner } => {
-                    sends.push(engines.attempt_started(now, runner, &wanted, traffic(now % 7 == 0)))
-                }
+            match balancer.choose(now, &wanted) {
+                Choice::Send { runner } => sends.push(balancer.attempt_started(
+                    now,
+                    runner,
+                    &wanted,
+                    traffic(now % 7 == 0),
+                )),
                 other => said += &format!("{other:?}"),
             }
             if !sends.is_empty() && rng.next_u64() % 100 < 97 {
@@ -798,8 +802,8 @@
                     Outcome::Completed,
                     Outcome::Completed,
                 ];
-                engines.first_token_received(now, send);
-                engines.attempt_ended(
+                balancer.first_token_received(now, send);
+                balancer.attempt_ended(
                     now,
                     send,
                     *ends
@@ -809,9 +813,9 @@
                         .unwrap(),
                 );
             }
-            said += &format!("{:?}", engines.choose_item(now, &wanted));
-            said += &format!("{:?}", engines.runners_to_probe(now));
-            said += &format!("{:?}", engines.overdue_attempts(now));
+            said += &format!("{:?}", balancer.choose_item(now, &wanted));
+            said += &format!("{:?}", balancer.runners_to_probe(now));
+            said += &format!("{:?}", balancer.overdue_attempts(now));
         }
         said
     };
@@ -819,12 +823,12 @@
 }
 
 #[test]
-fn old_words_are_no_reason_to_refuse_or_to_hold() {
-    let mut engines = engines(6, 6, 20, llm(220, 4_000_000), 10);
-    let keys = keys(&engines, 6);
+fn old_reports_are_no_reason_to_reject_or_to_hold_back() {
+    let mut balancer = balancer(6, 6, 20, llm(220, 4_000_000), 10);
+    let keys = keys(&balancer, 6);
     for now in 0..50 {
         keys.iter().for_each(|key| {
-            engines.load_reported(
+            balancer.load_reported(
                 1_000 + now,
                 *key,
                 RunnerLoad {
@@ -841,22 +845,22 @@
         ..want(300, 100)
     };
     assert!(matches!(
-        engines.choose(1_060, &want(300, 100)),
+        balancer.choose(1_060, &want(300, 100)),
         Choice::Reject { .. }
     ));
     assert_eq!(
         (
-            engines.item_capacity(1_060, SVC),
-            engines.choose_item(1_060, &item)
+            balancer.item_capacity(1_060, SVC),
+            balancer.choose_item(1_060, &item)
         ),
         (0, None)
     );
     // All were refused, so nothing was heard. The first to come shows how it is by now.
-    let key = sent_to(engines.choose(4_000, &want(300, 100)));
-    assert!(engines.item_capacity(4_000, SVC) >= 1);
-    assert!(engines.choose_item(4_000, &item).is_some());
+    let key = sent_to(balancer.choose(4_000, &want(300, 100)));
+    assert!(balancer.item_capacity(4_000, SVC) >= 1);
+    assert!(balancer.choose_item(4_000, &item).is_some());
     for key in &keys {
-        engines.load_reported(
+        balancer.load_reported(
             4_010,
             *key,
             RunnerLoad {
@@ -866,46 +870,46 @@
             },
         );
     }
-    let send = engines.attempt_started(4_000, key, &want(300, 100), Traffic::Live);
-    engines.attempt_ended(4_010, send, Outcome::Rejected);
+    let send = balancer.attempt_started(4_000, key, &want(300, 100), Traffic::Live);
+    balancer.attempt_ended(4_010, send, Outcome::Rejected);
     assert!(matches!(
-        engines.choose(4_020, &want(300, 100)),
+        balancer.choose(4_020, &want(300, 100)),
         Choice::Reject { .. }
     ));
 }
 
 #[test]
-fn the_reserve_follows_the_live_use_up_and_down() {
-    let mut engines = engines(6, 4, 20, llm(220, 4_000_000), 2);
-    let key = keys(&engines, 4)[0];
+fn item_reserve_follows_the_live_load_up_and_down() {
+    let mut balancer = balancer(6, 4, 20, llm(220, 4_000_000), 2);
+    let key = keys(&balancer, 4)[0];
     let reserve = |e: &Balancer| e.service_estimates(SVC).unwrap().item_reserve;
-    let least = reserve(&engines);
+    let least = reserve(&balancer);
     let live: Vec<_> = (0..40)
-        .map(|n| engines.attempt_started(1_000 + n, key, &want(300, 100), Traffic::Live))
+        .map(|n| balancer.attempt_started(1_000 + n, key, &want(300, 100), Traffic::Live))
         .collect();
     for _ in 0..100 {
-        let item = engines.attempt_started(1_050, key, &want(300, 100), Traffic::Item);
-        engines.attempt_ended(1_060, item, Outcome::Completed);
+        let item = balancer.attempt_started(1_050, key, &want(300, 100), Traffic::Item);
+        balancer.attempt_ended(1_060, item, Outcome::Completed);
     }
-    let busy = reserve(&engines);
+    let busy = reserve(&balancer);
     assert!(busy > 2.0 * least, "{least} {busy}");
     live.into_iter()
-        .for_each(|send| engines.attempt_ended(1_100, send, Outcome::Completed));
+        .for_each(|send| balancer.attempt_ended(1_100, send, Outcome::Completed));
     for _ in 0..200 {
-        let item = engines.attempt_started(1_200, key, &want(300, 100), Traffic::Item);
-        engines.attempt_ended(1_210, item, Outcome::Completed);
+        let item = balancer.attempt_started(1_200, key, &want(300, 100), Traffic::Item);
+        balancer.attempt_ended(1_210, item, Outcome::Completed);
     }
     assert!(
-        reserve(&engines) < 1.1 * least,
+        reserve(&balancer) < 1.1 * least,
         "{least} {}",
-        reserve(&engines)
+        reserve(&balancer)
     );
 }
 
 #[test]
-fn what_the_others_push_unseen_is_taken_off_the_room() {
-    let mut engines = engines(6, 1, 40, llm(220, 4_000_000), 2);
-    let key = keys(&engines, 1)[0];
+fn unreported_pushes_of_other_dispatchers_reduce_the_capacity() {
+    let mut balancer = balancer(6, 1, 40, llm(220, 4_000_000), 2);
+    let key = keys(&balancer, 1)[0];
     let item = RequestProfile {
         retryable: true,
         remaining_ms: 10_000,
@@ -913,17 +917,17 @@
     };
     // So small, beside so slow an objective, that what they take to read is no bound.
     for now in 0..200 {
-        engines.choose(
+        balancer.choose(
             now,
             &RequestProfile {
                 target_ms: 5_000,
                 ..want(20, 10)
             },
         );
-        let send = engines.attempt_started(now, key, &item, Traffic::Item);
-        engines.attempt_ended(now + 1, send, Outcome::Completed);
+        let send = balancer.attempt_started(now, key, &item, Traffic::Item);
+        balancer.attempt_ended(now + 1, send, Outcome::Completed);
     }
-    engines.load_reported(
+    balancer.load_reported(
         1_000,
         key,
         RunnerLoad {
@@ -933,19 +937,19 @@
         },
     );
     for sent in 0..12u32 {
-        let room = engines.item_capacity(1_000, SVC);
+        let room = balancer.item_capacity(1_000, SVC);
         assert!(
             2 * (room + sent) <= 40,
             "two dispatchers with {sent} sent and {room} more each"
         );
-        engines.attempt_started(1_000, key, &item, Traffic::Item);
+        balancer.attempt_started(1_000, key, &item, Traffic::Item);
     }
 }
 
 #[test]
-fn items_do_not_keep_runners_reading_for_longer_than_live_requests_bear() {
-    let mut engines = engines(6, 12, 24, llm(220, 4_000_000), 10);
-    let keys = keys(&engines, 12);
+fn items_in_prefill_are_bounded_by_the_live_target() {
+    let mut balancer = balancer(6, 12, 24, llm(220, 4_000_000), 10);
+    let keys = keys(&balancer, 12);
     // Each prompt is its own: nothing of it was read before.
     let item = |n| RequestProfile {
         retryable: true,
@@ -954,11 +958,11 @@
         ..want(5_000, 100)
     };
     for now in 0..200 {
-        let send = engines.attempt_started(now, keys[0], &item(now), Traffic::Item);
-        engines.attempt_ended(now + 60, send, Outcome::Completed);
+        let send = balancer.attempt_started(now, keys[0], &item(now), Traffic::Item);
+        balancer.attempt_ended(now + 60, send, Outcome::Completed);
     }
     keys.iter().for_each(|key| {
-        engines.load_reported(
+        balancer.load_reported(
             1_000,
             *key,
             RunnerLoad {
@@ -970,14 +974,14 @@
     });
     // Some 270 free slots are 27 for each of ten; but each item takes fifty milliseconds to read.
     assert!(
-        (1..=3).contains(&engines.item_capacity(1_000, SVC)),
+        (1..=3).contains(&balancer.item_capacity(1_000, SVC)),
         "{}",
-        engines.item_capacity(1_000, SVC)
+        balancer.item_capacity(1_000, SVC)
     );
-    engines.attempt_started(1_000, keys[0], &item(1_000), Traffic::Item);
-    engines.attempt_started(1_000, keys[1], &item(1_001), Traffic::Item);
+    balancer.attempt_started(1_000, keys[0], &item(1_000), Traffic::Item);
+    balancer.attempt_started(1_000, keys[1], &item(1_001), Traffic::Item);
     assert_eq!(
-        engines.item_capacity(1_000, SVC),
+        balancer.item_capacity(1_000, SVC),
         0,
         "until these have been read"
     );
@@ -985,11 +989,11 @@
 
 /// What a runner says of its slots counts for its service as long as it is there, and is taken off with it.
 #[test]
-fn slots_that_were_told_leave_with_their_runner() {
+fn reported_slots_leave_with_their_runner() {
     for slots in [1, 48] {
-        let mut engines = engines(3, 3, 6, plain(100), 4);
-        let keys = keys(&engines, 3);
-        engines.load_reported(
+        let mut balancer = balancer(3, 3, 6, plain(100), 4);
+        let keys = keys(&balancer, 3);
+        balancer.load_reported(
             1_000,
             keys[0],
             RunnerLoad {
@@ -998,16 +1002,16 @@
                 slots,
             },
         );
-        engines.remove_runner("i-00000000");
-        let choice = engines.choose(1_100, &want(0, 0));
+        balancer.remove_runner("i-00000000");
+        let choice = balancer.choose(1_100, &want(0, 0));
         assert!(
             matches!(choice, Choice::Send { .. }),
             "two with 6 slots are up: {choice:?}"
         );
         // And none is left over when the last has gone.
-        engines.remove_runner("i-00000001");
-        engines.remove_runner("i-00000002");
-        let choice = engines.choose(
+        balancer.remove_runner("i-00000001");
+        balancer.remove_runner("i-00000002");
+        let choice = balancer.choose(
             1_200,
             &RequestProfile {
                 target_ms: 1,
--- a/crates/gateway/runner-selection/tests/common/fleet.rs
+++ b/crates/gateway/runner-selection/tests/support/fleet.rs
@@ -72,7 +72,7 @@
     pub rng: Pcg64Mcg,
     pub kinds: Vec<Kind>,
     pub runners: Vec<Model>,
-    pub engines: Vec<Balancer>,
+    pub balancers: Vec<Balancer>,
     keys: Vec<Vec<RunnerKey>>,
     next: Vec<f64>,
     held: Vec<Vec<Held>>,
@@ -107,7 +107,7 @@
             seen: kinds.iter().map(|_| Seen::default()).collect(),
             kinds,
             runners: (0..runners).map(|_| Model::new(make)).collect(),
-            engines: Vec::new(),
+            balancers: Vec::new(),
             keys: Vec::new(),
             held: Vec::new(),
             flights: BTreeMap::new(),
@@ -129,20 +129,20 @@
 
     /// One more dispatcher, which knows nothing.
     pub fn start(&mut self, seed: u64, dispatchers: u32) {
-        let mut engines = Balancer::new(seed, &format!("z{}", self.engines.len() % 4));
-        engines.set_dispatcher_count(dispatchers);
+        let mut balancers = Balancer::new(seed, &format!("z{}", self.balancers.len() % 4));
+        balancers.set_dispatcher_count(dispatchers);
         let make = self.runners[0].make;
         for n in 0..self.runners.len() {
-            engines.update_runner(
+            balancers.update_runner(
                 self.now,
                 &listed(n, SVC, make.slots as u32),
                 llm(220, make.kv),
             );
         }
         let keys = (0..self.runners.len())
-            .map(|n| engines.runner_key(&format!("i-{n:08x}")).unwrap())
+            .map(|n| balancers.runner_key(&format!("i-{n:08x}")).unwrap())
             .collect();
-        self.engines.push(engines);
+        self.balancers.push(balancers);
         self.keys.push(keys);
         self.held.push(Vec::new());
         self.fetched.push(VecDeque::new());
@@ -177,7 +177,7 @@
         while self.now < until {
             self.now += 1;
             self.arrivals();
-            for d in 0..self.engines.len() {
+            for d in 0..self.balancers.len() {
                 self.place(d);
                 if self.now % 20 == d as Millis % 20 {
                     self.items(d);
@@ -200,7 +200,7 @@
                 let mean = 1_000.0 / self.kinds[kind].per_s;
                 self.next[kind] += exponential(&mut self.rng, mean);
                 let want = self.make_want(kind);
-                let d = (self.rng.next_u64() % self.engines.len() as u64) as usize;
+                let d = (self.rng.next_u64() % self.balancers.len() as u64) as usize;
                 self.seen[kind].asked += 1;
                 self.held[d].push(Held {
                     at: self.now,
@@ -226,7 +226,7 @@
                     self.keys[d][(self.rng.next_u64() % self.runners.len() as u64) as usize];
                 Choice::Send { runner }
             } else {
-                self.engines[d].choose(self.now, &h.want)
+                self.balancers[d].choose(self.now, &h.want)
             };
             match choice {
                 Choice::Send { runner } => self.send(d, runner, h.kind, h.came, h.want, false),
@@ -257,7 +257,7 @@
             .expect("a known runner");
         self.sends.push((self.now, d, runner, item));
         let send = (!self.blind)
-            .then(|| self.engines[d].attempt_started(self.now, key, &want, traffic(item)));
+            .then(|| self.balancers[d].attempt_started(self.now, key, &want, traffic(item)));
         let job = Job {
             id,
             prefix: want.prompt_parts.clone(),
@@ -281,7 +281,7 @@
         let (running, waiting) = self.runners[runner].load();
         let slots = self.runners[runner].make.slots as u32;
         if let Some(send) = send {
-            self.engines[d].load_reported(
+            self.balancers[d].load_reported(
                 self.now,
                 key,
                 RunnerLoad {
@@ -290,7 +290,7 @@
                     slots,
                 },
             );
-            self.engines[d].attempt_ended(self.now, send, Outcome::Rejected);
+            self.balancers[d].attempt_ended(self.now, send, Outcome::Rejected);
         }
         if item {
             self.items.turned_away += 1;
@@ -308,7 +308,7 @@
     }
 
     fn items(&mut self, d: usize) {
-        let room = self.engines[d].item_capacity(self.now, SVC) as usize;
+        let room = self.balancers[d].item_capacity(self.now, SVC) as usize;
         while self.fetched[d].len() < room {
             let Some(want) = self.backlog.pop_front() else {
                 break;
@@ -316,7 +316,7 @@
             self.fetched[d].push_back(want);
         }
         while let Some(want) = self.fetched[d].pop_front() {
-            let Some(key) = self.engines[d].choose_item(self.now, &want) else {
+            let Some(key) = self.balancers[d].choose_item(self.now, &want) else {
                 self.fetched[d].push_front(want);
                 break;
             };
@@ -326,7 +326,7 @@
 
     /// Overdue ones go elsewhere; reports are asked for.
     fn care(&mut self, d: usize) {
-        for overdue in self.engines[d].overdue_attempts(self.now) {
+        for overdue in self.balancers[d].overdue_attempts(self.now) {
             let found = self
                 .flights
                 .iter()
@@ -336,7 +336,7 @@
             };
             let mut f = self.flights.remove(&id).unwrap();
             self.runners[f.runner].cancel(id);
-            self.engines[d].attempt_ended(self.now, overdue, Outcome::TimedOut);
+            self.balancers[d].attempt_ended(self.now, overdue, Outcome::TimedOut);
             f.want.attempted.push(self.keys[d][f.runner]);
             if f.item {
                 self.fetched[d].push_back(f.want);
@@ -349,12 +349,12 @@
                 });
             }
         }
-        for key in self.engines[d].runners_to_probe(self.now) {
+        for key in self.balancers[d].runners_to_probe(self.now) {
             self.reports += 1;
             let n = self.keys[d].iter().position(|k| *k == key).unwrap();
             let model = &self.runners[n];
             if model.dark {
-                self.engines[d].report_failed(self.now, key);
+                self.balancers[d].report_failed(self.now, key);
                 continue;
             }
             let (active, queued) = model.lagged();
@@ -364,7 +364,7 @@
                 kv_in_use: model.kv_in_use(),
                 kv_size: model.make.kv,
             };
-            self.engines[d].report_received(self.now, key, report);
+            self.balancers[d].report_received(self.now, key, report);
         }
     }
 
@@ -388,7 +388,7 @@
             if let Some(send) = f.send {
                 let model = &self.runners[f.runner];
                 let (running, waiting) = model.load();
-                self.engines[d].load_reported(
+                self.balancers[d].load_reported(
                     now,
                     key,
                     RunnerLoad {
@@ -397,13 +397,13 @@
                         slots: model.make.slots as u32,
                     },
                 );
-                self.engines[d].first_token_received(now, send);
+                self.balancers[d].first_token_received(now, send);
             }
             return;
         }
         seen.done += 1;
         if let Some(send) = f.send {
-            self.engines[d].attempt_ended(now, send, Outcome::Completed);
+            self.balancers[d].attempt_ended(now, send, Outcome::Completed);
         }
         self.flights.remove(&id);
     }
--- a/crates/gateway/runner-selection/tests/common/mod.rs
+++ b/crates/gateway/runner-selection/tests/support/mod.rs
@@ -1,5 +1,4 @@
 //! A small model of runners in virtual time, with dispatchers that choose on their own.
-#![allow(dead_code, missing_docs)]
 
 pub mod fleet;
 pub mod model;
@@ -54,19 +53,19 @@
     }
 }
 
-pub fn engines(
+pub fn balancer(
     seed: u64,
     runners: usize,
     slots: u32,
     terms: ServiceTerms,
     dispatchers: u32,
 ) -> Balancer {
-    let mut engines = Balancer::new(seed, "z0");
-    engines.set_dispatcher_count(dispatchers);
+    let mut balancer = Balancer::new(seed, "z0");
+    balancer.set_dispatcher_count(dispatchers);
     for n in 0..runners {
-        engines.update_runner(0, &listed(n, SVC, slots), terms);
+        balancer.update_runner(0, &listed(n, SVC, slots), terms);
     }
-    engines
+    balancer
 }
 
 pub fn traffic(is_item: bool) -> Traffic {
