--- a/crates/batch/batch-store/src/fetch_queue.rs
+++ b/crates/batch/batch-store/src/fetch_queue.rs
@@ -1,23 +1,23 @@
-//! Fetches of gateways that are held until there is an item.
+//! Pending fetches of gateways: each is answered once there is an item, or when its time is over.
 
 use batch::wire::{FetchRequest, MAX_WAIT_MS};
 use chain_replication::Millis;
 use std::collections::VecDeque;
 
-/// The most fetches that are held: one a gateway, and some that their gateways have given up.
+/// The most pending fetches: one a gateway, and some that their gateways have given up.
 const MAX_FETCHES: usize = 1_024;
-/// However many fetches are held, each gets so many items where there are: a message costs more
+/// However many fetches are pending, each gets so many items where there are: a message costs more
 /// than an item.
 const MIN_SHARE: usize = 4;
 
-/// One fetch that is held.
+/// One pending fetch.
 pub(crate) struct PendingFetch<R> {
     pub reply: R,
     pub request: FetchRequest,
     pub until: Millis,
 }
 
-/// All fetches that are held, the oldest at the front.
+/// All pending fetches, the oldest at the front.
 pub(crate) struct FetchQueue<R> {
     pending: VecDeque<PendingFetch<R>>,
 }
@@ -37,7 +37,7 @@
         self.pending.len()
     }
 
-    /// Holds a fetch. If too many are held it is dropped, and its caller learns that there is no
+    /// Adds a fetch. If too many are pending it is dropped, and its caller learns that there is no
     /// response.
     pub fn push(&mut self, now: Millis, request: FetchRequest, reply: R) {
         if self.pending.len() < MAX_FETCHES {
--- a/crates/batch/batch-store/src/journal.rs
+++ b/crates/batch/batch-store/src/journal.rs
@@ -17,14 +17,14 @@
 use queue::{Queue, Queued, Retained, WriteEnd};
 use record::VOID;
 use std::collections::VecDeque;
-use write_ahead_log::{DiskStatus, WriteAheadLog};
+use write_ahead_log::{DiskStatus, Lsn, WriteAheadLog};
 
 pub use recovery::{recover, Recovery, RecoveryError};
 
 /// The end of a write that was handed to the log and is not known to be on disk.
 struct PendingSync {
-    /// The log's ticket.
-    log_ticket: u64,
+    /// The log sequence number of its last record.
+    lsn: Lsn,
     partition: u16,
     end: WriteEnd,
     since: Millis,
@@ -79,8 +79,8 @@
         }
     }
 
-    /// Reports the newest ticket of the log that is on disk.
-    pub fn watch(&self) -> tokio::sync::watch::Receiver<u64> {
+    /// Reports the newest LSN of the log that is on disk.
+    pub fn watch(&self) -> tokio::sync::watch::Receiver<Lsn> {
         self.log.synced_lsn()
     }
 
@@ -153,7 +153,7 @@
                 return;
             };
             // If too much waits, or the log is full, it goes on with the next sync or release.
-            let Ok(log_ticket) = self.log.append(queued.record.clone()) else {
+            let Ok(lsn) = self.log.append(queued.record.clone()) else {
                 return;
             };
             queue.is_within = queued.is_continued();
@@ -163,7 +163,7 @@
             };
             if let Some(end) = end {
                 self.pending.push_back(PendingSync {
-                    log_ticket,
+                    lsn,
                     partition,
                     end,
                     since,
@@ -187,15 +187,15 @@
         has_space.then_some(Next::Regular)
     }
 
-    /// All up to this ticket of the log is on disk. Returns the partitions' newest tickets among
+    /// All up to this LSN of the log is on disk. Returns the partitions' newest tickets among
     /// it.
-    pub fn synced(&mut self, log_ticket: u64) -> Vec<SyncedTicket> {
+    pub fn synced(&mut self, lsn: Lsn) -> Vec<SyncedTicket> {
         let mut synced: Vec<SyncedTicket> = Vec::new();
         self.last_synced = self.now;
         while self
             .pending
             .front()
-            .is_some_and(|pending| pending.log_ticket <= log_ticket)
+            .is_some_and(|pending| pending.lsn <= lsn)
         {
             let Some(pending) = self.pending.pop_front() else {
                 break;
--- a/crates/batch/batch-store/src/journal/compaction.rs
+++ b/crates/batch/batch-store/src/journal/compaction.rs
@@ -10,6 +10,7 @@
 use batch::BatchJobTable;
 use bytes::Bytes;
 use chain_replication::{LogRecord, Replica};
+use write_ahead_log::Lsn;
 
 /// The log is compacted when so many bytes were written beside twice what it held of use.
 const SLACK_BYTES: u64 = 8 << 20;
@@ -25,8 +26,8 @@
 /// A compaction under way.
 #[derive(Clone, Copy)]
 pub(super) struct Compaction {
-    /// All before this ticket of the log is released at the end.
-    first: u64,
+    /// All before this LSN is released at the end.
+    first: Lsn,
     next_partition: u16,
     bytes: u64,
 }
@@ -79,7 +80,7 @@
         self.flush();
     }
 
-    /// Appends a marker: everything of use is written after its ticket.
+    /// Appends a marker: everything of use is written after its LSN.
     fn start_compaction(&mut self) -> Option<Compaction> {
         let marker = record::record(FIRST, 0, Bytes::new());
         let first = self.log.append(marker).ok()?;
--- a/crates/batch/batch-store/src/journal/recovery.rs
+++ b/crates/batch/batch-store/src/journal/recovery.rs
@@ -5,7 +5,7 @@
 use batch::BatchJobTable;
 use bytes::Bytes;
 use chain_replication::{LogRecord, RecoveredLog, StateMachine};
-use write_ahead_log::Record;
+use write_ahead_log::{Lsn, Record};
 
 /// The most bytes of entries in memory while the log is read back, over all partitions: older ones
 /// go into their partition's state at once. A log of 500 MB may hold that much in entries, and a
@@ -20,20 +20,20 @@
 #[derive(Debug, thiserror::Error)]
 pub enum RecoveryError {
     /// A record of a chain.
-    #[error("record {ticket} of partition {partition}: {source}")]
+    #[error("record {lsn} of partition {partition}: {source}")]
     Write {
-        /// The log's ticket.
-        ticket: u64,
+        /// The log sequence number of its last record.
+        lsn: Lsn,
         /// The partition.
         partition: u32,
         /// What is wrong.
         source: chain_replication::DecodeError,
     },
     /// A record of no known kind, or of a partition that can't be.
-    #[error("record {ticket} has kind {kind}, partition {partition}")]
+    #[error("record {lsn} has kind {kind}, partition {partition}")]
     Kind {
-        /// The log's ticket.
-        ticket: u64,
+        /// The log sequence number of its last record.
+        lsn: Lsn,
         /// The kind.
         kind: u8,
         /// The partition.
@@ -113,7 +113,7 @@
     ///
     /// # Errors
     /// It can't be read: then nothing on this disk can be trusted.
-    pub fn replay(&mut self, ticket: u64, record: Record) -> Result<(), RecoveryError> {
+    pub fn replay(&mut self, lsn: Lsn, record: Record) -> Result<(), RecoveryError> {
         let Record {
             kind,
             group: partition,
@@ -123,7 +123,7 @@
         self.bytes += body.len() as u64;
         self.records += 1;
         let unknown = RecoveryError::Kind {
-            ticket,
+            lsn,
             kind,
             partition,
         };
@@ -144,7 +144,7 @@
             return Ok(());
         };
         let write = LogRecord::decode(&whole).map_err(|source| RecoveryError::Write {
-            ticket,
+            lsn,
             partition,
             source,
         })?;
@@ -211,10 +211,10 @@
 ///
 /// # Errors
 /// A record or a state can't be read: then nothing on this disk can be trusted.
-pub fn recover(records: Vec<(u64, Record)>) -> Result<Vec<(u16, RecoveredLog)>, RecoveryError> {
+pub fn recover(records: Vec<(Lsn, Record)>) -> Result<Vec<(u16, RecoveredLog)>, RecoveryError> {
     let mut recovery = Recovery::default();
-    for (ticket, record) in records {
-        recovery.replay(ticket, record)?;
+    for (lsn, record) in records {
+        recovery.replay(lsn, record)?;
     }
     recovery.finish()
 }
--- a/crates/batch/batch-store/src/process.rs
+++ b/crates/batch/batch-store/src/process.rs
@@ -24,7 +24,7 @@
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::sync::watch;
-use write_ahead_log::{LogError, Options};
+use write_ahead_log::{LogError, Lsn, Options};
 
 /// Connections that may wait to be accepted.
 const LISTEN_BACKLOG: u32 = 1024;
@@ -127,8 +127,8 @@
 struct Startup {
     driver: Rc<Driver>,
     listener: TcpListener,
-    /// The newest ticket of the log that is on disk.
-    synced: watch::Receiver<u64>,
+    /// The newest LSN that is on disk.
+    synced: watch::Receiver<Lsn>,
 }
 
 fn start(settings: &Settings, log: &Logger) -> Result<Startup, ProcessError> {
@@ -244,8 +244,8 @@
         tokio::select! {
             changed = synced.changed() => match changed {
                 Ok(()) => {
-                    let log_ticket = *synced.borrow_and_update();
-                    driver.handle_synced(log_ticket);
+                    let lsn = *synced.borrow_and_update();
+                    driver.handle_synced(lsn);
                 }
                 Err(_) => return Err(ProcessError::Disk(LogError::Closed)),
             },
--- a/crates/batch/batch-store/src/process/driver.rs
+++ b/crates/batch/batch-store/src/process/driver.rs
@@ -15,6 +15,7 @@
 use std::time::Instant;
 use structured_log::RateLimiter;
 use tier_settings::{Reload, Settings};
+use write_ahead_log::Lsn;
 
 /// The entry of the control state with the placement map.
 const PLACEMENT_KEY: &str = "stores";
@@ -81,13 +82,13 @@
         }
     }
 
-    /// All up to this ticket of the log is on disk.
-    pub fn handle_synced(&self, log_ticket: u64) {
+    /// All up to this LSN of the log is on disk.
+    pub fn handle_synced(&self, lsn: Lsn) {
         let now = self.now();
         let mut journal = self.journal.borrow_mut();
         let synced = journal.as_mut().map(|journal| {
             journal.set_now(now);
-            journal.synced(log_ticket)
+            journal.synced(lsn)
         });
         let mut store = self.store.borrow_mut();
         if let Some(journal) = journal.as_ref() {
--- a/crates/batch/batch-store/src/store/requests.rs
+++ b/crates/batch/batch-store/src/store/requests.rs
@@ -311,7 +311,7 @@
         items
     }
 
-    /// Leases items that were queued meanwhile to the gateways whose fetches are held.
+    /// Leases items that were queued meanwhile to the gateways with pending fetches.
     pub(super) fn serve_fetches(&mut self, context: Context) {
         if self.fetches.is_empty() {
             return;
--- a/crates/batch/batch-store/tests/invalid_frames.rs
+++ b/crates/batch/batch-store/tests/invalid_frames.rs
@@ -1,5 +1,5 @@
-//! Bad input at a store: frames that can't be read, leases of strangers, words of chains that it is
-//! not in. Refused, and all stands as before.
+//! Invalid input at a store: frames that can't be read, leases of unknown senders, messages of
+//! chains that it is not in. It is rejected, and the store's state is as before.
 
 #![expect(clippy::unwrap_used, reason = "a test ends at the first surprise")]
 
@@ -178,7 +178,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 256, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever a stranger tells: no record, no answer to it, and every chain stands as before.
+    /// Whatever an unknown sender sends: no record, no response to it, and every chain is as
+    /// before.
     #[test]
     fn frames_of_unknown_senders_change_no_chain(
         kind in prop_oneof![Just(CHAIN), Just(LEASE_GRANT), any::<u16>()], body in prop::collection::vec(any::<u8>(), 0..200),
--- a/crates/batch/batch-store/tests/journal.rs
+++ b/crates/batch/batch-store/tests/journal.rs
@@ -1,4 +1,4 @@
-//! The ring of all partitions: what was written comes back, also after it was written anew.
+//! The journal of all partitions: what was written is recovered, also after compactions.
 
 #![expect(clippy::unwrap_used, reason = "a test ends at the first surprise")]
 
@@ -502,7 +502,7 @@
     }
     let before = *disk.journal.watch().borrow();
     assert!(disk.propose(1, accept(&mut random, "newest", 10)));
-    // Enough was written for the ring to be written anew; nothing is said to be synced meanwhile.
+    // Enough was written for a compaction; nothing is reported as synced meanwhile.
     disk.journal
         .tick(disk.nodes.iter().map(|(part, node)| (*part, node)));
     let first_copy = before + 1;
--- a/crates/batch/batch-store/tests/simulation.rs
+++ b/crates/batch/batch-store/tests/simulation.rs
@@ -1,6 +1,6 @@
 //! Stores, a controller and gateways in virtual time: disks that lose what was not synced or
-//! everything, links that lose, delay and are cut, processes that die and stand still. PendingCall was
-//! promised must hold.
+//! everything, links that lose, delay and are cut, processes that die and stand still. PendingCall
+//! was promised must hold.
 
 #![expect(clippy::unwrap_used, reason = "a test ends at the first surprise")]
 
--- a/crates/batch/batch-store/tests/simulation/losses.rs
+++ b/crates/batch/batch-store/tests/simulation/losses.rs
@@ -1,7 +1,7 @@
 //! Stores that are lost one after the other, the next as early as it may be: cut off, killed,
-//! without power, wiped, replaced, told to end, emptied, with a disk that stands still, and all
-//! without power at once. Whatever was promised must hold, nobody may be released who holds what
-//! others don't, and work is taken again within a bound.
+//! without power, wiped, replaced, shut down, emptied, with a stalled disk, and all without power
+//! at once. Whatever was acknowledged must hold, no machine may be released that holds what others
+//! don't, and work is taken again within a bound.
 
 use crate::support::losses::{Planted, Setup};
 use crate::support::{self, World};
--- a/crates/batch/batch-store/tests/simulation/quota.rs
+++ b/crates/batch/batch-store/tests/simulation/quota.rs
@@ -1,6 +1,6 @@
 //! Quotas that are held over partitions: at each acknowledgement no more waits than may, whatever
-//! becomes of the words about reservations, and nobody is refused who fits; and the checks find the
-//! faults that would break it.
+//! becomes of the messages about reservations, and no job is refused that fits; and the checks find
+//! the faults that would break it.
 
 use crate::support::losses::Planted;
 use crate::support::{Totals, World};
--- a/crates/batch/batch-store/tests/store.rs
+++ b/crates/batch/batch-store/tests/store.rs
@@ -552,7 +552,7 @@
         third.take::<FetchResponse>().unwrap().items[0].item.id,
         first.items[0].item.id
     );
-    // A holder that says nothing more loses what it holds.
+    // A holder that renews nothing more loses its leases.
     let fourth = harness.call(10_040, FETCH, &fetch(5, 2_000));
     for now in (10_100..12_200).step_by(100) {
         harness.grant(now, now, 1);
@@ -684,7 +684,7 @@
         harness.ask(6_200, SUBMIT, &submit("a", 1)),
         Some(SubmitResponse::Indeterminate)
     );
-    // Its place is another's now: whether the batch job is taken nobody here can say.
+    // Another store is the head now: whether the batch job is accepted can't be told here.
     harness.map(6_300, 2, &[2, 1], &[]);
     assert_eq!(waits.take(), Some(SubmitResponse::Indeterminate));
 }
@@ -935,7 +935,7 @@
         later > 0 && later <= most,
         "{later} answers in 450 ms, {most} at most"
     );
-    // Who has waited for 500 ms is told to ask again.
+    // A request that has waited for 500 ms is refused.
     harness.tick(10_600);
     let rest = answered(&waiting);
     assert!(
@@ -1071,7 +1071,7 @@
     }
     assert_eq!(one_more.take(), Some(SubmitResponse::QuotaExceeded));
     harness.ask::<_, EndResponse>(10_500, END, &end("lot-0"));
-    // The words on which a refusal rests are renewed meanwhile.
+    // The audits on which a refusal rests are repeated meanwhile.
     for now in (10_550..10_800).step_by(50) {
         harness.tick(now);
     }
@@ -1311,7 +1311,7 @@
     assert_eq!(response.take(), Some(SubmitResponse::Unavailable));
 }
 
-/// A home partition's head of the version before says no notes: its silence means nothing.
+/// A home partition's head of the version before reports no progress: its silence means nothing.
 #[test]
 fn a_submission_waits_until_its_timeout_for_a_home_partition_without_progress_messages() {
     let (mut harness, response, _) = waits_for_another_home(false);
--- a/crates/batch/batch-store/tests/support/faults.rs
+++ b/crates/batch/batch-store/tests/support/faults.rs
@@ -129,7 +129,7 @@
     }
 
     fn run_on_and_kill(&mut self, store: usize, long: u64) {
-        // The process ends a second after it was told to; it serves its chains meanwhile.
+        // The process ends a second after the signal; it serves its chains meanwhile.
         let incarnation = self.processes[store].incarnation;
         let until = self.now + 1_000;
         let fault = self.faults;
--- a/crates/batch/batch-store/tests/support/gateway.rs
+++ b/crates/batch/batch-store/tests/support/gateway.rs
@@ -113,7 +113,7 @@
         self.items as u64 * TOKENS
     }
 
-    /// Since when it waits for a word that it is taken or not.
+    /// Since when it waits for a response to its submission.
     pub fn waits_since(&self) -> Option<u64> {
         let waits = self.taken_at.is_none() && !self.refused && !self.end_asked;
         self.asked_at
@@ -194,7 +194,7 @@
     }
 
     fn new_batch_job(world: &mut World, name: &str) {
-        // Where words about reservations are at stake, most batch jobs ask for the same few tokens.
+        // Where messages about reservations are lost, most batch jobs ask for the same few tokens.
         let crowd = world.faults.quota_messages && world.below(4) > 0;
         let host = if crowd {
             HOSTS[0]
@@ -701,7 +701,7 @@
         for part in answer.partitions {
             if let RenewOutcome::Revoke { leases } = part.outcome {
                 for one in leases {
-                    // PendingCall is on its way to the store is said to the end.
+                    // What is on its way to the store stays until it is answered.
                     let key = (one.batch_job.to_string(), one.index, one.lease);
                     if mine.held.get(&key).is_some_and(|h| h.ready_at < u64::MAX) {
                         mine.held.remove(&key);
--- a/crates/batch/batch-store/tests/support/losses.rs
+++ b/crates/batch/batch-store/tests/support/losses.rs
@@ -10,7 +10,7 @@
 
 /// `SyncS` of the deployment with the shortest one.
 pub const SYNC: u64 = 5_000;
-/// A process that was told to end, ends after so long at the latest (`GraceS` less a margin), and
+/// A process that is shut down ends after so long at the latest (`GraceS` less a margin), and
 /// at the earliest.
 const GRACE: (u64, u64) = (1_200, 6_500);
 /// Where enough stores are there, work is taken again within `RecoveryS` of the shortest site.
@@ -18,7 +18,7 @@
 
 /// An answer is on its way for so long at most.
 const ANSWERED: u64 = 1_600;
-/// A disk stands still for so much longer than two seconds at most.
+/// A disk is stalled for so much longer than two seconds at most.
 const STALLED: u64 = 18_000;
 
 /// A fault of the system itself that the checker has to find.
@@ -32,13 +32,14 @@
     JoinerCountsAtOnce,
     /// A machine is released as soon as it is to be emptied.
     RetiredAtOnce,
-    /// A store whose disk stands still stays in its chains.
+    /// A store with a stalled disk stays in its chains.
     StalledDiskIsWaitedFor,
     /// A grant of an earlier asking counts for a later one.
     GrantOfAnyAsking,
-    /// A word on an earlier audit counts as one on the newest: what it releases is released again.
+    /// A response to an earlier audit counts as one to the newest: what it releases is released
+    /// again.
     WordOnAnyAudit,
-    /// The words of one partition say that nothing waits there.
+    /// The audit responses of one partition report that nothing is queued there.
     PartitionForgotten,
 }
 
@@ -101,7 +102,7 @@
     }
 }
 
-/// Whether a name stands somewhere in these bytes, and no longer one that begins with it.
+/// Whether these bytes contain a name, and not only a longer one that begins with it.
 fn holds_name(bytes: &[u8], name: &str) -> bool {
     let mut found = bytes
         .windows(name.len())
@@ -114,7 +115,7 @@
 #[derive(Default)]
 pub struct Losses {
     lost: Vec<(usize, u64)>,
-    /// Machines that were told to end: when, and whether they come back.
+    /// Machines that are shutting down: since when, and whether they come back.
     leaving: Vec<(usize, u64, u64, bool)>,
     spare: usize,
     pub(super) slow_copies: bool,
@@ -208,7 +209,7 @@
                 self.at(long, Event::Start { store });
             }
             7 => {
-                // The disk stands still, or takes no more.
+                // The disk is stalled, or full.
                 let long = 2_000 + self.below(STALLED);
                 let disk = &mut self.processes[store].disk;
                 disk.busy_until = disk.busy_until.max(now) + long;
@@ -259,7 +260,7 @@
         self.at(delay, Event::Start { store });
     }
 
-    /// Machines that were told to end do so once no chain counts on them, or their time is over.
+    /// Machines that are shutting down end once no chain counts on them, or their time is over.
     fn end_leaving(&mut self) {
         let now = self.now;
         for (store, at, long, comes_back) in std::mem::take(&mut self.losses.leaving) {
@@ -298,8 +299,8 @@
         }
     }
 
-    /// PendingCall is acknowledged is on so many disks that it bears the loss of as many as the budget
-    /// says.
+    /// PendingCall is acknowledged is on so many disks that it bears the loss of as many as the
+    /// budget says.
     pub(super) fn check_taken(&self, name: &str) {
         let part = self.part_of(&self.gateways.batch_jobs[name].host, name);
         let on = self
--- a/crates/batch/batch-store/tests/support/mod.rs
+++ b/crates/batch/batch-store/tests/support/mod.rs
@@ -22,7 +22,7 @@
 use std::rc::Rc;
 use write_ahead_log::DiskStatus;
 
-/// How long something may be unknown after it was said.
+/// How long something may be unknown after it was acknowledged, in milliseconds.
 pub const UNKNOWN_MS: u64 = 1_000;
 /// How long items may still reach runners after the end of their batch job.
 pub const CANCEL_MS: u64 = 3_000;
@@ -154,7 +154,7 @@
     },
     Fault,
     Loss,
-    /// A record is said to be on disk, whether it is or not.
+    /// A record is reported as synced, whether it is or not.
     Early {
         store: usize,
         incarnation: u64,
@@ -169,7 +169,7 @@
     synced: usize,
     waiting: Vec<(usize, u16, u64, u64)>,
     busy_until: u64,
-    /// Until then it syncs nothing; whether it says so at once.
+    /// Until then it syncs nothing; whether it reports that at once.
     faulty_until: u64,
     refuses: bool,
     progress: u64,
@@ -199,7 +199,7 @@
     cut: (u64, u64),
     /// From controller and stores alone: gateways still reach it.
     cut_off: u64,
-    /// Its disk stands still until then.
+    /// Its disk is stalled until then.
     stalled_until: u64,
     gone: bool,
 }
@@ -286,8 +286,8 @@
         )
     }
 
-    /// One in which words about reservations are lost, doubled and late, perhaps with a planted
-    /// fault.
+    /// One in which messages about reservations are lost, duplicated and late, perhaps with a
+    /// planted fault.
     pub fn with_quota_messages(seed: u64, planted: Option<Planted>) -> World {
         let faults = Faults {
             quota_messages: true,
@@ -766,7 +766,7 @@
         self.apply_effects(store);
     }
 
-    /// Tells a store how its disk stands.
+    /// Reports the state of its disk to a store.
     fn check_disk(&mut self, store: usize) {
         let (now, lies) = (self.now, self.faults.lies);
         let process = &mut self.processes[store];
--- a/crates/batch/batch-store/tests/support/quota.rs
+++ b/crates/batch/batch-store/tests/support/quota.rs
@@ -1,5 +1,5 @@
-//! Quotas over partitions: words about reservations that are lost, doubled and late, and what must
-//! hold whatever they do.
+//! Quotas over partitions: messages about reservations that are lost, duplicated and late, and what
+//! must hold whatever they do.
 
 use super::losses::Planted;
 use super::{Event, World};
@@ -12,15 +12,15 @@
 
 /// By how many thousandths the waiting tokens may pass a limit.
 pub const EXCESS_PERMILLE: u32 = 100;
-/// A refusal rests on words that are half a second old at most, and the call's way: so long in
-/// calm, and where calls are answered late.
+/// A refusal rests on audits that are half a second old at most, and the request's delay: so long
+/// in calm, and where calls are answered late.
 const RESTS_ON_IN_CALM: u64 = 800;
 const RESTS_ON: u64 = 2_500;
-/// A doubled word comes so much later at most.
+/// A duplicated message comes so much later at most.
 const LATE: u64 = 4_000;
-/// So often a word comes again where a fault is planted that lets a late one count.
+/// So often a message is repeated where a fault is planted that lets a late one count.
 const COPIES: u64 = 4;
-/// A late asking reserves for nobody until the next audit: the most tokens of a batch job.
+/// A late request reserves tokens for no job until the next audit: the most tokens of a batch job.
 const ONE_SHARE: u64 = 1_200;
 
 /// The `MaxQueued` of a host's route (0: no limit).
@@ -36,7 +36,7 @@
     limit(host) + limit(host) * u64::from(EXCESS_PERMILLE) / 1_000
 }
 
-/// Whether a frame is a word about reservations.
+/// Whether a frame is a message about reservations.
 pub fn is_quota_message(kind: u16) -> bool {
     [
         RESERVE,
@@ -59,7 +59,7 @@
 }
 
 impl World {
-    /// Carries a word as the links do, and now and then loses it or brings it once more, late and
+    /// Carries a message as the links do, and now and then loses it or repeats it, late and
     /// out of its order.
     pub fn carry_quota_message(&mut self, from: usize, to: usize, kind: u16, body: &Bytes) {
         let faulty = self.loses_quota_messages();
@@ -149,7 +149,7 @@
         any && !self.healing
     }
 
-    /// How often a word comes once more.
+    /// How often a message is repeated.
     fn copies(&mut self, kind: u16, faulty: bool) -> u64 {
         match (self.planted, kind) {
             (Some(Planted::GrantOfAnyAsking), RESERVE_RESPONSE)
@@ -182,7 +182,7 @@
         }
     }
 
-    /// A word as it arrives: where a fault is planted, not as it was said.
+    /// A message as it arrives: where a fault is planted, not as it was sent.
     pub fn planted_message(&self, kind: u16, body: Bytes) -> Bytes {
         match (self.planted, kind) {
             (Some(Planted::GrantOfAnyAsking), RESERVE_RESPONSE) => {
@@ -233,8 +233,8 @@
         );
     }
 
-    /// A batch job is refused for want of tokens only if it did not fit a moment ago; where words
-    /// come late, one share may be reserved for nobody.
+    /// A batch job exceeds its quota only if it did not fit a moment ago; where messages come late,
+    /// one share may be reserved for no job.
     pub fn check_full(&self, name: &str, host: &str, tokens: u64) {
         let since = self.now.saturating_sub(if self.loses_quota_messages() {
             RESTS_ON
--- a/crates/batch/batch/tests/partition_leader.rs
+++ b/crates/batch/batch/tests/partition_leader.rs
@@ -1,4 +1,4 @@
-//! The head's own state: leases, failures, quota, and heads in succession.
+//! The soft state of a partition's head: leases, failures, quota, and heads in succession.
 
 #![expect(clippy::unwrap_used, reason = "a test ends at the first surprise")]
 
@@ -365,7 +365,7 @@
     );
 }
 
-/// Its answer may be lost, and its holder then still says that it holds the item.
+/// The response may be lost, and the holder then still renews its lease of the item.
 #[test]
 fn a_failure_counts_once_though_its_holder_renews_and_reports_it_again() {
     let mut head = SingleHead::new(0);
@@ -547,7 +547,7 @@
 }
 
 /// A store that was started again, or whose proposal was refused, is head of the same view once
-/// more: a late word on a lease of before must not count for one of now.
+/// more: a late completion of an earlier lease must not count for a current one.
 #[test]
 fn a_head_that_restarts_within_its_view_reuses_no_lease_number() {
     let mut head = SingleHead::new(0);
@@ -562,7 +562,7 @@
     assert_eq!(numbers.len(), 6, "{numbers:?}");
 }
 
-/// What a holder says may be any number: one of another view changes nothing.
+/// A holder may send any lease number: one of another view changes nothing.
 #[test]
 fn a_lease_number_of_another_view_does_not_advance_the_counter() {
     let mut head = SingleHead::new(0);
@@ -635,7 +635,7 @@
     /// Batch jobs that were answered with Taken, and ended ones.
     accepted: BTreeSet<String>,
     ended: BTreeSet<String>,
-    /// Failures that were told, and items that can't be done.
+    /// Failures that were reported, and items that are unprocessable.
     fails: BTreeMap<(String, u32), u32>,
     impossible: BTreeSet<(String, u32)>,
     seen: BTreeMap<String, Vec<ResultEntry>>,
@@ -819,7 +819,7 @@
                         },
                         outcome,
                     });
-                    // Sometimes the answer is lost, and the same is said again later.
+                    // Sometimes the response is lost, and the request is sent again later.
                     if self.below(4) > 0 {
                         self.holders.entry(holder).or_default().remove(&key);
                     }
--- a/crates/batch/batch/tests/quota_leader.rs
+++ b/crates/batch/batch/tests/quota_leader.rs
@@ -1,4 +1,4 @@
-//! The leader of a quota whose batch jobs are on other partitions, word by word.
+//! The quota leader of a host whose batch jobs are on other partitions, message by message.
 
 use batch::command::{AcceptedJob, Command};
 use batch::wire::*;
