--- a/crates/dispatcher/fordrelay/src/lifecycle.rs
+++ b/crates/dispatcher/fordrelay/src/lifecycle.rs
@@ -5,7 +5,7 @@
 use crate::peers::Peers;
 use crate::succession::Succession;
 use crate::usage;
-use discovery::Places;
+use discovery::{Delivery, EndpointMapper, ListSource, ListWatch};
 use dispatch_api::{ListUpdateKind, Micros, SettingsError};
 use dispatcher_settings::operator::{Operator, OperatorError};
 use dispatcher_settings::platform::{Config, ConfigError};
@@ -356,11 +356,11 @@
         None => {}
     }
     let (zones, kinds) = (config.zones.clone(), config.kinds.clone());
-    let places = Places {
+    let mapper = EndpointMapper {
         zones,
         kinds,
         clock,
-        kept: succession.as_ref().map(|s| s.kept()),
+        record: succession.as_ref().map(|s| s.list_record()),
     };
     let known = match &succession {
         Some(succession) => succession.known(config.known.clone()),
@@ -372,8 +372,9 @@
         version: None,
         entries: vec![],
     };
-    loop_handle
-        .send_input(known.map_or(nothing, |known| places.input(known, true, config.discovery)));
+    loop_handle.send_input(known.map_or(nothing, |known| {
+        mapper.input(known, ListSource::Predecessor, config.discovery)
+    }));
     if let Some(succession) = &succession {
         // Before anything is sent: what was out by a plan is out.
         if operator.membership.is_some() && config.peers.is_some() {
@@ -390,13 +391,19 @@
     let (watches, wanted) = mpsc::unbounded_channel();
     let (discovery_at, discovery) = watch::channel(config.discovery);
     let pushed = config.settings.discovery == dispatch_api::Discovery::Pushed;
-    spawn_local(discovery::watch(
-        discovery,
-        places,
-        Rc::clone(&loop_handle),
-        wanted,
-        pushed,
-    ));
+    let delivery = if pushed {
+        Delivery::Pushed
+    } else {
+        Delivery::OnRequest
+    };
+    let list_watch = ListWatch {
+        addr: discovery,
+        mapper,
+        loop_handle: Rc::clone(&loop_handle),
+        requests: wanted,
+        delivery,
+    };
+    spawn_local(list_watch.run());
     spawn_local(reload(
         hangup,
         files.clone(),
--- a/crates/dispatcher/fordrelay/src/succession.rs
+++ b/crates/dispatcher/fordrelay/src/succession.rs
@@ -1,7 +1,7 @@
 //! Taking over from another process of this dispatcher, and being taken over from.
 
 use crate::folder::{path, Folder};
-use discovery::Kept;
+use discovery::ListRecord;
 use dispatch_api::PolicySnapshot;
 use dispatcher_settings::list::{List, State as Listed};
 use dispatcher_settings::platform::Config;
@@ -46,7 +46,7 @@
 pub struct Succession {
     folder: RefCell<Folder>,
     place: Cell<ProcessRole>,
-    kept: Rc<RefCell<Kept>>,
+    list_record: Rc<RefCell<ListRecord>>,
     clock: Clock,
     began: u64,
     discovery: String,
@@ -118,7 +118,7 @@
         Some(Rc::new(Succession {
             folder: RefCell::new(folder),
             place: Cell::new(ProcessRole::new(others)),
-            kept: Rc::default(),
+            list_record: Rc::default(),
             clock,
             began: clock.now(),
             discovery: config.discovery.to_string(),
@@ -141,8 +141,8 @@
     }
 
     /// Where the list is kept for a successor.
-    pub fn kept(&self) -> Rc<RefCell<Kept>> {
-        Rc::clone(&self.kept)
+    pub fn list_record(&self) -> Rc<RefCell<ListRecord>> {
+        Rc::clone(&self.list_record)
     }
 
     /// The list to begin with: the one that another process held, if it is young and of this discovery; the
@@ -238,10 +238,10 @@
         };
         // Since SIGHUP moved discovery the list is another one's: a successor configured with it may believe it.
         let (list, from) = {
-            let kept = self.kept.borrow();
+            let kept = self.list_record.borrow();
             (
                 kept.list(),
-                kept.from()
+                kept.source()
                     .map_or_else(|| self.discovery.clone(), |at| at.to_string()),
             )
         };
