--- a/crates/dispatcher/dispatch-policy/src/outcomes.rs
+++ b/crates/dispatcher/dispatch-policy/src/outcomes.rs
@@ -8,6 +8,16 @@
 };
 
 impl Worker {
+    /// Counts error responses in a row.
+    fn count_errors(&mut self, outcome: Outcome) {
+        let errors = self.consecutive_errors.min(CONSECUTIVE_ERRORS);
+        self.consecutive_errors = match outcome {
+            Outcome::Done => 0,
+            Outcome::Error => errors + 1,
+            _ => errors,
+        };
+    }
+
     /// Records how long a run took, beside what was expected, both in microseconds.
     fn record_run(&mut self, ran: f64, expected: f64) {
         let relative = (ran / expected).min(MAX_RELATIVE_RUN);
@@ -109,9 +119,7 @@
         let o = w.find(id, attempt).map(|at| w.in_flight.swap_remove(at))?;
         self.fleet.own_slots -= o.slots;
         w.load_published_at = None;
-        let errors =
-            w.consecutive_errors.min(CONSECUTIVE_ERRORS) + u32::from(outcome == Outcome::Error);
-        w.consecutive_errors = if outcome == Outcome::Done { 0 } else { errors };
+        w.count_errors(outcome);
         w.record_outcome(outcome, self.now, response_timeout);
         self.fleet.sent.1 += u64::from(matches!(
             outcome,
