--- a/crates/control/chain-replication/tests/ignored_messages.rs
+++ b/crates/control/chain-replication/tests/ignored_messages.rs
@@ -1,4 +1,4 @@
-//! Words of strangers, of older views and for others: nothing of them is taken, whatever they say.
+//! Messages of strangers, of older views and for others are ignored, whatever their content.
 
 #[expect(dead_code, reason = "each test file uses a part")]
 mod support;
@@ -13,24 +13,24 @@
 use support::*;
 
 /// Three members in view 2 that hold three commands.
-fn chain_of_three() -> Net {
-    let mut net = Net::new(3);
+fn chain_of_three() -> Cluster {
+    let mut cluster = Cluster::new(3);
     let members = [(1, 1), (2, 1), (3, 1)];
-    net.enter(&view(1, &members, &[]));
-    net.settle();
+    cluster.install_view(&view(1, &members, &[]));
+    cluster.deliver_all();
     for word in ["a", "b", "c"] {
-        net.propose(1, word);
-        net.settle();
+        cluster.propose(1, word);
+        cluster.deliver_all();
     }
-    net.enter(&view(2, &members, &[]));
-    net.settle();
-    net.pass(500);
-    net.mail.clear();
-    net
+    cluster.install_view(&view(2, &members, &[]));
+    cluster.deliver_all();
+    cluster.advance(500);
+    cluster.in_flight.clear();
+    cluster
 }
 
-fn stands(net: &mut Net, n: u64) -> (Vec<LogRecord>, Words, u64, bool) {
-    let node = net.node(n);
+fn stands(cluster: &mut Cluster, n: u64) -> (Vec<LogRecord>, Commands, u64, bool) {
+    let node = cluster.node(n);
     (
         node.snapshot_records(),
         node.state_machine().clone(),
@@ -39,12 +39,12 @@
     )
 }
 
-/// A word for an identity that this member doesn't have says nothing about its view: the machine at
-/// this address was another one then, or will be.
+/// A message for an identity that this member doesn't have says nothing about its view: the machine
+/// at this address was another one then, or will be.
 #[test]
 fn message_for_another_identity_deposes_no_head() {
-    let mut net = chain_of_three();
-    let before = stands(&mut net, 1);
+    let mut cluster = chain_of_three();
+    let before = stands(&mut cluster, 1);
     assert!(before.3, "the first is head");
     let message = Message {
         view: u64::MAX,
@@ -52,11 +52,13 @@
         to: 7,
         body: MessageBody::RequestPosition,
     };
-    let now = net.now;
-    net.node(1).handle_message(now, member(9, 0).addr, message);
-    net.drain(1);
-    assert_eq!(stands(&mut net, 1), before);
-    assert!(net.propose(1, "d").is_some(), "it goes on as head");
+    let now = cluster.now;
+    cluster
+        .node(1)
+        .handle_message(now, member(9, 0).addr, message);
+    cluster.drain(1);
+    assert_eq!(stands(&mut cluster, 1), before);
+    assert!(cluster.propose(1, "d").is_some(), "it goes on as head");
 }
 
 fn snapshot_id() -> impl Strategy<Value = SnapshotId> {
@@ -131,12 +133,12 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 512, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// From an address or an identity that is not in the view, from an older view, or for somebody
+    /// From an address or an identity that is not in the view, from an older view, or for another
     /// else: no answer, no write, and all stands as before.
     #[test]
     fn messages_of_strangers_and_of_older_views_change_nothing(n in 1u64..4, which in 0u8..4, body in body()) {
-        let mut net = chain_of_three();
-        let before = stands(&mut net, n);
+        let mut cluster = chain_of_three();
+        let before = stands(&mut cluster, n);
         let neighbour = if n == 1 { 2 } else { n - 1 };
         let good = Message { view: 2, from: neighbour, to: n, body };
         let addr = member(neighbour, 0).addr;
@@ -146,11 +148,11 @@
             2 => (SocketAddr::from(([10, 0, 0, 9], 7000)), good),
             _ => (addr, Message { to: 8, view: 3, ..good }),
         };
-        let now = net.now;
-        let passed_over = net.node(n).ignored_messages();
-        net.node(n).handle_message(now, from, message);
-        prop_assert_eq!(net.node(n).ignored_messages(), passed_over + 1);
-        prop_assert_eq!(net.node(n).take_effects(), vec![]);
-        prop_assert_eq!(stands(&mut net, n), before);
+        let now = cluster.now;
+        let passed_over = cluster.node(n).ignored_messages();
+        cluster.node(n).handle_message(now, from, message);
+        prop_assert_eq!(cluster.node(n).ignored_messages(), passed_over + 1);
+        prop_assert_eq!(cluster.node(n).take_effects(), vec![]);
+        prop_assert_eq!(stands(&mut cluster, n), before);
     }
 }
--- a/crates/control/chain-replication/tests/log_budget.rs
+++ b/crates/control/chain-replication/tests/log_budget.rs
@@ -48,7 +48,7 @@
     nodes
 }
 
-/// All that it wrote is on its disk.
+/// Syncs all that it wrote.
 fn sync(node: &mut Replica<Nothing>) {
     loop {
         let newest = node
@@ -101,7 +101,7 @@
             "nothing is lost by it"
         );
     }
-    // Many more: each keeps what may be on its way to a neighbour, twice.
+    // Many more: each keeps what may be in flight to a neighbour, twice.
     let mut nodes = members(200);
     play(&mut nodes, 200, 30, true);
     assert!(nodes
@@ -133,7 +133,7 @@
         let limit = fair_log_limit(held.iter().copied());
         let after: u64 = held.iter().map(|bytes| limit.min(*bytes)).sum();
         prop_assert!(after <= TOGETHER.max(held.len() as u64 * LEAST));
-        // Nobody is limited without need.
+        // No replica is limited without need.
         let all: u64 = held.iter().sum();
         prop_assert_eq!(limit == u64::MAX, all <= TOGETHER);
     }
--- a/crates/control/chain-replication/tests/next_view.rs
+++ b/crates/control/chain-replication/tests/next_view.rs
@@ -82,13 +82,13 @@
     s[2].status.as_mut().unwrap().in_sync_view = 3;
     s[1].alive = false;
     assert_eq!(told(next_view(&now, &s, 3, 2)), "none");
-    // Where the first of those left is not entitled, a later one leads.
+    // Where the first of those left may not lead, a later one does.
     let now = view(5, &[(1, 1), (3, 4), (2, 1)], &[]);
     let mut s = all(&now, 3);
     s[0].alive = false;
     s[2].status.as_mut().unwrap().in_sync_view = 3;
     assert_eq!(told(next_view(&now, &s, 3, 2)), "6: 2@1 3@4 joining []");
-    // One that says nothing of itself does not lead.
+    // One that reports nothing does not lead.
     s[1].status = None;
     assert_eq!(told(next_view(&now, &s, 3, 2)), "none");
 }
@@ -100,7 +100,7 @@
     s[1].member.id = 77;
     s[1].status = None;
     assert_eq!(told(next_view(&now, &s, 3, 2)), "6: 1@1 3@4 joining [77]");
-    // Also while its old id is still taken to be alive.
+    // Also while its old id still counts as alive.
     let mut s = all(&now, 3);
     let mut newcomer = seen(2, &now);
     newcomer.member.id = 77;
@@ -207,11 +207,11 @@
     let mut s = all(&now, 3);
     s[0].status.as_mut().unwrap().in_sync_view = 0;
     assert_eq!(told(next_view(&now, &s, 3, 2)), "6: 2@1 1@1 3@4 joining []");
-    // Nobody else holds all: the chain waits.
+    // No other member holds everything: the chain waits.
     s[1].status.as_mut().unwrap().in_sync_view = 0;
     s[2].status.as_mut().unwrap().in_sync_view = 3;
     assert_eq!(told(next_view(&now, &s, 3, 2)), "none");
-    // One that has said nothing yet was entitled when it was made head.
+    // One that has reported nothing yet was allowed to lead when it was made head.
     s[0].status = None;
     s[1].alive = false;
     assert_eq!(told(next_view(&now, &s, 3, 2)), "6: 1@1 3@4 joining []");
--- a/crates/control/chain-replication/tests/recovery.rs
+++ b/crates/control/chain-replication/tests/recovery.rs
@@ -1,4 +1,4 @@
-//! What comes back from a disk: folding older entries into the state changes nothing but what is in
+//! Recovery from a disk: compaction of older entries into the state changes only what is in
 //! memory.
 
 #[expect(dead_code, reason = "each test file uses a part")]
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use chain_replication::{LogRecord, RecoveredLog, Replica, StateMachine as _, View};
 use proptest::prelude::*;
-use support::{member, Words};
+use support::{member, Commands};
 
 /// Records as a member writes them: entries, a view, its state anew with what comes after it,
 /// another's state.
@@ -31,8 +31,8 @@
     Another(u64),
 }
 
-fn table(words: &[Bytes]) -> Words {
-    let mut table = Words::default();
+fn table(words: &[Bytes]) -> Commands {
+    let mut table = Commands::default();
     for (number, word) in (1..).zip(words) {
         table.apply(number, word);
     }
@@ -86,8 +86,8 @@
     writes
 }
 
-fn node(recovered: RecoveredLog) -> Replica<Words> {
-    Replica::new(member(1, 1), Words::default(), recovered)
+fn node(recovered: RecoveredLog) -> Replica<Commands> {
+    Replica::new(member(1, 1), Commands::default(), recovered)
 }
 
 proptest! {
@@ -102,7 +102,7 @@
             plain.replay(write.clone());
             folded.replay(write);
             if at % every == 0 {
-                folded.compact(Words::default(), keep).unwrap();
+                folded.compact(Commands::default(), keep).unwrap();
                 prop_assert!(folded.entry_bytes() <= keep);
             }
         }
@@ -129,6 +129,6 @@
         command: Bytes::from_static(b"a"),
     });
     let before = recovered.clone();
-    assert!(recovered.compact(Words::default(), 0).is_err());
+    assert!(recovered.compact(Commands::default(), 0).is_err());
     assert_eq!(recovered, before);
 }
--- a/crates/control/chain-replication/tests/snapshot_transfer.rs
+++ b/crates/control/chain-replication/tests/snapshot_transfer.rs
@@ -1,5 +1,6 @@
-//! A copy goes on from where it was: broken off at each part, over a restart of either end, in a
-//! new view, with words and parts that are lost, doubled, late, spoilt or of another snapshot.
+//! A snapshot transfer resumes where it was: interrupted at each chunk, over a restart of either
+//! end, in a new view, with messages and chunks that are lost, doubled, late, corrupt or of another
+//! snapshot.
 
 #[expect(dead_code, reason = "each test file uses a part")]
 mod support;
@@ -9,97 +10,98 @@
     ChunkAcknowledgement, Message, MessageBody, RecoveredLog, SnapshotChunk, StateSnapshot,
     CHUNKS_IN_FLIGHT, CHUNK_BYTES,
 };
-use support::{member, view, Net};
+use support::{member, view, Cluster};
 
-/// Words of the table that is copied, and bytes of each in a snapshot.
-const WORDS: u64 = 40_000;
-const WORD_BYTES: usize = 17;
-/// Parts of its snapshot.
-const PARTS: usize = (WORDS as usize * WORD_BYTES - 1).div_ceil(CHUNK_BYTES);
+/// Commands of the state that is sent, and bytes of each in a snapshot.
+const COMMANDS: u64 = 40_000;
+const COMMAND_BYTES: usize = 17;
+/// Chunks of its snapshot.
+const CHUNKS: usize = (COMMANDS as usize * COMMAND_BYTES - 1).div_ceil(CHUNK_BYTES);
 const TAIL: u64 = 3;
 const JOINER: u64 = 4;
 
-/// What is done to the words between a tail and its joiner, to see that it shows.
+/// What is done to the messages between a tail and its joiner, to see that it shows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fault {
     None,
-    /// The taker never says which parts it holds.
-    ForgetsParts,
-    /// The sender never hears which parts came beyond a lost one.
-    HearsOfNoGap,
+    /// The receiver never reports which chunks it has.
+    ForgetsChunks,
+    /// The sender never learns which chunks came beyond a lost one.
+    IgnoresGaps,
 }
 
-/// Three members that hold a long table and no log, and a machine that is about to join.
-fn three_with_a_long_table() -> Net {
-    let text: Vec<String> = (0..WORDS).map(|n| format!("{n:016}")).collect();
+/// Three members that hold a large state and no log, and a machine that is about to join.
+fn three_with_a_long_table() -> Cluster {
+    let text: Vec<String> = (0..COMMANDS).map(|n| format!("{n:016}")).collect();
     let founded = view(1, &[(1, 1), (2, 1), (3, 1)], &[]);
     let disk = RecoveredLog {
         view: Some(founded),
         in_sync_view: 1,
         snapshot: Some(StateSnapshot {
             view: 1,
-            number: WORDS,
+            number: COMMANDS,
             state: text.join("\n").into_bytes(),
         }),
         entries: Vec::new(),
     };
-    let mut net = Net::new(4);
+    let mut cluster = Cluster::new(4);
     for n in 1..=TAIL {
-        net.seat(n).disk = disk.clone();
-        net.down(n);
-        net.back(n);
+        cluster.machine(n).disk = disk.clone();
+        cluster.power_off(n);
+        cluster.restart(n);
     }
-    net.pass(1_000);
-    assert!(net.node(1).is_ready());
-    net.said.clear();
-    net
+    cluster.advance(1_000);
+    assert!(cluster.node(1).is_ready());
+    cluster.sent.clear();
+    cluster
 }
 
-fn join(net: &mut Net) {
-    net.enter(&view(2, &[(1, 1), (2, 1), (3, 1)], &[JOINER]));
+fn join(cluster: &mut Cluster) {
+    cluster.install_view(&view(2, &[(1, 1), (2, 1), (3, 1)], &[JOINER]));
 }
 
-fn is_part(message: &Message) -> bool {
+fn is_chunk(message: &Message) -> bool {
     matches!(message.body, MessageBody::SnapshotChunk(_))
 }
 
-/// Parts that members have sent to the joiner.
-fn parts_sent(net: &Net) -> usize {
-    net.said
+/// Chunks that members have sent to the joiner.
+fn chunks_sent(cluster: &Cluster) -> usize {
+    cluster
+        .sent
         .iter()
-        .filter(|said| said.contains(">4 Part("))
+        .filter(|sent| sent.contains(">4 Part("))
         .count()
 }
 
-/// Where the parts began that were sent after the first `from` words.
-fn places_since(net: &Net, from: usize) -> Vec<usize> {
-    let parts = net.said[from..]
+/// Offsets of the chunks that were sent after the first `from` messages.
+fn offsets_sent_since(cluster: &Cluster, from: usize) -> Vec<usize> {
+    let chunks = cluster.sent[from..]
         .iter()
-        .filter_map(|said| said.split_once(">4 Part("));
-    parts
+        .filter_map(|sent| sent.split_once(">4 Part("));
+    chunks
         .map(|(_, place)| place.trim_end_matches(')').parse().expect("a place"))
         .collect()
 }
 
-/// Hands words over until the joiner holds so many parts; what is still on its way stays in the
-/// mail.
-fn until_it_holds(net: &mut Net, parts: usize, fault: Fault) {
+/// Delivers messages until the joiner has so many chunks; what is still in flight stays in the
+/// network.
+fn until_joiner_has(cluster: &mut Cluster, chunks: usize, fault: Fault) {
     let mut came = 0;
-    while came < parts {
-        let mail = net.mail.front_mut().expect("the copy goes on");
-        came += usize::from(mail.1 == JOINER && is_part(&mail.2));
-        spoil(&mut mail.2, fault);
-        net.step();
+    while came < chunks {
+        let in_flight = cluster.in_flight.front_mut().expect("the copy goes on");
+        came += usize::from(in_flight.1 == JOINER && is_chunk(&in_flight.2));
+        corrupt(&mut in_flight.2, fault);
+        cluster.step();
     }
 }
 
-fn spoil(message: &mut Message, fault: Fault) {
+fn corrupt(message: &mut Message, fault: Fault) {
     match (&mut message.body, fault) {
         (
             MessageBody::ResumeSnapshot {
                 number, last_view, ..
             },
-            Fault::ForgetsParts,
+            Fault::ForgetsChunks,
         ) => {
             message.body = MessageBody::LogPosition {
                 number: *number,
@@ -110,421 +112,446 @@
             MessageBody::ChunkAcknowledgement(ChunkAcknowledgement {
                 received_beyond, ..
             }),
-            Fault::HearsOfNoGap,
+            Fault::IgnoresGaps,
         ) => *received_beyond = 0,
         _ => {}
     }
 }
 
-/// All that is on its way from and to the joiner is lost.
-fn cut(net: &mut Net) {
-    net.mail
+/// All messages in flight from and to the joiner are lost.
+fn cut(cluster: &mut Cluster) {
+    cluster
+        .in_flight
         .retain(|(from, to, _)| *from != JOINER && *to != JOINER);
 }
 
-/// Time passes, and the joiner hears nothing and is not heard.
-fn pass_cut_off(net: &mut Net, ms: u64) {
+/// Time passes while the joiner is disconnected.
+fn advance_disconnected(cluster: &mut Cluster, ms: u64) {
     for _ in 0..ms / 50 {
-        net.now += 50;
+        cluster.now += 50;
         for n in 1..=4 {
-            if !net.seat(n).up {
+            if !cluster.machine(n).up {
                 continue;
             }
-            let now = net.now;
-            net.node(n).tick(now);
-            net.drain(n);
+            let now = cluster.now;
+            cluster.node(n).tick(now);
+            cluster.drain(n);
         }
-        cut(net);
-        net.settle();
+        cut(cluster);
+        cluster.deliver_all();
     }
 }
 
-/// Time passes, with a fault on the words.
-fn pass(net: &mut Net, ms: u64, fault: Fault) {
+/// Time passes, with a fault on the messages.
+fn advance(cluster: &mut Cluster, ms: u64, fault: Fault) {
     for _ in 0..ms / 50 {
-        net.now += 50;
+        cluster.now += 50;
         for n in 1..=4 {
-            let now = net.now;
-            net.node(n).tick(now);
-            net.drain(n);
+            let now = cluster.now;
+            cluster.node(n).tick(now);
+            cluster.drain(n);
         }
-        while let Some(mail) = net.mail.front_mut() {
-            spoil(&mut mail.2, fault);
-            net.step();
+        while let Some(in_flight) = cluster.in_flight.front_mut() {
+            corrupt(&mut in_flight.2, fault);
+            cluster.step();
         }
     }
 }
 
-/// The joiner holds all, by one snapshot.
-fn assert_copied(net: &mut Net, what: &str) {
-    let whole = net.words(1);
-    assert_eq!(net.words(JOINER).len(), whole.len(), "{what}");
-    assert!(net.words(JOINER) == whole, "{what}");
-    assert_eq!(net.seat(JOINER).resets, 1, "{what}");
-    assert!(net.node(JOINER).status().caught_up, "{what}");
+/// The joiner holds everything, by one snapshot.
+fn assert_copied(cluster: &mut Cluster, what: &str) {
+    let whole = cluster.commands(1);
+    assert_eq!(cluster.commands(JOINER).len(), whole.len(), "{what}");
+    assert!(cluster.commands(JOINER) == whole, "{what}");
+    assert_eq!(cluster.machine(JOINER).resets, 1, "{what}");
+    assert!(cluster.node(JOINER).status().caught_up, "{what}");
 }
 
 #[test]
 fn undisturbed_snapshot_is_sent_once() {
-    let mut net = three_with_a_long_table();
-    join(&mut net);
-    net.settle();
-    net.pass(500);
-    assert_copied(&mut net, "calm");
-    assert_eq!(parts_sent(&net), PARTS);
+    let mut cluster = three_with_a_long_table();
+    join(&mut cluster);
+    cluster.deliver_all();
+    cluster.advance(500);
+    assert_copied(&mut cluster, "calm");
+    assert_eq!(chunks_sent(&cluster), CHUNKS);
 }
 
-/// Breaks the link after so many parts, for some seconds; returns where the parts began that were
-/// sent afterwards.
-fn broken_off_after(parts: usize, fault: Fault) -> Vec<usize> {
-    let mut net = three_with_a_long_table();
-    join(&mut net);
-    until_it_holds(&mut net, parts, fault);
-    cut(&mut net);
-    pass_cut_off(&mut net, 2_000);
-    let before = net.said.len();
-    pass(&mut net, 4_000, fault);
-    assert_copied(&mut net, &format!("after {parts} parts, {fault:?}"));
-    places_since(&net, before)
+/// Breaks the link after so many chunks, for some seconds; returns the offsets of the chunks
+/// that were sent afterwards.
+fn resent_after_interruption(chunks: usize, fault: Fault) -> Vec<usize> {
+    let mut cluster = three_with_a_long_table();
+    join(&mut cluster);
+    until_joiner_has(&mut cluster, chunks, fault);
+    cut(&mut cluster);
+    advance_disconnected(&mut cluster, 2_000);
+    let before = cluster.sent.len();
+    advance(&mut cluster, 4_000, fault);
+    assert_copied(&mut cluster, &format!("after {chunks} parts, {fault:?}"));
+    offsets_sent_since(&cluster, before)
 }
 
 #[test]
 fn interrupted_snapshot_resumes_at_any_chunk() {
-    for parts in 1..PARTS {
-        let places = broken_off_after(parts, Fault::None);
-        let lowest = places.iter().min().copied();
+    for chunks in 1..CHUNKS {
+        let offsets = resent_after_interruption(chunks, Fault::None);
+        let lowest = offsets.iter().min().copied();
         assert!(
-            lowest >= Some(parts * CHUNK_BYTES),
-            "{parts} parts had come: {places:?}"
+            lowest >= Some(chunks * CHUNK_BYTES),
+            "{chunks} parts had come: {offsets:?}"
         );
-        // One may be sent by the sender's own time and by the taker's word.
+        // One may be sent by the sender's timer and by the receiver's report.
         assert!(
-            places.len() <= PARTS - parts + 2,
-            "{parts} parts had come: {places:?}"
+            offsets.len() <= CHUNKS - chunks + 2,
+            "{chunks} parts had come: {offsets:?}"
         );
     }
 }
 
 #[test]
 fn restarted_receiver_starts_over_and_takes_nothing_twice() {
-    for parts in [1, PARTS / 2, PARTS - 1] {
-        let mut net = three_with_a_long_table();
-        join(&mut net);
-        until_it_holds(&mut net, parts, Fault::None);
-        net.down(JOINER);
-        net.back(JOINER);
-        let now = net.now;
-        net.node(JOINER)
+    for chunks in [1, CHUNKS / 2, CHUNKS - 1] {
+        let mut cluster = three_with_a_long_table();
+        join(&mut cluster);
+        until_joiner_has(&mut cluster, chunks, Fault::None);
+        cluster.power_off(JOINER);
+        cluster.restart(JOINER);
+        let now = cluster.now;
+        cluster
+            .node(JOINER)
             .install_view(now, view(2, &[(1, 1), (2, 1), (3, 1)], &[JOINER]));
-        net.drain(JOINER);
-        let before = net.said.len();
-        net.pass(3_000);
-        assert_copied(&mut net, &format!("taker restarted after {parts} parts"));
-        let places = places_since(&net, before);
-        let bound = PARTS..=PARTS + CHUNKS_IN_FLIGHT;
+        cluster.drain(JOINER);
+        let before = cluster.sent.len();
+        cluster.advance(3_000);
+        assert_copied(
+            &mut cluster,
+            &format!("taker restarted after {chunks} parts"),
+        );
+        let offsets = offsets_sent_since(&cluster, before);
+        let bound = CHUNKS..=CHUNKS + CHUNKS_IN_FLIGHT;
         assert!(
-            bound.contains(&places.len()),
-            "{parts} parts had come: {places:?}"
+            bound.contains(&offsets.len()),
+            "{chunks} parts had come: {offsets:?}"
         );
     }
 }
 
-/// Where the parts begin that are sent in a new view, when six had come in the one before and the
-/// table has changed since.
+/// Offsets of the chunks that are sent in a new view, when six had come in the one before and the
+/// state has changed since.
 fn sent_in_a_new_view(fault: Fault) -> Vec<usize> {
-    let mut net = three_with_a_long_table();
-    join(&mut net);
-    until_it_holds(&mut net, 6, fault);
-    cut(&mut net);
+    let mut cluster = three_with_a_long_table();
+    join(&mut cluster);
+    until_joiner_has(&mut cluster, 6, fault);
+    cut(&mut cluster);
     for n in 0..3 {
-        assert!(net.propose(1, &format!("newer{n}")).is_some());
-        pass_cut_off(&mut net, 50);
+        assert!(cluster.propose(1, &format!("newer{n}")).is_some());
+        advance_disconnected(&mut cluster, 50);
     }
-    let before = net.said.len();
-    net.enter(&view(3, &[(1, 1), (2, 1), (3, 1)], &[JOINER]));
-    pass(&mut net, 2_000, fault);
-    assert_copied(&mut net, &format!("new view, {fault:?}"));
-    places_since(&net, before)
+    let before = cluster.sent.len();
+    cluster.install_view(&view(3, &[(1, 1), (2, 1), (3, 1)], &[JOINER]));
+    advance(&mut cluster, 2_000, fault);
+    assert_copied(&mut cluster, &format!("new view, {fault:?}"));
+    offsets_sent_since(&cluster, before)
 }
 
 #[test]
 fn snapshot_that_the_log_continues_is_kept_in_a_new_view() {
-    let places = sent_in_a_new_view(Fault::None);
+    let offsets = sent_in_a_new_view(Fault::None);
     assert_eq!(
-        (places.len(), places.first()),
-        (PARTS - 6, Some(&(6 * CHUNK_BYTES))),
-        "{places:?}"
+        (offsets.len(), offsets.first()),
+        (CHUNKS - 6, Some(&(6 * CHUNK_BYTES))),
+        "{offsets:?}"
     );
 }
 
 #[test]
 fn detects_a_receiver_that_forgets_its_chunks() {
-    assert!(sent_in_a_new_view(Fault::ForgetsParts).len() > PARTS - 6);
+    assert!(sent_in_a_new_view(Fault::ForgetsChunks).len() > CHUNKS - 6);
 }
 
 #[test]
 fn restarted_sender_resumes_the_same_snapshot() {
-    for parts in 1..PARTS {
-        let mut net = three_with_a_long_table();
-        join(&mut net);
-        until_it_holds(&mut net, parts, Fault::None);
-        net.down(TAIL);
-        pass_cut_off(&mut net, 1_000);
-        net.back(TAIL);
-        let before = net.said.len();
-        net.pass(3_000);
-        assert_copied(&mut net, &format!("sender restarted after {parts} parts"));
-        let places = places_since(&net, before);
+    for chunks in 1..CHUNKS {
+        let mut cluster = three_with_a_long_table();
+        join(&mut cluster);
+        until_joiner_has(&mut cluster, chunks, Fault::None);
+        cluster.power_off(TAIL);
+        advance_disconnected(&mut cluster, 1_000);
+        cluster.restart(TAIL);
+        let before = cluster.sent.len();
+        cluster.advance(3_000);
+        assert_copied(
+            &mut cluster,
+            &format!("sender restarted after {chunks} parts"),
+        );
+        let offsets = offsets_sent_since(&cluster, before);
         assert!(
-            places.iter().all(|at| *at >= parts * CHUNK_BYTES),
-            "{parts} parts had come: {places:?}"
+            offsets.iter().all(|at| *at >= chunks * CHUNK_BYTES),
+            "{chunks} parts had come: {offsets:?}"
         );
     }
 }
 
 #[test]
 fn restarted_sender_starts_over_with_another_snapshot() {
-    for parts in [1, PARTS / 2, PARTS - 1] {
-        let mut net = three_with_a_long_table();
-        join(&mut net);
-        until_it_holds(&mut net, parts, Fault::None);
-        let late: Vec<_> = net
-            .mail
+    for chunks in [1, CHUNKS / 2, CHUNKS - 1] {
+        let mut cluster = three_with_a_long_table();
+        join(&mut cluster);
+        until_joiner_has(&mut cluster, chunks, Fault::None);
+        let late: Vec<_> = cluster
+            .in_flight
             .iter()
-            .filter(|mail| is_part(&mail.2))
+            .filter(|in_flight| is_chunk(&in_flight.2))
             .cloned()
             .collect();
-        cut(&mut net);
-        // The joiner's link stands still; the table changes, and the tail comes back with it in its
+        cut(&mut cluster);
+        // The joiner's link stalls; the state changes, and the tail comes back with it in its
         // snapshot.
-        assert!(net.propose(1, "newer").is_some());
-        pass_cut_off(&mut net, 500);
+        assert!(cluster.propose(1, "newer").is_some());
+        advance_disconnected(&mut cluster, 500);
         let mut disk = RecoveredLog::default();
-        net.node(TAIL)
+        cluster
+            .node(TAIL)
             .snapshot_records()
             .into_iter()
             .for_each(|write| disk.replay(write));
-        net.seat(TAIL).disk = disk;
-        net.down(TAIL);
-        net.back(TAIL);
-        let before = net.said.len();
-        // Late parts of the snapshot that is no more.
-        net.mail.extend(late);
-        net.pass(3_000);
-        assert_eq!(net.words(JOINER), net.words(1));
-        // The late parts may have made the old one whole.
-        assert!(net.seat(JOINER).resets <= 2 && net.node(JOINER).status().caught_up);
-        assert!(places_since(&net, before).contains(&0));
+        cluster.machine(TAIL).disk = disk;
+        cluster.power_off(TAIL);
+        cluster.restart(TAIL);
+        let before = cluster.sent.len();
+        // Late chunks of the snapshot that is gone.
+        cluster.in_flight.extend(late);
+        cluster.advance(3_000);
+        assert_eq!(cluster.commands(JOINER), cluster.commands(1));
+        // The late chunks may have completed the old one.
+        assert!(cluster.machine(JOINER).resets <= 2 && cluster.node(JOINER).status().caught_up);
+        assert!(offsets_sent_since(&cluster, before).contains(&0));
     }
 }
 
 #[test]
 fn snapshot_resumes_in_a_new_view_with_the_same_and_another_sender() {
-    for parts in 1..PARTS {
+    for chunks in 1..CHUNKS {
         for members in [
             vec![(1, 1), (2, 1), (3, 1)],
             vec![(1, 1), (2, 1)],
             vec![(3, 1), (1, 1)],
         ] {
-            let mut net = three_with_a_long_table();
-            join(&mut net);
-            until_it_holds(&mut net, parts, Fault::None);
-            let late: Vec<_> = net
-                .mail
+            let mut cluster = three_with_a_long_table();
+            join(&mut cluster);
+            until_joiner_has(&mut cluster, chunks, Fault::None);
+            let late: Vec<_> = cluster
+                .in_flight
                 .iter()
-                .filter(|mail| is_part(&mail.2))
+                .filter(|in_flight| is_chunk(&in_flight.2))
                 .cloned()
                 .collect();
-            cut(&mut net);
-            let before = net.said.len();
-            net.enter(&view(3, &members, &[JOINER]));
-            // What was on its way in the old view comes late, and counts for nothing.
-            net.mail.extend(late);
-            net.pass(3_000);
-            let what = format!("{parts} parts, then {members:?}");
-            assert_copied(&mut net, &what);
-            let places = places_since(&net, before);
-            assert_eq!(places.len(), PARTS - parts, "{what}: {places:?}");
+            cut(&mut cluster);
+            let before = cluster.sent.len();
+            cluster.install_view(&view(3, &members, &[JOINER]));
+            // What was in flight in the old view comes late, and is ignored.
+            cluster.in_flight.extend(late);
+            cluster.advance(3_000);
+            let what = format!("{chunks} parts, then {members:?}");
+            assert_copied(&mut cluster, &what);
+            let offsets = offsets_sent_since(&cluster, before);
+            assert_eq!(offsets.len(), CHUNKS - chunks, "{what}: {offsets:?}");
         }
     }
 }
 
 #[test]
 fn snapshot_is_dropped_by_a_process_that_left() {
-    let mut net = three_with_a_long_table();
-    join(&mut net);
-    until_it_holds(&mut net, 6, Fault::None);
-    cut(&mut net);
-    // Left out, and joined again by another view: it begins anew, with one that holds what came
+    let mut cluster = three_with_a_long_table();
+    join(&mut cluster);
+    until_joiner_has(&mut cluster, 6, Fault::None);
+    cut(&mut cluster);
+    // Removed, and joined again by another view: it starts over, with one that holds what came
     // since.
-    net.enter(&view(3, &[(1, 1), (2, 1), (3, 1)], &[]));
-    net.settle();
-    net.pass(500);
-    assert!(net.propose(1, "newer").is_some());
-    net.settle();
-    net.pass(500);
-    let before = net.said.len();
-    net.enter(&view(4, &[(1, 1), (2, 1), (3, 1)], &[JOINER]));
-    net.settle();
-    net.pass(2_000);
-    assert_copied(&mut net, "joined again");
-    assert_eq!(places_since(&net, before).len(), PARTS);
+    cluster.install_view(&view(3, &[(1, 1), (2, 1), (3, 1)], &[]));
+    cluster.deliver_all();
+    cluster.advance(500);
+    assert!(cluster.propose(1, "newer").is_some());
+    cluster.deliver_all();
+    cluster.advance(500);
+    let before = cluster.sent.len();
+    cluster.install_view(&view(4, &[(1, 1), (2, 1), (3, 1)], &[JOINER]));
+    cluster.deliver_all();
+    cluster.advance(2_000);
+    assert_copied(&mut cluster, "joined again");
+    assert_eq!(offsets_sent_since(&cluster, before).len(), CHUNKS);
 }
 
-/// Loses one part on its way; returns how many parts were sent in all.
+/// Loses one chunk in flight; returns how many chunks were sent in all.
 fn sent_with_one_lost(lost: usize, fault: Fault) -> usize {
-    let mut net = three_with_a_long_table();
-    join(&mut net);
+    let mut cluster = three_with_a_long_table();
+    join(&mut cluster);
     let mut is_lost = false;
     let mut turns = 0;
     while turns < 400 {
         turns += 1;
-        if net.mail.is_empty() {
-            pass(&mut net, 50, fault);
+        if cluster.in_flight.is_empty() {
+            advance(&mut cluster, 50, fault);
             continue;
         }
-        let mail = net.mail.front_mut().expect("a word");
-        spoil(&mut mail.2, fault);
-        let here = matches!(mail.2.body, MessageBody::SnapshotChunk(SnapshotChunk { offset, .. }) if offset as usize == lost * CHUNK_BYTES);
+        let in_flight = cluster.in_flight.front_mut().expect("a word");
+        corrupt(&mut in_flight.2, fault);
+        let here = matches!(in_flight.2.body, MessageBody::SnapshotChunk(SnapshotChunk { offset, .. }) if offset as usize == lost * CHUNK_BYTES);
         if here && !is_lost {
             is_lost = true;
-            net.mail.pop_front();
+            cluster.in_flight.pop_front();
         } else {
-            net.step();
+            cluster.step();
         }
     }
-    assert_copied(&mut net, &format!("part {lost} was lost"));
-    parts_sent(&net)
+    assert_copied(&mut cluster, &format!("part {lost} was lost"));
+    chunks_sent(&cluster)
 }
 
 #[test]
 fn only_the_lost_chunk_is_resent() {
-    for lost in 1..PARTS {
+    for lost in 1..CHUNKS {
         assert_eq!(
             sent_with_one_lost(lost, Fault::None),
-            PARTS + 1,
+            CHUNKS + 1,
             "part {lost}"
         );
     }
-    // Without the first one nothing says that there is a copy: those in flight with it are sent
-    // again.
-    assert!(sent_with_one_lost(0, Fault::None) <= PARTS + CHUNKS_IN_FLIGHT);
+    // Without the first one nothing shows that there is a snapshot: those in flight with it are
+    // sent again.
+    assert!(sent_with_one_lost(0, Fault::None) <= CHUNKS + CHUNKS_IN_FLIGHT);
 }
 
 #[test]
 fn detects_a_sender_that_ignores_gaps() {
-    assert!((1..PARTS).any(|lost| sent_with_one_lost(lost, Fault::HearsOfNoGap) > PARTS + 1));
+    assert!((1..CHUNKS).any(|lost| sent_with_one_lost(lost, Fault::IgnoresGaps) > CHUNKS + 1));
 }
 
 #[test]
 fn duplicate_and_late_messages_start_nothing_twice() {
-    let mut net = three_with_a_long_table();
-    join(&mut net);
+    let mut cluster = three_with_a_long_table();
+    join(&mut cluster);
     let mut late: Vec<(u64, u64, Message)> = Vec::new();
     let mut turns = 0u64;
-    while let Some(mail) = net.mail.front().cloned() {
+    while let Some(in_flight) = cluster.in_flight.front().cloned() {
         turns += 1;
         assert!(turns < 5_000, "it goes round for ever");
-        net.step();
-        if mail.0 != JOINER && mail.1 != JOINER {
+        cluster.step();
+        if in_flight.0 != JOINER && in_flight.1 != JOINER {
             continue;
         }
         // All of it a second time, some at once, some much later.
-        late.push(mail);
+        late.push(in_flight);
         if turns.is_multiple_of(3) {
-            net.mail
+            cluster
+                .in_flight
                 .push_back(late.swap_remove(turns as usize % late.len()));
         }
         if turns.is_multiple_of(40) {
-            net.now += 50;
+            cluster.now += 50;
             for n in 1..=4 {
-                let now = net.now;
-                net.node(n).tick(now);
-                net.drain(n);
+                let now = cluster.now;
+                cluster.node(n).tick(now);
+                cluster.drain(n);
             }
         }
     }
-    net.pass(2_000);
-    assert_copied(&mut net, "doubled");
-    let sent = parts_sent(&net);
-    // Each of the joiner's first words may have one part sent again, and what had come late some
+    cluster.advance(2_000);
+    assert_copied(&mut cluster, "doubled");
+    let sent = chunks_sent(&cluster);
+    // Each of the joiner's first reports may have one chunk resent, and what had come late some
     // more.
-    assert!(sent <= PARTS + CHUNKS_IN_FLIGHT, "{sent} parts of {PARTS}");
+    assert!(
+        sent <= CHUNKS + CHUNKS_IN_FLIGHT,
+        "{sent} parts of {CHUNKS}"
+    );
     // And once more when all is there.
-    net.mail.extend(late);
-    net.pass(2_000);
-    assert_copied(&mut net, "late");
-    assert_eq!(parts_sent(&net), sent, "nothing is begun by what is late");
+    cluster.in_flight.extend(late);
+    cluster.advance(2_000);
+    assert_copied(&mut cluster, "late");
+    assert_eq!(
+        chunks_sent(&cluster),
+        sent,
+        "nothing is begun by what is late"
+    );
 }
 
 #[test]
 fn chunks_in_flight_stay_within_the_window() {
-    let mut net = three_with_a_long_table();
-    join(&mut net);
+    let mut cluster = three_with_a_long_table();
+    join(&mut cluster);
     let mut most = 0;
-    while net.step() {
-        most = most.max(net.mail.iter().filter(|mail| is_part(&mail.2)).count());
+    while cluster.step() {
+        most = most.max(
+            cluster
+                .in_flight
+                .iter()
+                .filter(|in_flight| is_chunk(&in_flight.2))
+                .count(),
+        );
     }
     assert_eq!(most, CHUNKS_IN_FLIGHT);
-    // And to one that says again and again where its log ends, no more than to one that says it
-    // once.
-    let mut net = three_with_a_long_table();
-    join(&mut net);
-    let word = net
-        .mail
+    // And to one that reports again and again where its log ends, no more than to one that reports
+    // it once.
+    let mut cluster = three_with_a_long_table();
+    join(&mut cluster);
+    let word = cluster
+        .in_flight
         .iter()
         .find(|(from, _, _)| *from == JOINER)
         .cloned()
         .expect("what it has");
-    while net.step() {
-        net.mail.retain(|mail| !is_part(&mail.2));
+    while cluster.step() {
+        cluster
+            .in_flight
+            .retain(|in_flight| !is_chunk(&in_flight.2));
     }
-    assert_eq!(parts_sent(&net), CHUNKS_IN_FLIGHT);
+    assert_eq!(chunks_sent(&cluster), CHUNKS_IN_FLIGHT);
     for _ in 0..20 {
-        net.mail.push_back(word.clone());
-        net.step();
+        cluster.in_flight.push_back(word.clone());
+        cluster.step();
     }
-    assert_eq!(parts_sent(&net), CHUNKS_IN_FLIGHT);
+    assert_eq!(chunks_sent(&cluster), CHUNKS_IN_FLIGHT);
 }
 
 #[test]
 fn corrupt_chunk_counts_as_lost() {
-    let mut net = three_with_a_long_table();
-    join(&mut net);
-    let mut spoilt = 0;
+    let mut cluster = three_with_a_long_table();
+    join(&mut cluster);
+    let mut corrupted = 0;
     let mut turns = 0;
     while turns < 600 {
         turns += 1;
-        let Some((_, _, message)) = net.mail.front_mut() else {
-            net.pass(50);
+        let Some((_, _, message)) = cluster.in_flight.front_mut() else {
+            cluster.advance(50);
             continue;
         };
         if let MessageBody::SnapshotChunk(SnapshotChunk { offset, bytes, .. }) = &mut message.body {
-            if *offset as usize / CHUNK_BYTES % 4 == 1 && spoilt < PARTS / 4 {
+            if *offset as usize / CHUNK_BYTES % 4 == 1 && corrupted < CHUNKS / 4 {
                 let mut other = bytes.to_vec();
                 other[100] ^= 1;
                 *bytes = Bytes::from(other);
-                spoilt += 1;
+                corrupted += 1;
             }
         }
-        net.step();
+        cluster.step();
     }
-    assert!(spoilt > 0);
-    assert_copied(&mut net, "spoilt parts");
-    assert!(parts_sent(&net) <= PARTS + spoilt);
+    assert!(corrupted > 0);
+    assert_copied(&mut cluster, "spoilt parts");
+    assert!(chunks_sent(&cluster) <= CHUNKS + corrupted);
 }
 
-/// A sender that names one snapshot and sends parts of another, each with a right checksum.
+/// A sender that names one snapshot and sends chunks of another, each with a right checksum.
 #[test]
 fn chunks_of_two_snapshots_are_never_combined() {
-    let mut net = three_with_a_long_table();
-    join(&mut net);
+    let mut cluster = three_with_a_long_table();
+    join(&mut cluster);
     let mut turns = 0;
     let mut changed = false;
     while turns < 400 {
         turns += 1;
-        let Some((_, _, message)) = net.mail.front_mut() else {
-            net.pass(50);
+        let Some((_, _, message)) = cluster.in_flight.front_mut() else {
+            cluster.advance(50);
             continue;
         };
         if let MessageBody::SnapshotChunk(SnapshotChunk {
@@ -534,25 +561,26 @@
             if !changed && *offset as usize == 3 * CHUNK_BYTES {
                 changed = true;
                 let mut other = bytes.to_vec();
-                other[..WORD_BYTES].copy_from_slice(b"other\nother\nother");
+                other[..COMMAND_BYTES].copy_from_slice(b"other\nother\nother");
                 message.body = MessageBody::snapshot_chunk(*id, *offset, Bytes::from(other));
             }
         }
-        net.step();
+        cluster.step();
     }
     assert!(changed);
-    assert_copied(&mut net, "mixed");
-    assert!(!net.words(JOINER).contains("other"));
+    assert_copied(&mut cluster, "mixed");
+    assert!(!cluster.commands(JOINER).contains("other"));
 }
 
-/// Parts that no sender of ours sends: past the end, of another length, from the middle of a part.
+/// Chunks that no sender of ours sends: past the end, of another length, from the middle of a
+/// chunk.
 #[test]
 fn chunks_that_do_not_fit_their_snapshot_are_dropped() {
-    let mut net = three_with_a_long_table();
-    join(&mut net);
-    until_it_holds(&mut net, 2, Fault::None);
-    let first = net
-        .mail
+    let mut cluster = three_with_a_long_table();
+    join(&mut cluster);
+    until_joiner_has(&mut cluster, 2, Fault::None);
+    let first = cluster
+        .in_flight
         .iter()
         .find_map(|(_, _, message)| match &message.body {
             MessageBody::SnapshotChunk(SnapshotChunk { id, bytes, .. }) => {
@@ -561,7 +589,7 @@
             _ => None,
         });
     let (id, bytes) = first.expect("a part on its way");
-    let held = net.words(JOINER);
+    let held = cluster.commands(JOINER);
     let all = u32::try_from(CHUNK_BYTES).expect("a part fits");
     let odd = [
         (2 * all + 1, bytes.clone()),
@@ -572,19 +600,20 @@
         (id.total_bytes / all * all, bytes),
     ];
     for (offset, bytes) in odd {
-        let now = net.now;
+        let now = cluster.now;
         let message = Message {
             view: 2,
             from: TAIL,
             to: JOINER,
             body: MessageBody::snapshot_chunk(id, offset, bytes),
         };
-        net.node(JOINER)
+        cluster
+            .node(JOINER)
             .handle_message(now, member(TAIL, 0).addr, message);
-        net.drain(JOINER);
+        cluster.drain(JOINER);
     }
-    assert_eq!(net.words(JOINER), held);
-    net.settle();
-    net.pass(2_000);
-    assert_copied(&mut net, "odd parts");
+    assert_eq!(cluster.commands(JOINER), held);
+    cluster.deliver_all();
+    cluster.advance(2_000);
+    assert_copied(&mut cluster, "odd parts");
 }
--- a/crates/control/chain-replication/tests/support/mod.rs
+++ b/crates/control/chain-replication/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A few members joined by hand: words and syncs happen when a test lets them.
+//! A few members joined by hand: messages and syncs happen when a test lets them.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -9,14 +9,14 @@
     MessageBody, RecoveredLog, Replica, SnapshotChunk, SnapshotError, StateMachine, View,
 };
 
-/// The table: the commands, in order.
+/// The state: the commands, in order.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Words(pub Vec<String>);
+pub struct Commands(pub Vec<String>);
 
-impl StateMachine for Words {
+impl StateMachine for Commands {
     fn apply(&mut self, number: u64, command: &[u8]) {
         assert_eq!(number as usize, self.0.len() + 1);
-        // Long commands only weigh: their start is kept.
+        // Of long commands only the start is kept.
         let start = command.get(..command.len().min(16)).unwrap_or_default();
         self.0.push(String::from_utf8_lossy(start).into_owned());
     }
@@ -53,8 +53,8 @@
     }
 }
 
-pub struct Seat {
-    pub node: Replica<Words>,
+pub struct Machine {
+    pub node: Replica<Commands>,
     /// Written and not synced.
     pub unsynced: Vec<(u64, LogRecord)>,
     pub disk: RecoveredLog,
@@ -66,16 +66,16 @@
 }
 
 /// Members 1, 2, ...
-pub struct Net {
+pub struct Cluster {
     pub now: u64,
-    pub seats: Vec<Seat>,
-    pub mail: VecDeque<(u64, u64, Message)>,
-    /// All that was said, by its kind.
-    pub said: Vec<String>,
+    pub machines: Vec<Machine>,
+    pub in_flight: VecDeque<(u64, u64, Message)>,
+    /// All messages sent, by kind.
+    pub sent: Vec<String>,
     pub largest: usize,
 }
 
-pub fn n_of(addr: SocketAddr) -> u64 {
+pub fn machine_number(addr: SocketAddr) -> u64 {
     match addr.ip() {
         std::net::IpAddr::V4(ip) => u64::from(ip.octets()[3]),
         std::net::IpAddr::V6(_) => 0,
@@ -100,11 +100,11 @@
     }
 }
 
-impl Net {
-    pub fn new(count: u64) -> Net {
-        let seats = (1..=count)
-            .map(|n| Seat {
-                node: Replica::new(member(n, 0), Words::default(), RecoveredLog::default()),
+impl Cluster {
+    pub fn new(count: u64) -> Cluster {
+        let machines = (1..=count)
+            .map(|n| Machine {
+                node: Replica::new(member(n, 0), Commands::default(), RecoveredLog::default()),
                 unsynced: Vec::new(),
                 disk: RecoveredLog::default(),
                 committed: 0,
@@ -113,26 +113,26 @@
                 up: true,
             })
             .collect();
-        Net {
+        Cluster {
             now: 1_000,
-            seats,
-            mail: VecDeque::new(),
-            said: Vec::new(),
+            machines,
+            in_flight: VecDeque::new(),
+            sent: Vec::new(),
             largest: 0,
         }
     }
 
-    pub fn seat(&mut self, n: u64) -> &mut Seat {
-        &mut self.seats[n as usize - 1]
+    pub fn machine(&mut self, n: u64) -> &mut Machine {
+        &mut self.machines[n as usize - 1]
     }
 
-    pub fn node(&mut self, n: u64) -> &mut Replica<Words> {
-        &mut self.seat(n).node
+    pub fn node(&mut self, n: u64) -> &mut Replica<Commands> {
+        &mut self.machine(n).node
     }
 
-    pub fn enter(&mut self, view: &View) {
-        for n in 1..=self.seats.len() as u64 {
-            if self.seat(n).up {
+    pub fn install_view(&mut self, view: &View) {
+        for n in 1..=self.machines.len() as u64 {
+            if self.machine(n).up {
                 let now = self.now;
                 self.node(n).install_view(now, view.clone());
                 self.drain(n);
@@ -151,52 +151,55 @@
                     Effect::Send { to, message } => {
                         let bytes = message.encode();
                         self.largest = self.largest.max(bytes.len());
-                        self.said
-                            .push(format!("{n}>{} {}", n_of(to), kind(&message.body)));
-                        self.mail.push_back((
+                        self.sent.push(format!(
+                            "{n}>{} {}",
+                            machine_number(to),
+                            kind(&message.body)
+                        ));
+                        self.in_flight.push_back((
                             n,
-                            n_of(to),
+                            machine_number(to),
                             Message::decode(&bytes).expect("what was written"),
                         ));
                     }
                     Effect::Write { ticket, record } => {
                         let record = LogRecord::decode(&record.encode()).expect("what was written");
-                        self.seat(n).unsynced.push((ticket, record));
+                        self.machine(n).unsynced.push((ticket, record));
                     }
-                    Effect::Committed { number } => self.seat(n).committed = number,
-                    Effect::SnapshotInstalled => self.seat(n).resets += 1,
+                    Effect::Committed { number } => self.machine(n).committed = number,
+                    Effect::SnapshotInstalled => self.machine(n).resets += 1,
                 }
             }
-            if self.seat(n).syncs {
-                self.sync_only(n);
+            if self.machine(n).syncs {
+                self.sync_disk(n);
             }
         }
     }
 
-    fn sync_only(&mut self, n: u64) {
+    fn sync_disk(&mut self, n: u64) {
         let now = self.now;
-        let seat = self.seat(n);
-        let Some((ticket, _)) = seat.unsynced.last() else {
+        let machine = self.machine(n);
+        let Some((ticket, _)) = machine.unsynced.last() else {
             return;
         };
         let ticket = *ticket;
-        for (_, write) in std::mem::take(&mut seat.unsynced) {
-            seat.disk.replay(write);
+        for (_, write) in std::mem::take(&mut machine.unsynced) {
+            machine.disk.replay(write);
         }
-        seat.node.handle_synced(now, ticket);
+        machine.node.handle_synced(now, ticket);
     }
 
     pub fn sync(&mut self, n: u64) {
-        self.sync_only(n);
+        self.sync_disk(n);
         self.drain(n);
     }
 
-    /// Hands over one word.
+    /// Delivers one message.
     pub fn step(&mut self) -> bool {
-        let Some((from, to, message)) = self.mail.pop_front() else {
+        let Some((from, to, message)) = self.in_flight.pop_front() else {
             return false;
         };
-        if to >= 1 && to as usize <= self.seats.len() && self.seat(to).up {
+        if to >= 1 && to as usize <= self.machines.len() && self.machine(to).up {
             let now = self.now;
             self.node(to)
                 .handle_message(now, member(from, 0).addr, message);
@@ -205,22 +208,22 @@
         true
     }
 
-    pub fn settle(&mut self) {
+    pub fn deliver_all(&mut self) {
         while self.step() {}
     }
 
     /// Time passes, with all that follows.
-    pub fn pass(&mut self, ms: u64) {
+    pub fn advance(&mut self, ms: u64) {
         for _ in 0..ms / 50 {
             self.now += 50;
-            for n in 1..=self.seats.len() as u64 {
-                if self.seat(n).up {
+            for n in 1..=self.machines.len() as u64 {
+                if self.machine(n).up {
                     let now = self.now;
                     self.node(n).tick(now);
                     self.drain(n);
                 }
             }
-            self.settle();
+            self.deliver_all();
         }
     }
 
@@ -235,23 +238,24 @@
         number
     }
 
-    /// Power goes: what was not synced is gone.
-    pub fn down(&mut self, n: u64) {
-        let seat = self.seat(n);
-        seat.unsynced.clear();
-        seat.up = false;
-        self.mail.retain(|(from, to, _)| *from != n && *to != n);
+    /// Loses power: what was not synced is gone.
+    pub fn power_off(&mut self, n: u64) {
+        let machine = self.machine(n);
+        machine.unsynced.clear();
+        machine.up = false;
+        self.in_flight
+            .retain(|(from, to, _)| *from != n && *to != n);
     }
 
-    pub fn back(&mut self, n: u64) {
-        let disk = self.seat(n).disk.clone();
-        let seat = self.seat(n);
-        seat.node = Replica::new(member(n, 0), Words::default(), disk);
-        seat.up = true;
+    pub fn restart(&mut self, n: u64) {
+        let disk = self.machine(n).disk.clone();
+        let machine = self.machine(n);
+        machine.node = Replica::new(member(n, 0), Commands::default(), disk);
+        machine.up = true;
         self.drain(n);
     }
 
-    pub fn words(&mut self, n: u64) -> String {
+    pub fn commands(&mut self, n: u64) -> String {
         self.node(n).state_machine().0.join(" ")
     }
 }
--- a/crates/control/view-agreement/tests/agreement.rs
+++ b/crates/control/view-agreement/tests/agreement.rs
@@ -1,4 +1,4 @@
-//! Founding, choosing, catching up, and whether a view is still the newest.
+//! Bootstrap, choosing, catching up, and whether a view is still the newest.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -207,7 +207,7 @@
 fn view_is_not_confirmed_while_the_next_may_be_chosen() {
     let mut net = Net::new(3);
     net.settle();
-    // 0 has had a next view accepted by 1, and is gone before anybody hears that it was chosen.
+    // 0 has had a next view accepted by 1, and is gone before any other learns that it was chosen.
     let proposal_number = ProposalNumber {
         round: 1,
         proposer_id: 0,
@@ -232,7 +232,7 @@
     let token = net.controllers[2].confirm_view(net.now);
     net.settle();
     assert_eq!(net.confirmed, []);
-    // Whoever accepted it has it settled.
+    // Those who accepted it finish the proposal.
     net.pass(2_000);
     assert_eq!(net.numbers()[1..], [2, 2]);
     assert_eq!(net.controllers[2].current_view(), Some(&value));
--- a/crates/control/view-agreement/tests/concurrent_proposers.rs
+++ b/crates/control/view-agreement/tests/concurrent_proposers.rs
@@ -11,7 +11,7 @@
     Agreement, ControllerView, Effect, Message, MessageBody, Record, RecoveredAcceptor,
 };
 
-/// What is wrong with the harness, to see that it is found.
+/// What is wrong with the harness, to see that the test detects it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Fault {
     None,
@@ -94,7 +94,7 @@
             for effect in effects {
                 match effect {
                     Effect::Send { to, message } => {
-                        // Who has chosen is seldom heard, so that others go on proposing.
+                        // Few learn of a chosen view, so that others go on proposing.
                         let lost = if matches!(message.body, MessageBody::Chosen { .. }) {
                             85
                         } else {
@@ -186,7 +186,7 @@
         }
         let current = self.controllers[n].agreement.current_view().cloned();
         if let (Some(current), true) = (current, self.below(60) == 0) {
-            // A value of its own: marked by a number that nobody else uses.
+            // A value of its own: marked by a number that no other uses.
             let number = current.number() + 1;
             let mark = self.rng.next_u64();
             let mut view = View {
@@ -210,7 +210,7 @@
         self.drain(now, n);
     }
 
-    /// Hands over the messages that are due.
+    /// Delivers the messages that are due.
     fn deliver(&mut self, now: Millis) {
         let (due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.mail)
             .into_iter()
--- a/crates/control/view-agreement/tests/ignored_messages.rs
+++ b/crates/control/view-agreement/tests/ignored_messages.rs
@@ -1,4 +1,4 @@
-//! Words of strangers and of views that are over: they count for nothing that is decided.
+//! Messages of strangers and of superseded views have no part in what is decided.
 
 #![expect(clippy::unwrap_used, reason = "a test ends at the first surprise")]
 
@@ -34,7 +34,7 @@
     }
 }
 
-/// The first of three, with view 5 in force, which proposes view 6 and waits for votes.
+/// The first of three, with view 5 installed, which proposes view 6 and waits for votes.
 fn proposer() -> (Agreement, ProposalNumber) {
     let mut recovered = RecoveredAcceptor::default();
     recovered
@@ -74,7 +74,7 @@
     }
 }
 
-/// Votes for the try that is under way, as a word of somebody says it.
+/// Votes for the attempt under way, as a message of any process.
 fn vote(kind: u8, number: u64, proposal_number: ProposalNumber) -> MessageBody {
     match kind {
         0 => MessageBody::Promise {
@@ -112,12 +112,12 @@
     #![proptest_config(ProptestConfig { cases: 256, failure_persistence: None, ..ProptestConfig::default() })]
 
     /// However many votes of strangers, of wrong identities at good addresses, or for views that
-    /// are over: the view in force stays, nothing is written, nothing is confirmed.
+    /// are superseded: the installed view stays, nothing is written, nothing is confirmed.
     #[test]
     fn votes_of_strangers_decide_nothing(votes in prop::collection::vec((0u8..4, 0u8..3, 1u8..9), 0..20)) {
         let (mut agreement, proposal_number) = proposer();
         let before = agreement.snapshot_records();
-        // An acceptor's late word of an earlier view is no stranger's, and not counted.
+        // An acceptor's late message of an earlier view is no stranger's, and not counted.
         let many = votes.iter().filter(|(kind, how, _)| (*kind, *how) != (3, 2)).count() as u64;
         for (kind, how, n) in votes {
             let (from, id, number) = match how {
@@ -135,7 +135,7 @@
         prop_assert_eq!(agreement.snapshot_records(), before);
     }
 
-    /// Orders and choices of views that are over: said again, doubled, by anyone.
+    /// Proposals and choices of superseded views: repeated, doubled, by any process.
     #[test]
     fn superseded_views_are_not_installed_again(number in 0u64..6, kind in 0u8..3, times in 1usize..4, n in 1u8..5) {
         let (mut agreement, proposal_number) = proposer();
@@ -148,7 +148,7 @@
         for _ in 0..times {
             agreement.handle_message(1_010, addr(n), Message { from: u64::from(n), body: body.clone() });
         }
-        // The view in force, told again, is no news and no fault.
+        // The installed view, sent again, is neither new nor a fault.
         let many = if kind == 0 && number == 5 { 0 } else { times as u64 };
         prop_assert_eq!(agreement.ignored_messages(), many);
         let effects = settle(&mut agreement);
@@ -158,7 +158,7 @@
     }
 }
 
-/// Enough good votes do decide: the checks above would else hold of anything.
+/// Enough valid votes do decide: else the checks above would hold of anything.
 #[test]
 fn votes_of_acceptors_decide() {
     let (mut agreement, proposal_number) = proposer();
@@ -180,7 +180,7 @@
         },
     );
     settle(&mut agreement);
-    // The word to itself goes by mail, like all others.
+    // The message to itself goes over the network, like all others.
     let decided = agreement.current_view().map(|v| v.view.number) == Some(6);
     if !decided {
         for n in [1, 3] {
