--- a/crates/dispatcher/discovery-pacing/tests/bounded_load.rs
+++ b/crates/dispatcher/discovery-pacing/tests/bounded_load.rs
@@ -1,4 +1,4 @@
-//! A few keys that everybody wants, and a list that all dispatchers have late.
+//! A few hot keys, and a list that all dispatchers have late.
 
 use discovery_pacing::BoundedLoadShare;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
@@ -8,7 +8,7 @@
 const SLOTS: f64 = 7.0;
 /// A job holds its slot for so many steps of a tenth of a second.
 const RUN: usize = 5;
-/// A list is made in every twelfth step, and told ten steps later.
+/// A list is made in every twelfth step, and arrives ten steps later.
 const LIST: usize = 12;
 const LATE: usize = 10;
 
@@ -16,8 +16,9 @@
     (rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// A hundred jobs in a step, one in ten for one key, whose homes are the workers by number. Returns the fullest worker's
-/// fill over the last hundred steps, at its worst and on average, and the mean fill of all.
+/// A hundred jobs a step, one in ten for one key, whose home workers are the workers in order.
+/// Returns the fill of the fullest worker over the last hundred steps, at its worst and on average,
+/// and the mean fill of all.
 fn play(bounded: bool, seed: u64) -> (f64, f64, f64) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut draws = vec![BoundedLoadShare::default(); WORKERS];
@@ -61,8 +62,8 @@
     (worst, sum, mean_sum)
 }
 
-/// Found on calm+mass: one key of a thousand came with every twelfth job, forty of two hundred targets had eight in ten of the
-/// jobs that were called off, and the rest stood half idle.
+/// Found on calm+mass: one key of a thousand came with every twelfth job, forty of two hundred
+/// targets had eight in ten of the cancelled jobs, and the rest was half idle.
 #[test]
 fn a_hot_key_fills_none_of_its_home_workers_much_above_the_rest() {
     for seed in 0..5 {
--- a/crates/dispatcher/discovery-pacing/tests/fleet_load.rs
+++ b/crates/dispatcher/discovery-pacing/tests/fleet_load.rs
@@ -1,4 +1,4 @@
-//! FleetLoad as lists tell them.
+//! Loads as the live weights of lists tell them.
 
 use discovery_pacing::{outstanding_per_core, FleetLoad, KindCapacity};
 
--- a/crates/dispatcher/discovery-pacing/tests/watch_pacing.rs
+++ b/crates/dispatcher/discovery-pacing/tests/watch_pacing.rs
@@ -1,4 +1,4 @@
-//! A hundred dispatchers before one discovery that handles their calls in turn.
+//! Hundreds of dispatchers and one discovery that handles their calls one after the other.
 
 #![expect(clippy::unwrap_used, reason = "a test ends at the first surprise")]
 
@@ -31,27 +31,27 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
-    Turn,
+    Handled,
     Call(usize),
 }
 
-/// Whether discovery takes a turn for a call that nobody waits for any longer. Where one is an outage's, it does not (measured:
-/// while calls made before its return still failed, each after its 2 s, new ones were answered within 15 to 50 ms); where there
-/// are only too many callers it may.
+/// What discovery does with a call whose caller has given up. After an outage it drops such calls
+/// (measured: while calls made before its return still failed, each after its 2 s, new ones were
+/// answered within 15 to 50 ms); where there are only too many callers it may still handle them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Expired {
-    TakesATurn,
-    Leaves,
+enum ExpiredCall {
+    StillHandled,
+    Dropped,
 }
 
-/// Discovery takes its callers in turn.
-struct World {
-    expired: Expired,
+/// A simulated discovery and its callers.
+struct Simulation {
+    expired: ExpiredCall,
     rng: Pcg64Mcg,
     paces: Vec<WatchPacer>,
     due: BinaryHeap<Reverse<(Micros, Due)>>,
     queue: VecDeque<(Micros, usize)>,
-    told: Vec<Option<Micros>>,
+    answered: Vec<Option<Micros>>,
     failed: usize,
     most_calls: usize,
     calls: VecDeque<Micros>,
@@ -60,7 +60,7 @@
 const TIMEOUT: Micros = 2 * SECOND;
 const QUEUE: usize = 100;
 
-impl World {
+impl Simulation {
     fn new(dispatchers: u32, restarted: usize, seed: u64) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut paces = vec![pace(dispatchers); restarted];
@@ -75,41 +75,42 @@
         };
         let due = paces.iter_mut().enumerate().map(call).collect();
         let (queue, calls) = Default::default();
-        World {
-            expired: Expired::TakesATurn,
+        Simulation {
+            expired: ExpiredCall::StillHandled,
             rng,
             paces,
             due,
             queue,
-            told: vec![None; restarted],
+            answered: vec![None; restarted],
             failed: 0,
             most_calls: 0,
             calls,
         }
     }
 
-    /// The watches of the first so many have all been silent since a moment before the start, and are noticed together.
-    fn silent(dispatchers: u32, silent: usize, seed: u64) -> Self {
-        let mut world = World::new(dispatchers, silent, seed);
-        world.due.clear();
+    /// The watches of so many dispatchers have all been broken since a moment before the start, and
+    /// time out together.
+    fn with_broken_watches(dispatchers: u32, silent: usize, seed: u64) -> Self {
+        let mut simulation = Simulation::new(dispatchers, silent, seed);
+        simulation.due.clear();
         for n in 0..silent {
-            world.paces[n].answered();
+            simulation.paces[n].answered();
             let took = WATCH_TIMEOUT + ANSWER_TIMEOUT;
-            let pause = world.paces[n].next_delay(
+            let pause = simulation.paces[n].next_delay(
                 DiscoveryFailure::TimedOut,
                 took,
-                unit(&mut world.rng),
-                unit(&mut world.rng),
+                unit(&mut simulation.rng),
+                unit(&mut simulation.rng),
             );
-            world.due.push(Reverse((
+            simulation.due.push(Reverse((
                 WATCH_TIMEOUT + ANSWER_TIMEOUT + pause,
                 Due::Call(n),
             )));
         }
-        world
+        simulation
     }
 
-    fn fails(&mut self, at: Micros, took: Micros, n: usize) {
+    fn fail(&mut self, at: Micros, took: Micros, n: usize) {
         self.failed += 1;
         let pause = self.paces[n].next_delay(
             DiscoveryFailure::Failed,
@@ -120,19 +121,19 @@
         self.due.push(Reverse((at + pause, Due::Call(n))));
     }
 
-    /// They have lost their watches at one moment, as where discovery goes down, or resets them.
-    fn lost(dispatchers: u32, seed: u64) -> Self {
-        let mut world = World::new(dispatchers, dispatchers as usize, seed);
-        world.due.clear();
+    /// All have lost their watches at one moment, as when discovery goes down or resets them.
+    fn with_lost_watches(dispatchers: u32, seed: u64) -> Self {
+        let mut simulation = Simulation::new(dispatchers, dispatchers as usize, seed);
+        simulation.due.clear();
         for n in 0..dispatchers as usize {
-            world.paces[n].answered();
-            world.fails(0, 0, n);
+            simulation.paces[n].answered();
+            simulation.fail(0, 0, n);
         }
-        world
+        simulation
     }
 
-    /// Plays until all are told or the time is over; discovery is down until `up`.
-    fn play(&mut self, turn: Micros, up: Micros, until: Micros) {
+    /// Runs until all are answered or the time is over; discovery is down until `up`.
+    fn run(&mut self, handling: Micros, up: Micros, until: Micros) {
         while let Some(Reverse((now, due))) = self.due.pop().filter(|d| d.0 .0 < until) {
             match due {
                 Due::Call(n) => {
@@ -140,42 +141,42 @@
                     self.calls.retain(|t| *t + SECOND > now);
                     self.most_calls = self.most_calls.max(self.calls.len());
                     if now < up || self.queue.len() >= QUEUE {
-                        self.fails(now, 0, n);
+                        self.fail(now, 0, n);
                         continue;
                     }
                     self.queue.push_back((now, n));
                     if self.queue.len() == 1 {
-                        self.due.push(Reverse((now + turn, Due::Turn)));
+                        self.due.push(Reverse((now + handling, Due::Handled)));
                     }
                 }
-                Due::Turn => {
+                Due::Handled => {
                     while let Some((called, n)) = self.queue.front().copied() {
-                        if self.expired == Expired::TakesATurn || now <= called + TIMEOUT {
+                        if self.expired == ExpiredCall::StillHandled || now <= called + TIMEOUT {
                             break;
                         }
                         self.queue.pop_front();
-                        self.fails((called + TIMEOUT).max(now - turn), TIMEOUT, n);
+                        self.fail((called + TIMEOUT).max(now - handling), TIMEOUT, n);
                     }
                     let Some((called, n)) = self.queue.pop_front() else {
                         continue;
                     };
                     if !self.queue.is_empty() {
-                        self.due.push(Reverse((now + turn, Due::Turn)));
+                        self.due.push(Reverse((now + handling, Due::Handled)));
                     }
                     if now > called + TIMEOUT {
                         // Its caller had its failure when the time was up.
-                        self.fails((called + TIMEOUT).max(now - turn), TIMEOUT, n);
+                        self.fail((called + TIMEOUT).max(now - handling), TIMEOUT, n);
                     } else {
                         self.paces[n].answered();
-                        self.told[n] = Some(now);
+                        self.answered[n] = Some(now);
                     }
                 }
             }
         }
     }
 
-    fn last_told(&self) -> Option<Micros> {
-        self.told
+    fn last_answered(&self) -> Option<Micros> {
+        self.answered
             .iter()
             .copied()
             .collect::<Option<Vec<_>>>()?
@@ -187,17 +188,17 @@
 #[test]
 fn nine_in_ten_restarted_together_are_all_answered_within_their_spread() {
     for seed in 0..20 {
-        let mut world = World::new(100, 90, seed);
-        world.play(55 * MS, 0, 60 * SECOND);
-        let last = world.last_told().expect("all are told");
+        let mut simulation = Simulation::new(100, 90, seed);
+        simulation.run(55 * MS, 0, 60 * SECOND);
+        let last = simulation.last_answered().expect("all are answered");
         assert!(
             last < 10 * SECOND,
-            "seed {seed}: the last one was told after {last} us"
+            "seed {seed}: the last one was answered after {last} us"
         );
         assert!(
-            world.failed <= 9,
+            simulation.failed <= 9,
             "seed {seed}: {} calls failed",
-            world.failed
+            simulation.failed
         );
     }
 }
@@ -205,63 +206,64 @@
 #[test]
 fn retries_after_an_outage_do_not_overload_discovery_again() {
     for seed in 0..20 {
-        let mut world = World {
-            expired: Expired::Leaves,
-            ..World::new(100, 100, seed)
+        let mut simulation = Simulation {
+            expired: ExpiredCall::Dropped,
+            ..Simulation::new(100, 100, seed)
         };
-        world.play(55 * MS, 10 * SECOND, 120 * SECOND);
-        let last = world.last_told().expect("all are told");
+        simulation.run(55 * MS, 10 * SECOND, 120 * SECOND);
+        let last = simulation.last_answered().expect("all are answered");
         assert!(
             last < 40 * SECOND,
-            "seed {seed}: the last one was told after {last} us"
+            "seed {seed}: the last one was answered after {last} us"
         );
         assert!(
-            world.most_calls <= 60,
+            simulation.most_calls <= 60,
             "seed {seed}: {} calls in a second",
-            world.most_calls
+            simulation.most_calls
         );
     }
 }
 
-/// A fifth of 300 watches fall silent at one moment, as on `join+mass`, where a turn takes 27 ms at the most: all are told
-/// within the clock. Before, each call was spread over 20 s.
+/// A fifth of 300 watches time out at one moment, as on `join+mass`, where discovery takes 27 ms a
+/// call at the most: all are answered within the staleness limit. Before, each call was spread over
+/// 20 s.
 #[test]
 fn watches_that_time_out_together_are_all_answered_within_the_staleness_limit() {
     for seed in 0..20 {
-        let mut world = World::silent(300, 62, seed);
-        world.play(27 * MS, 0, 60 * SECOND);
-        let last = world.last_told().expect("all are told");
+        let mut simulation = Simulation::with_broken_watches(300, 62, seed);
+        simulation.run(27 * MS, 0, 60 * SECOND);
+        let last = simulation.last_answered().expect("all are answered");
         assert!(
             last < STALENESS_LIMIT,
-            "seed {seed}: the last one was told after {last} us"
+            "seed {seed}: the last one was answered after {last} us"
         );
     }
 }
 
-/// All 300 together are more than discovery has turns for: those that it turns away leave it its room, and all are told.
-/// With discovery down meanwhile, too: a silent watch and an outage at once.
+/// All 300 together are more than discovery can handle in time: the calls that it rejects leave it
+/// its capacity, and all are answered. Also with an outage at the same time.
 #[test]
 fn time_outs_and_an_outage_together_do_not_overload_discovery() {
     for (seed, up) in (0..20).flat_map(|seed| [(seed, 0), (seed, 10 * SECOND)]) {
-        let mut world = World {
-            expired: Expired::Leaves,
-            ..World::silent(300, 300, seed)
+        let mut simulation = Simulation {
+            expired: ExpiredCall::Dropped,
+            ..Simulation::with_broken_watches(300, 300, seed)
         };
-        world.play(27 * MS, up, 120 * SECOND);
-        let last = world.last_told().expect("all are told");
+        simulation.run(27 * MS, up, 120 * SECOND);
+        let last = simulation.last_answered().expect("all are answered");
         assert!(
             last < 60 * SECOND,
-            "seed {seed}: the last one was told after {last} us"
+            "seed {seed}: the last one was answered after {last} us"
         );
-        let told = world
-            .told
+        let answered = simulation
+            .answered
             .iter()
             .flatten()
             .filter(|at| **at < STALENESS_LIMIT)
             .count();
         assert!(
-            up > 0 || told >= 140,
-            "seed {seed}: {told} within the clock"
+            up > 0 || answered >= 140,
+            "seed {seed}: {answered} within the clock"
         );
     }
 }
@@ -315,9 +317,9 @@
     );
 }
 
-/// Whatever became of a call and however long it took, the next one is answered within the clock from the moment at which the
-/// failed one was made: discovery may have had its news, and been there, since a moment later. Before, 300 dispatchers paused
-/// for up to 20 s.
+/// However a call failed and however long that took, the next one is answered within the staleness
+/// limit from the moment at which the failed one was made: discovery may have had its news, and
+/// been reachable, since a moment later. Before, 300 dispatchers paused for up to 20 s.
 #[derive(Debug, Clone, Copy)]
 enum Failure {
     Refused(Micros),
@@ -359,20 +361,21 @@
     }
 }
 
-/// An outage that all 300 see, where discovery has turns for all in two thirds of the clock: all are told within it, counted
-/// from its return. Before, the last one was told some 20 s later. With less room to spare some are late: 17 ms a turn, 5.1 s
-/// for all, and the last one of 300 was told after 6.7 s in some draws.
+/// An outage that all 300 see, where discovery can handle the calls of all in two thirds of the
+/// limit: all are answered within it, counted from its return. Before, the last one was answered
+/// some 20 s later. With less capacity to spare some are late: at 17 ms a call, 5.1 s for all, the
+/// last one of 300 was answered after 6.7 s in some draws.
 #[test]
 fn after_an_outage_all_are_answered_within_the_staleness_limit_if_capacity_allows() {
     for (seed, down) in
         (0..20).flat_map(|seed| [0, 300 * MS, 3 * SECOND, 8 * SECOND].map(|down| (seed, down)))
     {
-        let mut world = World::lost(300, seed);
-        world.play(13 * MS, down, 60 * SECOND);
-        let last = world.last_told().expect("all are told");
+        let mut simulation = Simulation::with_lost_watches(300, seed);
+        simulation.run(13 * MS, down, 60 * SECOND);
+        let last = simulation.last_answered().expect("all are answered");
         assert!(
             last < down + STALENESS_LIMIT,
-            "seed {seed}, down for {down}: the last one was told after {last} us"
+            "seed {seed}, down for {down}: the last one was answered after {last} us"
         );
     }
 }
--- a/crates/dispatcher/dispatch-api/src/jobs.rs
+++ b/crates/dispatcher/dispatch-api/src/jobs.rs
@@ -73,7 +73,8 @@
     pub expires: Micros,
     /// Expected work on a standard core, microseconds, where the site states it.
     pub work: Option<Micros>,
-    /// What it needs at a worker and other jobs need too, as a number that is the same at every dispatcher.
+    /// The affinity key: what it needs at a worker and other jobs need too, as a number that is the
+    /// same at every dispatcher.
     pub key: Option<u64>,
 }
 
--- a/crates/dispatcher/dispatch-api/tests/bytes.rs
+++ b/crates/dispatcher/dispatch-api/tests/bytes.rs
@@ -1,4 +1,5 @@
-//! What dispatchers tell each other of held slots, byte for byte, and the JSON that one process leaves to the next.
+//! The load datagrams of dispatchers, byte for byte, and the JSON that one process leaves to the
+//! next.
 
 use dispatch_api::load_exchange::{
     decode_entries, encode_entry, name_hash, rendezvous_weight, ENTRY_BYTES, MESSAGE_BYTES,
--- a/crates/dispatcher/dispatcher-state/tests/maintenance.rs
+++ b/crates/dispatcher/dispatcher-state/tests/maintenance.rs
@@ -1,4 +1,5 @@
-//! Maintenance through the reducer: what a plan has out gets nothing, is back when its work is done, and outlives a process.
+//! Maintenance through the reducer: a target that a plan has out gets no request, returns when its
+//! work is done, and stays out across a restart of the dispatcher.
 
 #[path = "../../dispatch-policy/tests/common/mod.rs"]
 mod common;
@@ -10,7 +11,7 @@
     StateConfig,
 };
 
-/// Two dispatchers that hear each other, or not, before four targets of two kinds.
+/// Two dispatchers, connected or partitioned, and four targets of two kinds.
 struct Pair {
     states: Vec<State>,
     now: Micros,
@@ -131,7 +132,7 @@
         self.take(0, Input::PlanRequested(Some(Box::new(plan))));
     }
 
-    /// Where jobs of a dispatcher go.
+    /// The ports of the targets that jobs of a dispatcher go to.
     fn goes_to(&mut self, me: usize, first: u64) -> Vec<u16> {
         self.opened.clear();
         for id in first..first + 40 {
--- a/crates/dispatcher/dispatcher-state/tests/overrides_and_counters.rs
+++ b/crates/dispatcher/dispatcher-state/tests/overrides_and_counters.rs
@@ -1,4 +1,4 @@
-//! What operators do and see: targets out by hand, and figures that add up whatever becomes of a job.
+//! What operators do and see: disabled targets, and counters that add up whatever becomes of a job.
 
 #[path = "../../dispatch-policy/tests/common/mod.rs"]
 mod common;
@@ -71,7 +71,7 @@
         })
     }
 
-    /// What an operator's call does.
+    /// The effects of an operator's call.
     fn rule(&mut self, target: &str, out: bool) -> Vec<Effect> {
         let word = self
             .state
@@ -112,7 +112,7 @@
         self.take(Input::ConnectionFree(conn));
     }
 
-    /// Pool size, and those avoided.
+    /// Listed targets, and those that get nothing for now.
     fn pool(&self) -> (usize, usize) {
         let seen = self.state.snapshot();
         (seen.listed, seen.ejected)
@@ -148,8 +148,8 @@
     })
 }
 
-/// Guards against work that reaches a target which operators have left out: by a kept connection, by one that comes
-/// up, by a list that says it is ready, changed or whole, under the same address or another.
+/// Guards against a request to a disabled target: on an idle connection, on one that is being
+/// opened, after a list, full or incremental, that says it is ready, or at another address.
 #[test]
 fn a_disabled_target_gets_no_request_whatever_the_list_says() {
     let mut b = Bench::new(2);
@@ -198,8 +198,8 @@
     assert_eq!((size, b.pool()), (1, (2, ejected + 1)));
 }
 
-/// Guards against a target that starves after its call back, and against one that is pushed over, since it was started
-/// anew while it was out and the list does not know yet.
+/// Guards against a target that gets nothing after it was enabled again, and against one that is
+/// overloaded, since it was restarted meanwhile and the list does not know yet.
 #[test]
 fn one_enable_call_ends_the_override_and_the_target_warms_up() {
     let mut b = Bench::new(1);
@@ -245,7 +245,7 @@
     );
 }
 
-/// Guards against two processes that fall out over who spoke last.
+/// Guards against two processes that disagree on which override is the latest.
 #[test]
 fn the_latest_override_counts_in_whatever_order_they_arrive() {
     let word = |disabled, set_at| TargetOverride {
@@ -282,7 +282,7 @@
     }
 }
 
-/// Guards against jobs that wait for targets which come back only by another call.
+/// Guards against jobs that queue for targets which only an operator can bring back.
 #[test]
 fn with_all_targets_disabled_jobs_are_rejected_at_once_with_retry_after() {
     let mut b = Bench::new(2);
@@ -305,7 +305,7 @@
     );
 }
 
-/// Guards against jobs that are cut off unanswered where the program ends before their time is up.
+/// Guards against flows that are left unanswered when the program ends before their deadline.
 #[test]
 fn flows_open_at_shutdown_are_answered_as_their_class_allows() {
     let mut b = Bench::new(1);
@@ -374,7 +374,8 @@
 }
 
 proptest! {
-    /// For every way that a job can end: each is counted once, as what its client was answered, and none twice.
+    /// For every way in which a job can end: each is counted exactly once, as what its client was
+    /// answered.
     #[test]
     fn taken_is_ended_and_active_and_each_answer_counts_once(
         steps in prop::collection::vec(step(), 1..120),
--- a/crates/dispatcher/dispatcher-state/tests/reducer.rs
+++ b/crates/dispatcher/dispatcher-state/tests/reducer.rs
@@ -1,4 +1,4 @@
-//! The reducer of the network code, without any socket.
+//! The reducer, without any socket.
 
 #[path = "../../dispatch-policy/tests/common/mod.rs"]
 mod common;
@@ -61,7 +61,7 @@
         });
     }
 
-    /// Takes a flow; the connection that is opened for it.
+    /// Accepts a flow; returns the connection that is opened for it.
     fn flow(&mut self, id: u64) -> ConnId {
         let expires = self.now + 5_000 * MS;
         let spec = JobSpec {
@@ -98,7 +98,8 @@
         })
     }
 
-    /// Serves a flow on the connection that it is given, which is free from then on; tells whether it is a new one.
+    /// Serves a flow on the connection that it gets, which is free afterwards; returns whether it
+    /// is a new one.
     fn serve(&mut self, id: u64) -> (ConnId, bool) {
         let expires = self.now + 900 * MS;
         let spec = JobSpec {
@@ -132,8 +133,9 @@
     }
 }
 
-/// Guards against a dropped wake-up: the decisions ask for a time once, and an event that comes when an
-/// earlier one is due must not make both vanish. A flow that is held then misses its deadline.
+/// Guards against a dropped wake-up: the policy asks for a time once, and an event that arrives
+/// when an earlier one is due must not make both vanish. A queued flow would then miss its
+/// deadline.
 #[test]
 fn a_queued_flow_is_rejected_before_its_deadline_whatever_else_happens() {
     let mut b = Bench::new(safe(), 0);
@@ -168,7 +170,8 @@
     ));
 }
 
-/// Guards against a send to a target that began to drain while the connection was being opened.
+/// Guards against a request to a target that started to drain while the connection was being
+/// opened.
 #[test]
 fn a_target_that_starts_draining_while_its_connection_opens_gets_no_request() {
     let mut b = Bench::new(unsafe_class(), 1);
@@ -186,8 +189,8 @@
     );
 }
 
-/// Guards against a repeat after its window: chosen inside it, its connection came up outside, and what the first attempt may
-/// have begun was done twice.
+/// Guards against a retry after the idempotency window: decided within it, its connection came up
+/// outside, and the job may have run twice.
 #[rstest]
 #[case::inside(390, true)]
 #[case::outside(420, false)]
@@ -219,7 +222,8 @@
     );
 }
 
-/// Guards against a request that goes out after its time, its connection having come up in that very moment.
+/// Guards against a request that is sent after its deadline, since its connection came up at that
+/// very moment.
 #[test]
 fn a_connection_that_comes_up_after_the_deadline_of_its_flow_carries_nothing() {
     let mut b = Bench::new(safe(), 1);
@@ -240,7 +244,8 @@
     assert_eq!(b.sent(), None);
 }
 
-/// Guards against two attempts out at once: the next one waits until the connection of the last is closed.
+/// Guards against two attempts in flight at a time: the next one waits until the connection of the
+/// last is closed.
 #[rstest]
 #[case::overdue(false)]
 #[case::timed_out(true)]
@@ -274,7 +279,8 @@
     assert_eq!(b.opened().is_some(), !client_leaves);
 }
 
-/// Guards against a repeat of what may have run: only what was certainly not sent whole never ran.
+/// Guards against a retry of a job that may have run: only a request that was certainly not sent
+/// completely never ran.
 #[rstest]
 #[case::unsent(true)]
 #[case::in_doubt(false)]
@@ -287,7 +293,8 @@
     assert_eq!(b.opened().is_some(), unsent);
 }
 
-/// Guards against an answer that crosses its own cancelling: it is the client's if it still waits.
+/// Guards against losing a response that crosses its cancellation: the client gets it if it still
+/// waits.
 #[test]
 fn a_response_that_crosses_the_closing_of_its_connection_is_served_once() {
     let mut b = Bench::new(safe(), 1);
@@ -308,7 +315,7 @@
     assert!(b.effects.is_empty());
 }
 
-/// Guards against requests written to a connection that the target is about to close as idle.
+/// Guards against requests on a connection that the target is about to close as idle.
 #[test]
 fn a_connection_is_reused_and_closed_after_its_idle_timeout() {
     let mut b = Bench::new(safe(), 1);
@@ -334,8 +341,9 @@
     assert!(b.take(Input::Tick).contains(&Effect::CloseConnection(conn)));
 }
 
-/// Guards against requests that are lost on connections which the other side has forgotten long before the time
-/// stated: after one such loss, a connection that has been unused for half as long is not trusted any more.
+/// Guards against requests that are lost on connections which the other side dropped long before
+/// the stated time: after one such loss a connection that has been idle for half as long is no
+/// longer trusted.
 #[test]
 fn an_idle_connection_is_trusted_only_as_long_as_reused_ones_have_lasted() {
     let mut b = Bench::new(safe(), 1);
@@ -371,7 +379,7 @@
     assert!(b.serve(4).1);
 }
 
-/// Guards against the loss of what can't be repeated on a connection that may be gone.
+/// Guards against the loss of a non-idempotent request on a connection that may be dead.
 #[test]
 fn non_idempotent_requests_use_recently_used_connections_only() {
     let mut b = Bench::new(unsafe_class(), 1);
@@ -410,7 +418,7 @@
         .all(|conn| b.effects.contains(&Effect::CloseConnection(*conn))));
 }
 
-/// Guards against messages from other dispatchers that are cut short, speak of strangers or come from nobody.
+/// Guards against datagrams that are truncated, name unknown targets or come from no dispatcher.
 #[rstest]
 #[case(0, vec![0; 5])]
 #[case(9, vec![0; 5])]
--- a/crates/dispatcher/hot-restart/tests/bytes.rs
+++ b/crates/dispatcher/hot-restart/tests/bytes.rs
@@ -1,4 +1,4 @@
-//! The bytes of the note between two processes: each reads what a process of another version wrote.
+//! The bytes of the file between two processes: each reads what a process of another version wrote.
 
 use hot_restart::{HandoverFile, SavedOverride, MAX_BYTES, VERSION};
 
--- a/crates/dispatcher/hot-restart/tests/file_and_role.rs
+++ b/crates/dispatcher/hot-restart/tests/file_and_role.rs
@@ -1,4 +1,4 @@
-//! Files that are cut, changed, foreign or newer, and every order of what can happen to a process.
+//! Files that are truncated, corrupted, foreign or newer, and any order of the events of a process.
 
 use hot_restart::{Event, HandoverError, HandoverFile, ProcessRole, SavedOverride, Stage};
 use proptest::prelude::*;
--- a/crates/dispatcher/maintenance/tests/agreement.rs
+++ b/crates/dispatcher/maintenance/tests/agreement.rs
@@ -1,5 +1,6 @@
-//! Members that settle an order while datagrams are lost, processes die and restart, and the network parts: no limit is
-//! exceeded, summed over all that live, at any instant, and the plan ends.
+//! Members follow plans while datagrams are lost, processes die and restart, and the network is
+//! partitioned: no limit is exceeded at any instant, summed over all live members, and the plan
+//! completes.
 
 #![expect(clippy::unwrap_used, reason = "a test ends at the first surprise")]
 
@@ -11,7 +12,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 const STEP: u64 = 50_000;
-/// What happens to others is believed this much later.
+/// How long after a change the other members believe it, microseconds.
 const BELIEF: u64 = 1_000_000;
 
 fn plan(targets: u32, out: u8) -> Plan {
@@ -39,52 +40,54 @@
     }
 }
 
-/// Whoever was taken for dead for long, and is back, may have out for so long what the others have taken back since: what it
-/// heard first may be older than that. docs/maintenance.md names it as open.
+/// A member that was believed dead for long and is back may still have a target out that the others
+/// have had back since: what it receives first may be older than that. docs/maintenance.md names it
+/// as open.
 const CATCHES_UP: u64 = 2_000_000;
 
-/// A world of members; a member is none while its process is dead.
-struct World {
+/// A simulated tier; a member is none while its process is dead.
+struct Simulation {
     members: Vec<Option<Maintenance>>,
-    bans: Vec<BTreeSet<u32>>,
-    /// Since when each cannot be reached by the others, or can.
+    out_of_service: Vec<BTreeSet<u32>>,
+    /// Since when each is unreachable for the others, or reachable.
     changed: Vec<u64>,
     kept: Vec<Option<SavedState>>,
-    apart: Vec<bool>,
-    apart_since: u64,
-    on_the_way: BTreeMap<(u64, u64), (u16, u16, Vec<u8>)>,
+    partitioned: Vec<bool>,
+    partitioned_since: u64,
+    in_transit: BTreeMap<(u64, u64), (u16, u16, Vec<u8>)>,
     count: u64,
     now: u64,
     draw: u64,
     loss: u64,
-    /// Out at once at most, for those that the others could count: see [`CATCHES_UP`].
+    /// The most targets that were out at a time, of those that the others could count: see
+    /// [`CATCHES_UP`].
     most_out: usize,
-    /// Since when each is there for the others.
+    /// Since when each is present for the others.
     joined: Vec<u64>,
-    /// Ends of work: when each target became empty everywhere.
-    works: BTreeMap<u32, u64>,
+    /// When the work on each target ends.
+    work_ends: BTreeMap<u32, u64>,
 }
 
-impl World {
+impl Simulation {
     fn new(members: u16, loss: u64, draw: u64) -> Self {
         let n = usize::from(members);
-        World {
+        Simulation {
             members: (0..members)
                 .map(|me| Some(Maintenance::new(me, members)))
                 .collect(),
-            bans: vec![BTreeSet::new(); n],
+            out_of_service: vec![BTreeSet::new(); n],
             changed: vec![0; n],
             kept: vec![None; n],
-            apart: vec![false; n],
-            apart_since: 0,
-            on_the_way: BTreeMap::new(),
+            partitioned: vec![false; n],
+            partitioned_since: 0,
+            in_transit: BTreeMap::new(),
             count: 0,
             now: 1_000_000,
             draw,
             loss,
             most_out: 0,
             joined: vec![0; n],
-            works: BTreeMap::new(),
+            work_ends: BTreeMap::new(),
         }
     }
 
@@ -105,42 +108,49 @@
                     if self.drawn(100) >= self.loss {
                         self.count += 1;
                         let at = self.now + 1_000 + self.drawn(40_000);
-                        self.on_the_way
+                        self.in_transit
                             .insert((at, self.count), (me as u16, to, bytes));
                     }
                 }
                 Effect::SetOutOfService {
                     name_hash,
                     out: true,
-                } => drop(self.bans[me].insert(name_hash)),
+                } => drop(self.out_of_service[me].insert(name_hash)),
                 Effect::SetOutOfService {
                     name_hash,
                     out: false,
-                } => drop(self.bans[me].remove(&name_hash)),
+                } => drop(self.out_of_service[me].remove(&name_hash)),
                 Effect::TargetStateChanged { .. } => {}
             }
         }
         let counted =
             |m: &usize| self.members[*m].is_some() && self.now >= self.joined[*m] + CATCHES_UP;
         let live = (0..self.members.len()).filter(counted);
-        let out: BTreeSet<u32> = live.flat_map(|m| self.bans[m].iter().copied()).collect();
+        let out: BTreeSet<u32> = live
+            .flat_map(|m| self.out_of_service[m].iter().copied())
+            .collect();
         self.most_out = self.most_out.max(out.len());
     }
 
     fn step(&mut self) {
         self.now += STEP;
-        while let Some(key) = self
-            .on_the_way
-            .keys()
-            .next()
-            .copied()
-            .filter(|(at, _)| *at <= self.now)
-        {
-            let Some((from, to, bytes)) = self.on_the_way.remove(&key) else {
+        self.deliver();
+        for me in 0..self.members.len() {
+            self.tick(me);
+        }
+    }
+
+    /// Delivers the datagrams that have arrived by now, in their order.
+    fn deliver(&mut self) {
+        while let Some(key) = self.in_transit.keys().next().copied() {
+            if key.0 > self.now {
+                break;
+            }
+            let Some((from, to, bytes)) = self.in_transit.remove(&key) else {
                 break;
             };
             let (from, to) = (usize::from(from), usize::from(to));
-            if self.apart[from] != self.apart[to] {
+            if self.partitioned[from] != self.partitioned[to] {
                 continue;
             }
             let message = Message::decode(&bytes).expect("what a member wrote");
@@ -150,74 +160,78 @@
             let effects = member.handle_message(self.now, &message);
             self.carry_out(to, effects);
         }
-        for me in 0..self.members.len() {
-            let late = |since: u64| self.now >= since + BELIEF;
-            let alive: Vec<bool> = (0..self.members.len())
-                .map(|m| {
-                    let there = self.members[m].is_some();
-                    let there = if late(self.changed[m]) { there } else { !there };
-                    let same = self.apart[m] == self.apart[me];
-                    m == me || there && (same || !late(self.apart_since))
-                })
-                .collect();
-            // What is in flight to a target ends by itself.
-            let works = self.works.clone();
-            let now = self.now;
-            let look = Observations {
-                alive: &|m| alive[usize::from(m)],
-                in_flight: &|name_hash| {
-                    works
-                        .get(&name_hash)
-                        .is_none_or(|ends| now + 1_000_000 < *ends)
-                },
-                restarted: &|name_hash, _| works.get(&name_hash).is_some_and(|ends| now >= *ends),
-            };
-            let Some(member) = &mut self.members[me] else {
-                continue;
-            };
-            let effects = member.tick(self.now, &look);
-            for effect in &effects {
-                if let Effect::SetOutOfService {
-                    name_hash,
-                    out: true,
-                } = effect
-                {
-                    self.works.entry(*name_hash).or_insert(now + 1_500_000);
-                }
+    }
+
+    /// Which members are alive, as one of them believes.
+    fn believed_alive(&self, me: usize) -> Vec<bool> {
+        let late = |since: u64| self.now >= since + BELIEF;
+        let alive = |m: usize| {
+            let runs = self.members[m].is_some();
+            let believed = if late(self.changed[m]) { runs } else { !runs };
+            let same_side = self.partitioned[m] == self.partitioned[me];
+            m == me || believed && (same_side || !late(self.partitioned_since))
+        };
+        (0..self.members.len()).map(alive).collect()
+    }
+
+    fn tick(&mut self, me: usize) {
+        let alive = self.believed_alive(me);
+        // What is in flight to a target ends by itself.
+        let work_ends = self.work_ends.clone();
+        let now = self.now;
+        let observations = Observations {
+            alive: &|m| alive[usize::from(m)],
+            in_flight: &|name_hash| {
+                let ends = work_ends.get(&name_hash);
+                ends.is_none_or(|ends| now + 1_000_000 < *ends)
+            },
+            restarted: &|name_hash, _| work_ends.get(&name_hash).is_some_and(|ends| now >= *ends),
+        };
+        let Some(member) = &mut self.members[me] else {
+            return;
+        };
+        let effects = member.tick(self.now, &observations);
+        for effect in &effects {
+            if let Effect::SetOutOfService {
+                name_hash,
+                out: true,
+            } = effect
+            {
+                self.work_ends.entry(*name_hash).or_insert(now + 1_500_000);
             }
-            // A process that is killed leaves what it kept a moment before.
-            self.kept[me] = self.members[me].as_ref().and_then(Maintenance::saved_state);
-            self.carry_out(me, effects);
         }
+        // A process that is killed leaves what it saved a moment before.
+        self.kept[me] = self.members[me].as_ref().and_then(Maintenance::saved_state);
+        self.carry_out(me, effects);
     }
 
     fn kill(&mut self, me: usize) {
         self.members[me] = None;
-        self.bans[me].clear();
+        self.out_of_service[me].clear();
         self.changed[me] = self.now;
     }
 
-    fn start(&mut self, me: usize, noted: bool) {
+    fn start(&mut self, me: usize, with_state: bool) {
         let mut member = Maintenance::new(me as u16, self.members.len() as u16);
-        let kept = self.kept[me].clone().filter(|_| noted);
+        let kept = self.kept[me].clone().filter(|_| with_state);
         let effects = kept.map_or(vec![], |kept| member.restore(self.now, kept));
         self.members[me] = Some(member);
         (self.changed[me], self.joined[me]) = (self.now, self.now);
         self.carry_out(me, effects);
     }
 
-    fn part(&mut self, side: u8) {
-        let apart: Vec<bool> = (0..self.members.len())
+    fn partition(&mut self, side: u8) {
+        let partitioned: Vec<bool> = (0..self.members.len())
             .map(|m| side >> m & 1 == 1)
             .collect();
         // Of two sides the smaller one is back when they meet again.
-        let small = 2 * self.apart.iter().filter(|a| **a).count() <= self.members.len();
+        let small = 2 * self.partitioned.iter().filter(|a| **a).count() <= self.members.len();
         for m in 0..self.members.len() {
-            if self.apart.contains(&true) && self.apart[m] == small {
+            if self.partitioned.contains(&true) && self.partitioned[m] == small {
                 self.joined[m] = self.now;
             }
         }
-        (self.apart, self.apart_since) = (apart, self.now);
+        (self.partitioned, self.partitioned_since) = (partitioned, self.now);
     }
 
     fn over(&self) -> bool {
@@ -228,24 +242,24 @@
 
 #[test]
 fn a_plan_of_twelve_completes_with_a_fifth_of_datagrams_lost() {
-    let mut world = World::new(16, 20, 1);
-    let now = world.now;
-    world.members[3]
+    let mut simulation = Simulation::new(16, 20, 1);
+    let now = simulation.now;
+    simulation.members[3]
         .as_mut()
         .unwrap()
         .submit(now, plan(12, 2), 7)
         .unwrap();
     let steps = (0..4_000).take_while(|_| {
-        world.step();
-        !world.over()
+        simulation.step();
+        !simulation.over()
     });
     let took = steps.count() as u64 * STEP;
     assert!(took < 60_000_000, "{took}");
-    assert_eq!(world.most_out, 2);
-    let progress = world.members[9]
+    assert_eq!(simulation.most_out, 2);
+    let progress = simulation.members[9]
         .as_ref()
         .unwrap()
-        .progress(world.now)
+        .progress(simulation.now)
         .unwrap();
     assert!(
         progress
@@ -258,14 +272,14 @@
 
 #[test]
 fn of_two_concurrent_plans_one_wins_everywhere_and_the_other_is_rolled_back() {
-    let mut world = World::new(7, 20, 2);
-    let now = world.now;
-    world.members[5]
+    let mut simulation = Simulation::new(7, 20, 2);
+    let now = simulation.now;
+    simulation.members[5]
         .as_mut()
         .unwrap()
         .submit(now, plan(4, 1), 50)
         .unwrap();
-    world.members[2]
+    simulation.members[2]
         .as_mut()
         .unwrap()
         .submit(
@@ -277,42 +291,42 @@
             20,
         )
         .unwrap();
-    (0..60).for_each(|_| world.step());
-    for member in world.members.iter().flatten() {
-        let progress = member.progress(world.now).unwrap();
+    (0..60).for_each(|_| simulation.step());
+    for member in simulation.members.iter().flatten() {
+        let progress = member.progress(simulation.now).unwrap();
         assert_eq!((progress.plan.by, progress.plan.id), (2, 20));
     }
-    assert!(world.members[4].as_mut().unwrap().cancel(now));
-    (0..60).for_each(|_| world.step());
+    assert!(simulation.members[4].as_mut().unwrap().cancel(now));
+    (0..60).for_each(|_| simulation.step());
     assert!(
-        world.over() && world.bans.iter().all(BTreeSet::is_empty),
+        simulation.over() && simulation.out_of_service.iter().all(BTreeSet::is_empty),
         "called off at one, back at all"
     );
 }
 
 #[test]
 fn a_minority_takes_no_target_out_and_keeps_those_that_are() {
-    let mut world = World::new(7, 0, 3);
-    let now = world.now;
-    world.members[0]
+    let mut simulation = Simulation::new(7, 0, 3);
+    let now = simulation.now;
+    simulation.members[0]
         .as_mut()
         .unwrap()
         .submit(now, plan(12, 2), 1)
         .unwrap();
-    (0..10).for_each(|_| world.step());
-    (0..3).for_each(|m| world.apart[m] = true);
-    world.apart_since = world.now;
-    let before = world.members[0]
+    (0..10).for_each(|_| simulation.step());
+    (0..3).for_each(|m| simulation.partitioned[m] = true);
+    simulation.partitioned_since = simulation.now;
+    let before = simulation.members[0]
         .as_ref()
         .unwrap()
-        .progress(world.now)
+        .progress(simulation.now)
         .unwrap()
         .gone;
-    (0..60).for_each(|_| world.step());
-    let minority = world.members[0]
+    (0..60).for_each(|_| simulation.step());
+    let minority = simulation.members[0]
         .as_ref()
         .unwrap()
-        .progress(world.now)
+        .progress(simulation.now)
         .unwrap();
     assert_eq!(
         (minority.gone, minority.paused),
@@ -320,42 +334,47 @@
         "{minority:?}"
     );
     assert!(
-        !world.members[5]
+        !simulation.members[5]
             .as_ref()
             .unwrap()
-            .progress(world.now)
+            .progress(simulation.now)
             .unwrap()
             .paused
     );
-    world.part(0);
-    (0..1_600).for_each(|_| world.step());
-    assert!(world.over() && world.most_out <= 2, "{}", world.most_out);
+    simulation.partition(0);
+    (0..1_600).for_each(|_| simulation.step());
+    assert!(
+        simulation.over() && simulation.most_out <= 2,
+        "{}",
+        simulation.most_out
+    );
 }
 
-/// Found by the search below: a process that came back with its note had targets out again which the others had long
-/// counted as back.
+/// Found by the property below: a process that came back with its saved state took targets out
+/// again which the others had long had back.
 #[test]
 fn an_expired_removal_in_a_saved_state_is_ignored() {
-    let mut world = World::new(7, 20, 4);
-    let now = world.now;
-    world.members[0]
+    let mut simulation = Simulation::new(7, 20, 4);
+    let now = simulation.now;
+    simulation.members[0]
         .as_mut()
         .unwrap()
         .submit(now, plan(9, 2), 1)
         .unwrap();
-    (0..20).for_each(|_| world.step());
-    assert_eq!(world.bans[0].len(), 2);
-    world.kill(0);
-    (0..150).for_each(|_| world.step());
-    world.start(0, true);
+    (0..20).for_each(|_| simulation.step());
+    assert_eq!(simulation.out_of_service[0].len(), 2);
+    simulation.kill(0);
+    (0..150).for_each(|_| simulation.step());
+    simulation.start(0, true);
     assert!(
-        world.bans[0].is_empty() && world.most_out <= 2,
+        simulation.out_of_service[0].is_empty() && simulation.most_out <= 2,
         "{}",
-        world.most_out
+        simulation.most_out
     );
 }
 
-/// Guards against a note that goes by the name of the plan under way and is longer, or was written by a clock ahead.
+/// Guards against a saved state that has the identity of the active plan and is longer, or was
+/// written by a clock ahead.
 #[test]
 fn a_saved_state_that_does_not_fit_the_active_plan_does_no_harm() {
     let mut member = Maintenance::new(0, 3);
@@ -374,85 +393,88 @@
 }
 
 #[derive(Debug, Clone)]
-enum Happens {
+enum Fault {
     Kill(usize),
     Start(usize, bool),
-    Part(u8),
+    Partition(u8),
     Heal,
     Steps(u8),
 }
 
-fn happens(loses_notes: bool) -> impl Strategy<Value = Happens> {
+fn fault(loses_states: bool) -> impl Strategy<Value = Fault> {
     prop_oneof![
-        (0usize..7).prop_map(Happens::Kill),
+        (0usize..7).prop_map(Fault::Kill),
         (0usize..7, any::<bool>())
-            .prop_map(move |(m, noted)| Happens::Start(m, noted || !loses_notes)),
-        (1u8..127).prop_map(Happens::Part),
-        Just(Happens::Heal),
-        (1u8..60).prop_map(Happens::Steps),
-        (1u8..60).prop_map(Happens::Steps),
+            .prop_map(move |(m, with_state)| Fault::Start(m, with_state || !loses_states)),
+        (1u8..127).prop_map(Fault::Partition),
+        Just(Fault::Heal),
+        (1u8..60).prop_map(Fault::Steps),
+        (1u8..60).prop_map(Fault::Steps),
     ]
 }
 
-fn play(story: Vec<Happens>, draw: u64, loss: u64) -> World {
-    let mut world = World::new(7, loss, draw);
-    let now = world.now;
-    world.members[1]
+fn play(faults: Vec<Fault>, draw: u64, loss: u64) -> Simulation {
+    let mut simulation = Simulation::new(7, loss, draw);
+    let now = simulation.now;
+    simulation.members[1]
         .as_mut()
         .unwrap()
         .submit(now, plan(9, 2), 1)
         .unwrap();
-    (0..20).for_each(|_| world.step());
-    for happens in story {
-        match happens {
-            Happens::Kill(m) if world.members[m].is_some() => world.kill(m),
-            Happens::Start(m, noted) if world.members[m].is_none() => world.start(m, noted),
-            Happens::Part(side) => world.part(side),
-            Happens::Heal => world.part(0),
-            Happens::Steps(n) => (0..n).for_each(|_| world.step()),
+    (0..20).for_each(|_| simulation.step());
+    for fault in faults {
+        match fault {
+            Fault::Kill(m) if simulation.members[m].is_some() => simulation.kill(m),
+            Fault::Start(m, with_state) if simulation.members[m].is_none() => {
+                simulation.start(m, with_state)
+            }
+            Fault::Partition(side) => simulation.partition(side),
+            Fault::Heal => simulation.partition(0),
+            Fault::Steps(n) => (0..n).for_each(|_| simulation.step()),
             _ => {}
         }
     }
-    world.part(0);
+    simulation.partition(0);
     (0..7).for_each(|m| {
-        if world.members[m].is_none() {
-            world.start(m, true)
+        if simulation.members[m].is_none() {
+            simulation.start(m, true)
         }
     });
     for _ in 0..3_000 {
-        world.step();
-        if world.over() {
+        simulation.step();
+        if simulation.over() {
             break;
         }
     }
-    world
+    simulation
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(32))]
 
-    /// Whatever dies, restarts and parts, in whatever order.
+    /// Deaths, restarts and partitions in any order.
     #[test]
     fn no_limit_is_exceeded_and_the_plan_completes(
-        story in prop::collection::vec(happens(false), 0..14),
+        faults in prop::collection::vec(fault(false), 0..14),
         draw: u64,
         loss in 0u64..40,
     ) {
-        let world = play(story, draw, loss);
-        prop_assert!(world.most_out <= 2, "{} out at once", world.most_out);
-        prop_assert!(world.over(), "it ends");
+        let simulation = play(faults, draw, loss);
+        prop_assert!(simulation.most_out <= 2, "{} out at once", simulation.most_out);
+        prop_assert!(simulation.over(), "it ends");
     }
 
-    /// A process that lost its note may have out for a moment what others count as back: then the plan still ends.
+    /// A process that lost its saved state may for a moment have out what others count as back:
+    /// then the plan still completes.
     #[test]
     fn lost_saved_states_do_not_block_a_plan(
-        story in prop::collection::vec(happens(true), 0..14),
+        faults in prop::collection::vec(fault(true), 0..14),
         draw: u64,
         loss in 0u64..40,
     ) {
-        let world = play(story, draw, loss);
-        prop_assert!(world.over() || world.members.iter().flatten().all(|m| m.progress(0).is_none()), "it ends");
-        prop_assert!(world.bans.iter().all(BTreeSet::is_empty));
+        let simulation = play(faults, draw, loss);
+        prop_assert!(simulation.over() || simulation.members.iter().flatten().all(|m| m.progress(0).is_none()), "it ends");
+        prop_assert!(simulation.out_of_service.iter().all(BTreeSet::is_empty));
     }
 
     #[test]
--- a/crates/dispatcher/membership/tests/swim.rs
+++ b/crates/dispatcher/membership/tests/swim.rs
@@ -1,4 +1,4 @@
-//! The state machine under every order of what can come.
+//! The state machine under any order of datagrams and ticks.
 
 use membership::{
     Config, Effect, MemberState, MemberUpdate, Message, MessageKind, Swim, MAX_DATAGRAM_BYTES,
@@ -71,7 +71,8 @@
     assert_eq!(me.state(3), Some(MemberState::Alive), "a later one");
 }
 
-/// A member whose datagrams come is there, whatever a third says; it is told, and once it has said otherwise all know.
+/// A member that is heard directly is alive, whatever a third member says: it is notified, and
+/// after its refutation all agree.
 #[test]
 fn a_member_heard_directly_is_not_declared_dead_on_hearsay() {
     let mut me = swim(4);
@@ -89,7 +90,7 @@
     );
 }
 
-/// One that leaves is waited for by whoever must know that its jobs have ended, and is suspected by nobody.
+/// A member that leaves is waited for until its jobs must have ended, and is never suspected.
 #[test]
 fn a_member_that_leaves_is_gone_once_its_process_has_had_time_to_drain() {
     let mut me = swim(4);
@@ -146,8 +147,9 @@
 }
 
 proptest! {
-    /// Whatever comes in whatever order: every datagram fits, goes to another member, and the own incarnation never falls
-    /// behind what others say; time goes on, so that a caller never spins.
+    /// Any order of datagrams and ticks: every datagram fits, goes to another member, the own
+    /// incarnation never falls behind what others say, and time advances, so that a caller never
+    /// spins.
     #[test]
     fn any_order_of_datagrams_and_ticks_keeps_the_bounds(steps in prop::collection::vec(step(), 0..80)) {
         let (mut me, mut now) = (swim(1), 0);
--- a/crates/dispatcher/membership/tests/wire.rs
+++ b/crates/dispatcher/membership/tests/wire.rs
@@ -1,4 +1,5 @@
-//! The datagram: what is written is read back, anything that comes is read or refused by name, never a panic.
+//! The datagram: what is encoded decodes to itself, and any bytes are decoded or refused with a
+//! named field, never with a panic.
 
 use membership::{
     MemberState, MemberUpdate, Message, MessageKind, WireError, MAX_DATAGRAM_BYTES, MAX_UPDATES,
