--- a/crates/gateway/runner-selection/src/estimate.rs
+++ b/crates/gateway/runner-selection/src/estimate.rs
@@ -48,12 +48,14 @@
     service: &Service,
     runner: &Runner,
 ) -> Option<Millis> {
-    let may_probe = request.retryable
-        && !request.is_last_attempt
-        && (!service.llm || runner.health.allows_live_probe(now));
+    let may_probe = || {
+        request.retryable
+            && !request.is_last_attempt
+            && (!service.llm || runner.health.allows_live_probe(now))
+    };
     match runner.health.availability(now) {
         Availability::Healthy => None,
-        Availability::Probe if may_probe => None,
+        Availability::Probe if may_probe() => None,
         Availability::Probe => Some(runner.health.ejected_until()),
         Availability::Ejected(until) => Some(until),
     }
