--- a/crates/control/controller/src/core.rs
+++ b/crates/control/controller/src/core.rs
@@ -95,7 +95,7 @@
     pub(crate) placement: Option<PlacementMap>,
     withheld_leases: WithheldLeases,
     pub(crate) disk_usage: DiskUsage,
-    persistence: DiskHealth,
+    disk_health: DiskHealth,
     /// More waits for the disk than is to be added to by anything.
     disk_backlogged: bool,
     pub(crate) rejections: Rejections,
@@ -156,7 +156,7 @@
             placement: None,
             withheld_leases: WithheldLeases::default(),
             disk_usage: DiskUsage::default(),
-            persistence: DiskHealth::default(),
+            disk_health: DiskHealth::default(),
             disk_backlogged: false,
             rejections: Rejections::default(),
             log,
--- a/crates/control/controller/src/core/calls/config.rs
+++ b/crates/control/controller/src/core/calls/config.rs
@@ -12,7 +12,7 @@
 impl ControllerCore {
     pub(super) fn replace_config(&mut self, now: Millis, base_version: u64, body: &[u8]) -> Answer {
         self.require_end(now, ChainEnd::Head, "/-/config/replace")?;
-        if !self.persistence.is_writable() {
+        if !self.disk_health.is_writable() {
             return Err(Response::error(503, 1316, "the disk here takes no writes"));
         }
         if !self.can_commit() || !self.may_wait() {
--- a/crates/control/controller/src/core/disk.rs
+++ b/crates/control/controller/src/core/disk.rs
@@ -16,10 +16,10 @@
     /// controller votes and acknowledges nothing.
     pub fn update_disk_state(&mut self, now: Millis, disk: DiskStatus) {
         self.disk_backlogged = disk.backlogged;
-        if !self.persistence.update(now, disk) {
+        if !self.disk_health.update(now, disk) {
             return;
         }
-        let able = self.persistence.is_writable();
+        let able = self.disk_health.is_writable();
         self.agreement.set_disk_writable(able);
         if let Some(bootstrap) = &mut self.bootstrap {
             bootstrap.set_disk_writable(able);
--- a/crates/control/controller/src/core/fault_tolerance.rs
+++ b/crates/control/controller/src/core/fault_tolerance.rs
@@ -80,7 +80,7 @@
     /// Whether what is proposed here is acknowledged by enough disks.
     pub(super) fn can_commit(&self) -> bool {
         let members = self.chain.view().map_or(0, |v| v.members.len());
-        self.persistence.is_writable()
+        self.disk_health.is_writable()
             && self.chain.is_head()
             && self.chain.is_ready()
             && members >= self.required_replicas()
--- a/crates/control/controller/src/core/frames.rs
+++ b/crates/control/controller/src/core/frames.rs
@@ -51,7 +51,7 @@
         match kind {
             // What would be written can wait: others send it again.
             VIEW_AGREEMENT if self.disk_backlogged => {}
-            CHAIN_REPLICATION if !self.persistence.is_writable() => {}
+            CHAIN_REPLICATION if !self.disk_health.is_writable() => {}
             VIEW_AGREEMENT => {
                 self.agreement.handle_message(
                     now,
--- a/crates/control/controller/src/core/membership.rs
+++ b/crates/control/controller/src/core/membership.rs
@@ -28,7 +28,7 @@
         } else {
             0
         };
-        let unable = if self.persistence.is_writable() {
+        let unable = if self.disk_health.is_writable() {
             0
         } else {
             UNABLE_TO_PERSIST
--- a/crates/control/controller/src/core/repair.rs
+++ b/crates/control/controller/src/core/repair.rs
@@ -21,7 +21,7 @@
 const DOUBT_TIMEOUT: Millis = 3 * HEARTBEAT_INTERVAL;
 /// Without an answer of a majority for so long (two quorum checks and more), a peer's silence may
 /// be this controller's own, and no view is proposed.
-const MISSED_PINGS_TIMEOUT: Millis = 500;
+const QUORUM_CHECK_TIMEOUT: Millis = 500;
 
 /// The view that should be next.
 #[derive(Debug)]
@@ -61,8 +61,8 @@
         let in_contact = self
             .agreement
             .quorum_contact_age(now)
-            .is_some_and(|age| age < MISSED_PINGS_TIMEOUT);
-        let (Some(rank), true) = (rank, in_contact && self.persistence.is_writable()) else {
+            .is_some_and(|age| age < QUORUM_CHECK_TIMEOUT);
+        let (Some(rank), true) = (rank, in_contact && self.disk_health.is_writable()) else {
             self.view_plan.desired = None;
             self.view_plan.in_contact_since = None;
             return;
--- a/crates/control/controller/src/core/work.rs
+++ b/crates/control/controller/src/core/work.rs
@@ -91,7 +91,7 @@
         for effect in effects {
             match effect {
                 // Without a disk it has no part in the chain.
-                chain_replication::Effect::Send { .. } if !self.persistence.is_writable() => {}
+                chain_replication::Effect::Send { .. } if !self.disk_health.is_writable() => {}
                 chain_replication::Effect::Send { to, message } => {
                     self.send(to, CHAIN_REPLICATION, message.encode())
                 }
--- a/crates/control/controller/tests/days/cuts.rs
+++ b/crates/control/controller/tests/days/cuts.rs
@@ -15,7 +15,7 @@
     kind: None,
     closing: None,
     races: 300,
-    told: false,
+    scripted: false,
     large: 80,
     cuts: true,
     ..Plan::PLAIN
@@ -63,7 +63,7 @@
             controllers: Some(3),
             faults: 0,
             first_fault: 1 << 40,
-            told: true,
+            scripted: true,
             ..DAY
         };
         let mut world = World::new(seed, plan);
@@ -85,7 +85,7 @@
         controllers: Some(3),
         faults: 0,
         first_fault: 1 << 40,
-        told: true,
+        scripted: true,
         ..DAY
     };
     let mut world = World::new(seed, plan);
--- a/crates/control/controller/tests/days/planted.rs
+++ b/crates/control/controller/tests/days/planted.rs
@@ -85,7 +85,7 @@
     let plan = Plan {
         faults: 0,
         first_fault: 1 << 40,
-        told: true,
+        scripted: true,
         large: 5,
         planted,
         ..CALM
--- a/crates/control/controller/tests/days/races.rs
+++ b/crates/control/controller/tests/days/races.rs
@@ -15,7 +15,7 @@
         controllers: Some(3),
         faults: 0,
         first_fault: 1 << 40,
-        told: true,
+        scripted: true,
         large: 5,
         ..Plan::default()
     }
--- a/crates/control/controller/tests/days/recovery.rs
+++ b/crates/control/controller/tests/days/recovery.rs
@@ -8,7 +8,7 @@
         controllers: Some(3),
         faults: 0,
         first_fault: 1 << 40,
-        told: true,
+        scripted: true,
         ..Plan::default()
     }
 }
--- a/crates/control/controller/tests/journal.rs
+++ b/crates/control/controller/tests/journal.rs
@@ -198,10 +198,10 @@
     /// What the process does when the disk has synced something: the core writes at once again.
     fn synced(&mut self) -> usize {
         let newest = *self.journal.subscribe_synced().borrow();
-        let told = self.journal.synced(self.now, newest);
+        let tickets = self.journal.synced(self.now, newest);
         self.write();
         self.journal.compact_if_needed(self.now, &self.core);
-        told.len()
+        tickets.len()
     }
 }
 
@@ -209,11 +209,11 @@
 #[test]
 fn under_continuous_writes_the_log_is_compacted_before_it_is_full() {
     let mut machine = Machine::new();
-    let (mut most, mut told) = (0, 0);
+    let (mut most, mut synced) = (0, 0);
     for _ in 0..1_000 {
         machine.write();
         machine.work();
-        told += machine.synced();
+        synced += machine.synced();
         let DiskUsage {
             used_bytes: used,
             capacity_bytes: there,
@@ -229,8 +229,8 @@
         );
     }
     assert!(
-        told > 1_900,
-        "of {} writes {told} were said to be synced",
+        synced > 1_900,
+        "of {} writes {synced} were reported as synced",
         machine.written
     );
     assert!(most < 90, "{most} percent of the log were used");
@@ -327,7 +327,7 @@
 #[test]
 fn a_log_filled_while_the_disk_fails_accepts_writes_afterwards() {
     let mut machine = Machine::new();
-    let mut told = 0;
+    let mut synced = 0;
     for round in 0..5 {
         machine.disk.refuse(true);
         // Less than half of the log: a controller whose disk refuses soon takes no more that would
@@ -345,7 +345,7 @@
         machine.disk.refuse(false);
         for _ in 0..20 {
             machine.work();
-            told += machine.synced();
+            synced += machine.synced();
         }
         let DiskUsage {
             used_bytes: used,
@@ -353,8 +353,8 @@
         } = machine.journal.usage();
         let written = machine.written as usize;
         assert!(
-            told + 5 > written,
-            "round {round}: {told} of {written} synced, {used} of {there} used"
+            synced + 5 > written,
+            "round {round}: {synced} of {written} synced, {used} of {there} used"
         );
     }
 }
--- a/crates/control/controller/tests/peers.rs
+++ b/crates/control/controller/tests/peers.rs
@@ -21,15 +21,15 @@
     }
 }
 
-fn heartbeat(id: u64, hears: &[u8]) -> ControllerHeartbeat {
-    let hears = hears.iter().map(|n| addr(*n).into()).collect();
+fn heartbeat(id: u64, receives_from: &[u8]) -> ControllerHeartbeat {
+    let receives_from = receives_from.iter().map(|n| addr(*n).into()).collect();
     ControllerHeartbeat {
         id,
         incarnation: id,
         zone: zone_hash("a"),
         status: EncodedStatus::from(&status(id)),
         flags: 0,
-        receives_from: hears,
+        receives_from,
     }
 }
 
@@ -65,8 +65,8 @@
 /// Heartbeats of others that have said the same for some time.
 fn hear(controllers: &mut PeerControllers, now: u64, others: &[(u8, &[u8])]) {
     for at in [now - 600, now - 300, now] {
-        for (n, hears) in others {
-            controllers.record_heartbeat(at, addr(*n), heartbeat(u64::from(*n), hears));
+        for (n, receives_from) in others {
+            controllers.record_heartbeat(at, addr(*n), heartbeat(u64::from(*n), receives_from));
         }
     }
 }
@@ -101,7 +101,7 @@
 fn while_a_controller_returns_no_peer_is_dropped_for_not_receiving_it_yet() {
     let mut controllers = PeerControllers::default();
     hear(&mut controllers, 1_000, &[(2, &[1, 3]), (3, &[1, 2])]);
-    // The second was away: the third does not say yet that it hears it.
+    // The second was away: the third does not say yet that it receives its heartbeats.
     hear(&mut controllers, 3_000, &[(3, &[1])]);
     controllers.record_heartbeat(3_050, addr(2), heartbeat(2, &[1, 3]));
     assert_eq!(alive(&controllers, 3_060, 1, &[1, 2, 3]), [1, 2, 3]);
@@ -147,7 +147,7 @@
     let mut controllers = PeerControllers::default();
     let hearing: [(u8, &[u8]); 3] = [(2, &[1, 4]), (3, &[1]), (4, &[1, 2])];
     for at in [1_000, 1_300, 1_600] {
-        for (n, hears) in hearing {
+        for (n, receives_from) in hearing {
             let flags = if n == 3 {
                 UNABLE_TO_PERSIST | NO_DISK
             } else {
@@ -158,7 +158,7 @@
                 addr(n),
                 ControllerHeartbeat {
                     flags,
-                    ..heartbeat(u64::from(n), hears)
+                    ..heartbeat(u64::from(n), receives_from)
                 },
             );
         }
@@ -206,7 +206,7 @@
     assert_eq!(
         controllers.live_incarnations(1_000 + FAILURE_TIMEOUT),
         [2, 3],
-        "2 is silent here, and 3 hears it"
+        "2 is silent here, and 3 receives it"
     );
     controllers.record_heartbeat(2_000, addr(3), heartbeat(3, &[1]));
     assert_eq!(controllers.live_incarnations(2_000), [3]);
--- a/crates/control/controller/tests/rejections.rs
+++ b/crates/control/controller/tests/rejections.rs
@@ -114,7 +114,7 @@
         }
     }
 
-    fn told(&mut self, kind: u16, body: &[u8]) -> usize {
+    fn frame(&mut self, kind: u16, body: &[u8]) -> usize {
         let addr = SocketAddr::from(([10, 0, 0, 7], 7_660));
         let from = Peer {
             addr,
@@ -180,14 +180,14 @@
         last_received: 0,
         caught_up: false,
     };
-    let hears = vec![SocketAddr::from(([10, 0, 0, 1], 7_660)).into()];
+    let receives_from = vec![SocketAddr::from(([10, 0, 0, 1], 7_660)).into()];
     ControllerHeartbeat {
         id: 5,
         incarnation: 5,
         zone: zone_hash("z"),
         status: EncodedStatus::from(&status),
         flags: 0,
-        receives_from: hears,
+        receives_from,
     }
 }
 
@@ -197,9 +197,9 @@
     let before = one.stands();
     for n in 0..1_000u16 {
         let kind = KINDS[usize::from(n) % KINDS.len()];
-        assert_eq!(one.told(kind, b"\xff\xff\xff"), 0);
+        assert_eq!(one.frame(kind, b"\xff\xff\xff"), 0);
     }
-    one.told(0x7777, b"of an unknown kind");
+    one.frame(0x7777, b"of an unknown kind");
     assert_eq!(one.refused("Frames"), 1_001);
     assert_eq!(
         one.warnings.load(Ordering::Relaxed),
@@ -209,7 +209,7 @@
     assert_eq!(one.stands(), before);
     // The next one says how many were left out.
     one.now += 10_000;
-    one.told(VIEW_AGREEMENT, b"");
+    one.frame(VIEW_AGREEMENT, b"");
     assert_eq!(
         (one.warnings.load(Ordering::Relaxed), one.refused("Frames")),
         (2, 1_002)
@@ -232,7 +232,7 @@
         "two in one frame"
     );
     let mut one = One::new();
-    one.told(CONTROLLER_HEARTBEAT, &doubled);
+    one.frame(CONTROLLER_HEARTBEAT, &doubled);
     assert_eq!(one.refused("Frames"), 1);
 }
 
@@ -294,7 +294,7 @@
     ) {
         let mut one = One::new();
         let before = one.core.snapshot_records();
-        prop_assert_eq!(one.told(kind, &body), 0);
+        prop_assert_eq!(one.frame(kind, &body), 0);
         prop_assert_eq!(one.core.snapshot_records(), before);
     }
 
@@ -314,7 +314,7 @@
         bytes.truncate(cut.index(bytes.len() + 1));
         let mut one = One::new();
         let before = one.core.snapshot_records();
-        prop_assert_eq!(one.told(CONTROLLER_HEARTBEAT, &bytes), 0);
+        prop_assert_eq!(one.frame(CONTROLLER_HEARTBEAT, &bytes), 0);
         prop_assert_eq!(one.core.snapshot_records(), before);
     }
 }
--- a/crates/control/controller/tests/sim.rs
+++ b/crates/control/controller/tests/sim.rs
@@ -95,7 +95,7 @@
     kind: Some(11),
     closing: Some(Closing::Nothing),
     races: 150,
-    told: false,
+    scripted: false,
     large: 80,
     cuts: false,
     ..Plan::PLAIN
@@ -111,7 +111,7 @@
             controllers: Some(3),
             faults: 0,
             first_fault: 1 << 40,
-            told: true,
+            scripted: true,
             ..CUTS
         };
         let mut world = World::new(seed, plan);
@@ -136,7 +136,7 @@
     assert!(away > 50 && acks >= 110, "{away}, {acks}");
 }
 
-// One that comes back proposed a view without those that it had not heard yet.
+// A returning controller proposed a view without those whose heartbeats had not arrived yet.
 #[test]
 fn a_returning_controller_drops_no_member() {
     play(0, 12, CUTS);
@@ -189,7 +189,7 @@
     found(167, Plan::default());
 }
 
-// A new head told nothing of what was committed before it, since nothing new was.
+// A new head did not publish what was committed before it, since nothing new was.
 #[test]
 fn a_new_head_completes_the_rollout_of_the_previous_head() {
     let plan = Plan {
@@ -241,7 +241,7 @@
         controllers: Some(3),
         faults: 0,
         first_fault: 1 << 40,
-        told: true,
+        scripted: true,
         planted,
         ..CUTS
     };
@@ -302,7 +302,7 @@
         controllers: Some(3),
         faults: 0,
         first_fault: 1 << 40,
-        told: true,
+        scripted: true,
         planted,
         ..CUTS
     };
--- a/crates/control/controller/tests/world/clients.rs
+++ b/crates/control/controller/tests/world/clients.rs
@@ -178,11 +178,13 @@
             return;
         };
         match client {
-            Client::Operator(n) if self.operators[n].turn == turn => self.operator_hears(n, answer),
-            Client::Reader if self.reader.turn == turn => self.reader_hears(answer),
-            Client::Runner(n) if self.runners[n].turn == turn => self.runner_hears(n, answer),
-            Client::Race(n) => self.racer_hears(n, turn, answer),
-            Client::Retirer => self.retirer_hears(turn, answer),
+            Client::Operator(n) if self.operators[n].turn == turn => {
+                self.operator_receives(n, answer)
+            }
+            Client::Reader if self.reader.turn == turn => self.reader_receives(answer),
+            Client::Runner(n) if self.runners[n].turn == turn => self.runner_receives(n, answer),
+            Client::Race(n) => self.racer_receives(n, turn, answer),
+            Client::Retirer => self.retirer_receives(turn, answer),
             _ => {}
         }
     }
@@ -201,7 +203,7 @@
     /// Begins another change, or sends the present one again.
     fn operator_goes_on(&mut self, n: usize) {
         if self.operators[n].put.is_none() {
-            if self.closed || self.plan.told {
+            if self.closed || self.plan.scripted {
                 return;
             }
             let put = self.draw_put();
@@ -305,7 +307,7 @@
         clippy::too_many_lines,
         reason = "each answer that an operator may get, in order"
     )]
-    fn operator_hears(&mut self, n: usize, answer: Option<Response>) {
+    fn operator_receives(&mut self, n: usize, answer: Option<Response>) {
         let target = self.operators[n].target;
         self.operators[n].unanswered = answer.is_none();
         let Some(put) = self.operators[n].put.clone() else {
@@ -399,7 +401,7 @@
         self.send_call(Client::Reader, turn, controller, Call::GetConfig);
     }
 
-    fn reader_hears(&mut self, answer: Option<Response>) {
+    fn reader_receives(&mut self, answer: Option<Response>) {
         self.reader.unanswered = answer.is_none();
         let status = answer.as_ref().map_or(0, |a| a.status);
         if status == 307 && self.reader.hops < 2 {
@@ -495,16 +497,16 @@
         );
     }
 
-    fn runner_hears(&mut self, n: usize, answer: Option<Response>) {
+    fn runner_receives(&mut self, n: usize, answer: Option<Response>) {
         let now = self.now;
-        let heard = answer.is_some_and(|a| a.status == 200);
+        let acknowledged = answer.is_some_and(|a| a.status == 200);
         let next = self.any_controller();
         let stable = self.stable_since();
         let runner = &mut self.runners[n];
         runner.turn += 1;
         let turn = runner.turn;
         let mut pause = HEARTBEAT;
-        if !heard {
+        if !acknowledged {
             runner.target = next;
             pause = 30;
         } else if runner.phase == Phase::Draining && runner.acked_at.is_none() {
@@ -517,7 +519,7 @@
         let waits = now.saturating_sub(runner.said_at.max(stable.saturating_add(super::CONTACT)));
         if runner.phase == Phase::Draining
             && runner.acked_at.is_none()
-            && !heard
+            && !acknowledged
             && waits > super::ACK
         {
             let what = format!(
--- a/crates/control/controller/tests/world/controllers.rs
+++ b/crates/control/controller/tests/world/controllers.rs
@@ -452,17 +452,17 @@
             );
         }
         machine.disk.busy = false;
-        let told = machine
+        let tickets = machine
             .disk
             .waiting
             .iter()
             .take_while(|w| w.0 <= upto)
             .map(|w| w.1);
-        let told: Vec<WriteTicket> = told.collect();
-        machine.disk.waiting.drain(..told.len());
+        let tickets: Vec<WriteTicket> = tickets.collect();
+        machine.disk.waiting.drain(..tickets.len());
         let state = self.disk_state(n);
         self.with_core(n, |core, time| {
-            core.handle_synced(time, &told);
+            core.handle_synced(time, &tickets);
             core.update_disk_state(time.now, state);
         });
         if self.dice.permille(5) {
--- a/crates/control/controller/tests/world/day.rs
+++ b/crates/control/controller/tests/world/day.rs
@@ -44,7 +44,7 @@
     /// So many of a thousand changes are sent by both operators at a time.
     pub races: u64,
     /// Operators do only what a test tells them.
-    pub told: bool,
+    pub scripted: bool,
     /// So many of a thousand bodies are large.
     pub large: u64,
     /// The faults are cuts of twenty seconds and more.
@@ -73,7 +73,7 @@
         kind: None,
         closing: None,
         races: 150,
-        told: false,
+        scripted: false,
         large: 80,
         cuts: false,
         disks: false,
--- a/crates/control/controller/tests/world/dispatchers.rs
+++ b/crates/control/controller/tests/world/dispatchers.rs
@@ -70,14 +70,14 @@
 
     /// Whom it follows, and how old what it knows may be.
     pub fn follows(&self, now: u64) -> String {
-        let told = |p: &Process| {
+        let known = |p: &Process| {
             format!(
                 "{:?}, {} ms",
                 p.state_table.parent(),
                 p.state_table.staleness(now - p.began + 1)
             )
         };
-        self.process.as_ref().map(told).unwrap_or_default()
+        self.process.as_ref().map(known).unwrap_or_default()
     }
 
     /// How a runner stands here; none if it is not known.
@@ -90,7 +90,7 @@
         Runner::read(state_entry).ok().map(|r| r.state)
     }
 
-    /// The controllers that it was told of.
+    /// The controllers that it knows of.
     pub fn controllers(&self) -> &[SocketAddr] {
         self.process
             .as_ref()
--- a/crates/control/controller/tests/world/mod.rs
+++ b/crates/control/controller/tests/world/mod.rs
@@ -269,7 +269,7 @@
             let after = self.dice.below(300);
             self.after(after, Event::Start { who });
         }
-        for n in 0..if self.plan.told {
+        for n in 0..if self.plan.scripted {
             0
         } else {
             self.operators.len()
--- a/crates/control/controller/tests/world/races.rs
+++ b/crates/control/controller/tests/world/races.rs
@@ -98,7 +98,7 @@
         );
     }
 
-    pub fn racer_hears(&mut self, n: usize, hops: u64, answer: Option<Response>) {
+    pub fn racer_receives(&mut self, n: usize, hops: u64, answer: Option<Response>) {
         let status = answer.as_ref().map_or(0, |a| a.status);
         if status == 307 && hops < 2 {
             if let Some(to) = answer
--- a/crates/control/controller/tests/world/retire.rs
+++ b/crates/control/controller/tests/world/retire.rs
@@ -37,7 +37,7 @@
         self.send_call(Client::Retirer, hops, controller, ask);
     }
 
-    pub fn retirer_hears(&mut self, hops: u64, answer: Option<Response>) {
+    pub fn retirer_receives(&mut self, hops: u64, answer: Option<Response>) {
         let status = answer.as_ref().map_or(0, |a| a.status);
         let location = answer.as_ref().and_then(|a| a.location.as_deref());
         if let Some(to) = location
