--- a/crates/dispatcher/dispatcher-settings/src/lib.rs
+++ b/crates/dispatcher/dispatcher-settings/src/lib.rs
@@ -1,18 +1,12 @@
-//! What a dispatcher is told from outside: read, checked and given defaults in one place.
+//! What a dispatcher is configured with from outside: read, checked and given defaults in one
+//! place.
 //!
-//! [`platform`] is the platform's JSON with the settings object ([`facts`]) and the list as discovery writes it
-//! ([`list`]); [`operator`] is the operators' HCL; [`report`] says how load reports are read.
+//! [`platform`] is the platform's JSON with the settings object ([`settings_object`]) and the list
+//! as discovery writes it ([`list`]); [`operator`] is the operators' HCL; [`report`] tells how load
+//! reports are read.
 
-#![expect(
-    clippy::missing_errors_doc,
-    clippy::needless_pass_by_value,
-    clippy::struct_excessive_bools,
-    clippy::too_many_lines,
-    reason = "not revised yet"
-)]
-
-pub mod facts;
 pub mod list;
 pub mod operator;
 pub mod platform;
 pub mod report;
+pub mod settings_object;
--- a/crates/dispatcher/fordrelay/src/commands.rs
+++ b/crates/dispatcher/fordrelay/src/commands.rs
@@ -2,7 +2,7 @@
 
 use crate::lifecycle::{Files, Told};
 use admin::view::Levels;
-use dispatcher_settings::operator::Operator;
+use dispatcher_settings::operator::OperatorConfig;
 use dispatcher_settings::platform::Summary;
 use hyper::Method;
 use percent_encoding::{utf8_percent_encode, NON_ALPHANUMERIC};
@@ -76,7 +76,7 @@
 #[derive(Serialize)]
 struct InForce<'a> {
     platform: Summary<'a>,
-    operator: &'a Operator,
+    operator: &'a OperatorConfig,
 }
 
 /// Prints what both files come to.
--- a/crates/dispatcher/fordrelay/src/lifecycle.rs
+++ b/crates/dispatcher/fordrelay/src/lifecycle.rs
@@ -7,7 +7,7 @@
 use crate::usage;
 use discovery::{Delivery, EndpointMapper, ListSource, ListWatch};
 use dispatch_api::{ListUpdateKind, Micros, SettingsError};
-use dispatcher_settings::operator::{Operator, OperatorError};
+use dispatcher_settings::operator::{OperatorConfig, OperatorError};
 use dispatcher_settings::platform::{Config, ConfigError};
 use dispatcher_state::{ConnId, Input, MembershipConfig, State};
 use event_loop::{run, Clock, ConnectionCommand, FlowLimits, IoBackend, LoopHandle, SaveWhen};
@@ -64,7 +64,7 @@
     Config(#[from] ConfigError),
     /// The operators' file can't be used.
     #[error(transparent)]
-    Operator(#[from] OperatorError),
+    OperatorConfig(#[from] OperatorError),
     /// The settings can't be used.
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
@@ -93,7 +93,7 @@
     /// The platform's.
     pub config: Config,
     /// The operators'.
-    pub operator: Operator,
+    pub operator: OperatorConfig,
     /// The levels of reduced service in it.
     pub levels: Option<Arc<degradation::DegradationConfig>>,
 }
@@ -108,13 +108,15 @@
         let Some(path) = &self.operator else {
             return Ok(Told {
                 config,
-                operator: Operator::default(),
+                operator: OperatorConfig::default(),
                 levels: None,
             });
         };
-        let (operator, source) = Operator::load(path)?;
+        let (operator, source) = OperatorConfig::load(path)?;
         Logs::filter(&operator.log).map_err(|e| source.fault("log.level", e))?;
-        let levels = operator.spec(&config.classes, &source)?.map(Arc::new);
+        let levels = operator
+            .degradation(&config.classes, &source)?
+            .map(Arc::new);
         Ok(Told {
             config,
             operator,
@@ -222,7 +224,7 @@
 }
 
 /// Watches the other dispatchers from now on, if the operators' file says so.
-fn joins(loop_handle: &LoopHandle, operator: &Operator, clock: Clock) {
+fn joins(loop_handle: &LoopHandle, operator: &OperatorConfig, clock: Clock) {
     if let Some(membership) = &operator.membership {
         let incarnation = membership::incarnation::from_unix_seconds(clock.now() / 1_000_000);
         loop_handle.send_input(Input::MembershipChanged(Some(MembershipConfig {
@@ -304,7 +306,7 @@
         .map(|c| c.client_timeout)
         .collect();
     let longest = Duration::from_micros(client_timeout.iter().copied().max().unwrap_or(0));
-    let state = State::new(config.setup(levels))?;
+    let state = State::new(config.state_config(levels))?;
     let inherited = std::env::var_os(inherited::VARIABLE);
     let inherited = inherited
         .map(|text| inherited::listener(&text.to_string_lossy()))
@@ -317,7 +319,7 @@
     let folder = folder.or_else(|| inherited.is_some().then(std::env::temp_dir));
     let succession = folder.and_then(|base| Succession::begin(&base, &config, clock));
     let others = succession.as_ref().map_or(0, |s| s.others());
-    let share = config.share(1 + others);
+    let share = config.process_limits(1 + others);
     let (loop_handle, mut inputs) = LoopHandle::new(
         clock,
         config.reports.clone(),
--- a/crates/dispatcher/fordrelay/src/succession.rs
+++ b/crates/dispatcher/fordrelay/src/succession.rs
@@ -326,7 +326,7 @@
             let others = self.folder.borrow().living();
             self.event(Event::OtherProcesses(others));
             self.clients.set(listener.open());
-            let share = config.share(1 + others);
+            let share = config.process_limits(1 + others);
             if processes != 1 + others {
                 processes = 1 + others;
                 info!(
--- a/crates/dispatcher/simulator-protocol/src/error.rs
+++ b/crates/dispatcher/simulator-protocol/src/error.rs
@@ -21,7 +21,7 @@
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum InstanceError {
     #[error(transparent)]
-    Operator(#[from] OperatorError),
+    OperatorConfig(#[from] OperatorError),
     #[error(transparent)]
     Settings(#[from] SettingsError),
     #[error("the decision module panicked")]
--- a/crates/dispatcher/simulator-protocol/src/host.rs
+++ b/crates/dispatcher/simulator-protocol/src/host.rs
@@ -7,15 +7,15 @@
 use crate::report::ReportLayout;
 use degradation::DegradingDispatcher;
 use dispatch_api::{Action, Micros};
-use dispatcher_settings::facts::{micros, settings};
-use dispatcher_settings::operator::{Operator, Source};
+use dispatcher_settings::operator::{OperatorConfig, Source};
+use dispatcher_settings::settings_object::{decision_settings, micros};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 /// The instances of one process; they share nothing.
 #[derive(Default)]
 pub struct Host {
-    operator: Option<(Operator, Source)>,
+    operator: Option<(OperatorConfig, Source)>,
     /// None for an instance that was killed, or that could not start.
     instances: BTreeMap<u64, Option<Instance>>,
 }
@@ -23,7 +23,7 @@
 impl Host {
     /// A host whose instances read their degradation levels from an operators' file, if one is
     /// given.
-    pub fn new(operator: Option<(Operator, Source)>) -> Self {
+    pub fn new(operator: Option<(OperatorConfig, Source)>) -> Self {
         Host {
             operator,
             instances: BTreeMap::new(),
@@ -124,9 +124,9 @@
         let classes = start.facts.classes.iter().map(|class| class.name.clone());
         let classes: Vec<String> = classes.collect();
         let operator = self.operator.as_ref();
-        let config = operator.map(|(operator, source)| operator.spec(&classes, source));
+        let config = operator.map(|(operator, source)| operator.degradation(&classes, source));
         let config = config.transpose()?.flatten();
-        let settings = settings(&start.facts)?;
+        let settings = decision_settings(&start.facts)?;
         Ok(DegradingDispatcher::new(
             settings,
             start.init_seed,
--- a/crates/dispatcher/simulator-protocol/src/input.rs
+++ b/crates/dispatcher/simulator-protocol/src/input.rs
@@ -2,7 +2,7 @@
 //! attributes.
 
 use dispatch_api::Outcome;
-use dispatcher_settings::facts::Facts;
+use dispatcher_settings::settings_object::SettingsObject;
 use serde::de::IgnoredAny;
 use serde::Deserialize;
 
@@ -59,7 +59,7 @@
 #[serde(rename_all = "kebab-case")]
 pub(crate) struct Start {
     pub init_seed: u64,
-    pub facts: Box<Facts>,
+    pub facts: Box<SettingsObject>,
 }
 
 /// A list of workers, or changes of it.
--- a/crates/dispatcher/simulator-protocol/src/instance.rs
+++ b/crates/dispatcher/simulator-protocol/src/instance.rs
@@ -10,7 +10,7 @@
     Action, DiscoveryFailure, Event, JobId, JobSpec, ListUpdateKind, Micros, WorkerEntry, WorkerId,
     WorkerStatus,
 };
-use dispatcher_settings::facts::micros;
+use dispatcher_settings::settings_object::micros;
 use std::collections::HashMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
--- a/crates/dispatcher/simulator-protocol/src/main.rs
+++ b/crates/dispatcher/simulator-protocol/src/main.rs
@@ -1,7 +1,7 @@
 //! Speaks the simulator's protocol on standard input and output.
 
 use bpaf::{long, Parser};
-use dispatcher_settings::operator::{Operator, OperatorError};
+use dispatcher_settings::operator::{OperatorConfig, OperatorError};
 use simulator_protocol::{Host, LineError};
 use std::io::{self, BufRead, Write};
 use std::path::PathBuf;
@@ -11,7 +11,7 @@
 #[derive(Debug, thiserror::Error)]
 enum HostError {
     #[error(transparent)]
-    Operator(#[from] OperatorError),
+    OperatorConfig(#[from] OperatorError),
     #[error("line {line}: {source}")]
     Read { line: u64, source: io::Error },
     #[error("line {line}: {source}")]
@@ -39,7 +39,9 @@
         .to_options()
         .descr("The decisions on the simulator's wire, on standard input and output")
         .run();
-    let operator = operator.map(|file| Operator::load(&file)).transpose()?;
+    let operator = operator
+        .map(|file| OperatorConfig::load(&file))
+        .transpose()?;
     let (mut host, mut text, mut line) = (Host::new(operator), String::new(), 0u64);
     loop {
         text.clear();
--- a/crates/dispatcher/simulator-protocol/src/report.rs
+++ b/crates/dispatcher/simulator-protocol/src/report.rs
@@ -2,7 +2,7 @@
 
 use crate::input::ReportRow;
 use dispatch_api::LoadReport;
-use dispatcher_settings::facts::Facts;
+use dispatcher_settings::settings_object::SettingsObject;
 
 /// The position of each value in a load report.
 #[derive(Debug, Default)]
@@ -13,7 +13,7 @@
 }
 
 impl ReportLayout {
-    pub fn new(facts: &Facts) -> Self {
+    pub fn new(facts: &SettingsObject) -> Self {
         let names = facts
             .report
             .as_ref()
--- a/crates/testbed/testbed/src/main.rs
+++ b/crates/testbed/testbed/src/main.rs
@@ -3,7 +3,7 @@
 #![expect(clippy::too_many_lines, reason = "not revised yet")]
 
 use bpaf::{construct, long, OptionParser, Parser};
-use dispatcher_settings::operator::{Operator, Source};
+use dispatcher_settings::operator::{OperatorConfig, Source};
 use fordrelay::lifecycle::{self, Files};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -518,10 +518,10 @@
 }
 
 /// The operators' file, which must leave the listener to this program.
-fn read(path: &Path) -> Result<(String, Operator, Source), Failure> {
+fn read(path: &Path) -> Result<(String, OperatorConfig, Source), Failure> {
     let text =
         std::fs::read_to_string(path).map_err(|e| format!("can't read {}: {e}", path.display()))?;
-    let (operator, source) = Operator::parse(path, &text)?;
+    let (operator, source) = OperatorConfig::parse(path, &text)?;
     if operator.admin.is_some() {
         return Err(source
             .fault("admin", "is set by the lab itself: leave it out here")
@@ -558,7 +558,7 @@
         .collect();
     let (text, operator, source) = read(&args.operator)?;
     let spec = operator
-        .spec(&classes, &source)?
+        .degradation(&classes, &source)?
         .ok_or("the operators' file sets no levels")?;
     let conditions = args.only.map_or(vec![false, true], |only| vec![only]);
     let summary = match args.model {
--- a/crates/testbed/testbed/src/model.rs
+++ b/crates/testbed/testbed/src/model.rs
@@ -348,7 +348,7 @@
         for n in 0..scenario.dispatchers {
             let seed = mixed.wrapping_mul(31) + u64::from(n);
             let config = Config::parse(&scenario.config(n, &addrs, seed), |_| None)?;
-            setups.push(config.setup(spec.cloned()));
+            setups.push(config.state_config(spec.cloned()));
         }
         let dispatchers: Result<Vec<_>, _> = setups.iter().map(|s| State::new(s.clone())).collect();
         let dispatchers = dispatchers
