--- a/crates/dispatcher/discovery/src/client.rs
+++ b/crates/dispatcher/discovery/src/client.rs
@@ -1,7 +1,7 @@
 //! One call to discovery, and the connection that calls follow each other on.
 
 use bytes::Bytes;
-use dispatcher_settings::list::List;
+use dispatcher_settings::list::TargetList;
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper::{Request, StatusCode};
@@ -72,7 +72,7 @@
     #[error("answered with status {0}")]
     Status(StatusCode),
     #[error("a malformed list: {0}")]
-    List(#[from] serde_json::Error),
+    TargetList(#[from] serde_json::Error),
     #[error("no answer in time")]
     TimedOut(#[from] tokio::time::error::Elapsed),
 }
@@ -85,7 +85,7 @@
 
 /// The answer to a call, and the connection for the next one.
 pub(crate) struct Answer {
-    pub list: List,
+    pub list: TargetList,
     pub connection: Connection,
 }
 
--- a/crates/dispatcher/discovery/src/endpoint_mapper.rs
+++ b/crates/dispatcher/discovery/src/endpoint_mapper.rs
@@ -3,7 +3,7 @@
 use crate::ListRecord;
 use dispatch_api::load_exchange::name_hash;
 use dispatch_api::{ListUpdateKind, WorkerStatus};
-use dispatcher_settings::list::{Entry, List, State};
+use dispatcher_settings::list::{ListedTarget, TargetList, TargetState};
 use dispatcher_state::{Endpoint, Input};
 use event_loop::Clock;
 use std::cell::RefCell;
@@ -35,7 +35,7 @@
 impl EndpointMapper {
     /// The input that a list comes to. `from` is the address of the discovery that sent it, or that is
     /// to be believed to have sent it.
-    pub fn input(&self, list: List, source: ListSource, from: SocketAddr) -> Input {
+    pub fn input(&self, list: TargetList, source: ListSource, from: SocketAddr) -> Input {
         if let Some(record) = &self.record {
             record.borrow_mut().update(&list, from);
         }
@@ -52,7 +52,7 @@
         }
     }
 
-    fn endpoint(&self, entry: Entry) -> Endpoint {
+    fn endpoint(&self, entry: ListedTarget) -> Endpoint {
         Endpoint {
             zone: number(&self.zones, &entry.zone),
             kind: number(&self.kinds, &entry.kind),
@@ -60,9 +60,9 @@
             addr: entry.addr,
             cell: entry.cell,
             status: match entry.state {
-                State::Ready => WorkerStatus::Ready,
-                State::Draining => WorkerStatus::Draining,
-                State::Gone => WorkerStatus::Removed,
+                TargetState::Ready => WorkerStatus::Ready,
+                TargetState::Draining => WorkerStatus::Draining,
+                TargetState::Gone => WorkerStatus::Removed,
             },
             weight: entry.weight,
             started: (entry.started_ms > 0.0).then(|| self.clock.at_unix_ms(entry.started_ms)),
--- a/crates/dispatcher/discovery/src/list_check.rs
+++ b/crates/dispatcher/discovery/src/list_check.rs
@@ -3,7 +3,7 @@
 
 use crate::EndpointMapper;
 use discovery_pacing::LARGEST_WEIGHT;
-use dispatcher_settings::list::{Entry, List, State};
+use dispatcher_settings::list::{ListedTarget, TargetList, TargetState};
 use dispatcher_state::Anomaly;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -33,7 +33,7 @@
 
 impl ListCheck {
     /// Checks a list, which counts as the one before from then on.
-    pub fn check(&mut self, list: &List, mapper: &EndpointMapper) -> Findings {
+    pub fn check(&mut self, list: &TargetList, mapper: &EndpointMapper) -> Findings {
         let mut findings = Findings::new();
         if list.version < self.version {
             let example = format!("version {} after {}", list.version, self.version);
@@ -47,7 +47,7 @@
                 let example = format!("{} is named twice", entry.id);
                 add(&mut findings, Anomaly::RepeatedTarget, example);
             }
-            if entry.state == State::Gone {
+            if entry.state == TargetState::Gone {
                 continue;
             }
             let other = addrs.insert(entry.addr, &entry.id);
@@ -61,16 +61,18 @@
         findings
     }
 
-    fn check_size(&mut self, list: &List, findings: &mut Findings) {
+    fn check_size(&mut self, list: &TargetList, findings: &mut Findings) {
         let before = self.listed.len();
         if list.full {
             self.listed.clear();
         }
         for entry in &list.servers {
             match entry.state {
-                State::Gone => drop(self.listed.remove(&entry.id)),
-                State::Ready | State::Draining if self.listed.contains(&entry.id) => {}
-                State::Ready | State::Draining => drop(self.listed.insert(entry.id.clone())),
+                TargetState::Gone => drop(self.listed.remove(&entry.id)),
+                TargetState::Ready | TargetState::Draining if self.listed.contains(&entry.id) => {}
+                TargetState::Ready | TargetState::Draining => {
+                    drop(self.listed.insert(entry.id.clone()))
+                }
             }
         }
         let now = self.listed.len();
@@ -89,7 +91,7 @@
     }
 }
 
-fn check_entry(entry: &Entry, mapper: &EndpointMapper, findings: &mut Findings) {
+fn check_entry(entry: &ListedTarget, mapper: &EndpointMapper, findings: &mut Findings) {
     for (names, name) in [(&mapper.zones, &entry.zone), (&mapper.kinds, &entry.kind)] {
         if !names.is_empty() && !names.contains(name) {
             let example = format!("{name:?} of {} is not in the settings", entry.id);
--- a/crates/dispatcher/discovery/src/list_record.rs
+++ b/crates/dispatcher/discovery/src/list_record.rs
@@ -1,7 +1,7 @@
 //! The list as discovery last sent it, with every target that it has ever named, for a successor
 //! process.
 
-use dispatcher_settings::list::{Entry, List, State};
+use dispatcher_settings::list::{ListedTarget, TargetList, TargetState};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -14,16 +14,16 @@
     /// The discovery that sent it last: a successor that is configured with another one asks anew.
     source: Option<SocketAddr>,
     version: u64,
-    entries: BTreeMap<String, Entry>,
+    entries: BTreeMap<String, ListedTarget>,
 }
 
 impl ListRecord {
     /// Applies a full list, or changes, as the discovery at this address sent them.
-    pub fn update(&mut self, list: &List, source: SocketAddr) {
+    pub fn update(&mut self, list: &TargetList, source: SocketAddr) {
         (self.version, self.source) = (list.version, Some(source));
         if list.full {
             for entry in self.entries.values_mut() {
-                entry.state = State::Gone;
+                entry.state = TargetState::Gone;
             }
         }
         for entry in &list.servers {
@@ -31,7 +31,7 @@
         }
         let mut surplus = self.entries.len().saturating_sub(MAX_ENTRIES);
         self.entries.retain(|_, entry| {
-            let drop = surplus > 0 && entry.state == State::Gone;
+            let drop = surplus > 0 && entry.state == TargetState::Gone;
             surplus -= usize::from(drop);
             !drop
         });
@@ -43,8 +43,8 @@
     }
 
     /// The full list; targets that were removed are named as such.
-    pub fn list(&self) -> List {
-        List {
+    pub fn list(&self) -> TargetList {
+        TargetList {
             version: self.version,
             full: true,
             servers: self.entries.values().cloned().collect(),
--- a/crates/dispatcher/discovery/src/list_watch.rs
+++ b/crates/dispatcher/discovery/src/list_watch.rs
@@ -5,7 +5,7 @@
 };
 use crate::{EndpointMapper, Findings, ListCheck, ListSource};
 use dispatch_api::{DiscoveryFailure, Micros};
-use dispatcher_settings::list::List;
+use dispatcher_settings::list::TargetList;
 use dispatcher_state::{Anomaly, Input};
 use event_loop::{LogRateLimiter, LoopHandle};
 use std::collections::BTreeMap;
@@ -141,7 +141,7 @@
         stage == WatchStage::Continued && self.now() - called_at < wait / 2
     }
 
-    fn list_received(&mut self, list: List, addr: SocketAddr) {
+    fn list_received(&mut self, list: TargetList, addr: SocketAddr) {
         let (version, full, entries) = (list.version, list.full, list.servers.len());
         debug!(version, full, entries, "endpoint list received");
         if self.full_list_wanted {
--- a/crates/dispatcher/discovery/tests/list_check.rs
+++ b/crates/dispatcher/discovery/tests/list_check.rs
@@ -3,7 +3,7 @@
 #![expect(clippy::unwrap_used, reason = "a test ends at the first surprise")]
 
 use discovery::{EndpointMapper, Findings, ListCheck};
-use dispatcher_settings::list::{Entry, List, State};
+use dispatcher_settings::list::{ListedTarget, TargetList, TargetState};
 use dispatcher_state::Anomaly;
 use proptest::prelude::*;
 
@@ -17,7 +17,7 @@
     }
 }
 
-fn list(version: u64, full: bool, lines: &[(&str, u16, &str, &str, f64)]) -> List {
+fn list(version: u64, full: bool, lines: &[(&str, u16, &str, &str, f64)]) -> TargetList {
     let line = |(id, port, zone, state, weight): &(&str, u16, &str, &str, f64)| {
         format!(
             r#"{{"id":"{id}","addr":"127.0.0.1:{port}","zone":"{zone}","kind":"k","state":"{state}","weight":{weight}}}"#
@@ -81,17 +81,17 @@
     #[test]
     fn any_list_is_checked_without_a_panic(ids in prop::collection::vec((0u8..4, 0u16..3, any::<f64>(), 0u8..3), 0..40), full: bool) {
         let mut lists = ListCheck::default();
-        let servers = ids.into_iter().map(|(id, port, weight, state)| Entry {
+        let servers = ids.into_iter().map(|(id, port, weight, state)| ListedTarget {
             id: id.to_string(),
             addr: ([127, 0, 0, 1], port).into(),
             zone: "a".into(),
             kind: String::new(),
             cell: 0,
-            state: [State::Ready, State::Draining, State::Gone][usize::from(state)],
+            state: [TargetState::Ready, TargetState::Draining, TargetState::Gone][usize::from(state)],
             started_ms: weight,
             weight: Some(weight),
         });
-        let list = List { version: 1, full, servers: servers.collect() };
+        let list = TargetList { version: 1, full, servers: servers.collect() };
         lists.check(&list, &mapper());
         prop_assert!(!lists.check(&list, &mapper()).contains_key(&Anomaly::OlderList));
     }
--- a/crates/dispatcher/discovery/tests/list_record.rs
+++ b/crates/dispatcher/discovery/tests/list_record.rs
@@ -1,7 +1,7 @@
 //! The list that is recorded for a successor process.
 
 use discovery::ListRecord;
-use dispatcher_settings::list::{List, State};
+use dispatcher_settings::list::{TargetList, TargetState};
 
 #[test]
 fn a_target_that_was_ever_listed_stays_recorded_as_gone() {
@@ -14,7 +14,7 @@
             r#"{{"version":{version},"full":{full},"servers":[{}]}}"#,
             servers.join(",")
         );
-        serde_json::from_str::<List>(&text).unwrap()
+        serde_json::from_str::<TargetList>(&text).unwrap()
     };
     let mut record = ListRecord::default();
     let (first, moved) = (
@@ -36,7 +36,11 @@
         .into_iter()
         .map(|e| (e.id, e.state))
         .collect();
-    let expected = [("a", State::Gone), ("b", State::Ready), ("c", State::Gone)];
+    let expected = [
+        ("a", TargetState::Gone),
+        ("b", TargetState::Ready),
+        ("c", TargetState::Gone),
+    ];
     assert_eq!(
         (record.list().version, states),
         (3, expected.map(|(n, s)| (n.to_owned(), s)).to_vec())
--- a/crates/dispatcher/dispatcher-settings/src/list.rs
+++ b/crates/dispatcher/dispatcher-settings/src/list.rs
@@ -5,18 +5,18 @@
 
 /// The list as discovery writes it, and as the configuration holds it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct List {
+pub struct TargetList {
     /// Its version.
     pub version: u64,
     /// Whether it is the whole list.
     pub full: bool,
     /// Its entries.
-    pub servers: Vec<Entry>,
+    pub servers: Vec<ListedTarget>,
 }
 
 /// One target of the list.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct ListedTarget {
     /// Its name, the same at every dispatcher.
     pub id: String,
     /// Where it listens.
@@ -31,7 +31,7 @@
     #[serde(default)]
     pub cell: u32,
     /// Whether it takes new work.
-    pub state: State,
+    pub state: TargetState,
     /// When it last started, in Unix time, milliseconds; 0 for long ago.
     #[serde(default)]
     pub started_ms: f64,
@@ -43,7 +43,7 @@
 /// Whether a listed target takes new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum State {
+pub enum TargetState {
     /// It does.
     Ready,
     /// It finishes what it has.
--- a/crates/dispatcher/dispatcher-settings/src/operator.rs
+++ b/crates/dispatcher/dispatcher-settings/src/operator.rs
@@ -19,17 +19,17 @@
 #[serde(deny_unknown_fields, default)]
 pub struct OperatorConfig {
     /// The log.
-    pub log: Log,
+    pub log: LogSettings,
     /// The listener for operators; `None`: there is none.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub admin: Option<Admin>,
+    pub admin: Option<AdminSettings>,
     /// The failure detection of other dispatchers; `None`: they are not watched.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub membership: Option<Membership>,
+    pub membership: Option<MembershipSettings>,
     /// What passes from one process of this dispatcher to the next; none, and only an inherited
     /// socket has it passed.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub handover: Option<Handover>,
+    pub handover: Option<HotRestart>,
     /// The levels of degradation; `None`: there are none.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub levels: Option<Levels>,
@@ -39,7 +39,7 @@
 /// alike at all of them.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Membership {
+pub struct MembershipSettings {
     /// The protocol period: one of them is pinged in each, 50 to 60000 ms.
     #[serde(default = "period_ms")]
     pub period_ms: u64,
@@ -52,7 +52,7 @@
 /// What a process of this dispatcher hands to the next one. Applied at the start only.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Handover {
+pub struct HotRestart {
     /// Where it is kept: an absolute path, in which a directory for this dispatcher is made.
     pub folder: PathBuf,
 }
@@ -60,9 +60,9 @@
 /// What is logged.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Log {
+pub struct LogSettings {
     /// One line of text or one JSON object for each event. Applied at the start only.
-    pub format: Format,
+    pub format: LogFormat,
     /// What is logged: `error`, `warn`, `info`, `debug` or `trace`, or by part, as in
     /// `info,http1=debug`.
     pub level: String,
@@ -71,17 +71,17 @@
 /// How a line of the log is written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Format {
+pub enum LogFormat {
     /// Text, for people.
     Text,
     /// JSON, for machines.
     Json,
 }
 
-impl Default for Log {
+impl Default for LogSettings {
     fn default() -> Self {
-        Log {
-            format: Format::Text,
+        LogSettings {
+            format: LogFormat::Text,
             level: "info".into(),
         }
     }
@@ -90,7 +90,7 @@
 /// The listener for operators. Applied at the start only.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Admin {
+pub struct AdminSettings {
     /// Where it listens. It authenticates nobody, so no client must reach it.
     pub listen: SocketAddr,
     /// Connections that may be open together, 1 to 256.
--- a/crates/dispatcher/dispatcher-settings/src/platform.rs
+++ b/crates/dispatcher/dispatcher-settings/src/platform.rs
@@ -5,7 +5,7 @@
 mod limits;
 mod summary;
 
-use crate::list::List;
+use crate::list::TargetList;
 use crate::report::ReportNames;
 use crate::settings_object::{decision_settings, micros, SettingsObject};
 use dispatch_api::{Micros, Settings};
@@ -61,7 +61,7 @@
     /// Where the other dispatchers are, if they may be told anything.
     pub peers: Option<PeerAddrs>,
     /// The list as this dispatcher had it last.
-    pub known: Option<List>,
+    pub known: Option<TargetList>,
     /// For the decisions.
     pub settings: Settings,
     /// Names of the classes.
--- a/crates/dispatcher/dispatcher-settings/src/platform/file.rs
+++ b/crates/dispatcher/dispatcher-settings/src/platform/file.rs
@@ -1,6 +1,6 @@
 //! The platform's file as it is written. Keys are those of the deploy page.
 
-use crate::list::List;
+use crate::list::TargetList;
 use crate::settings_object::SettingsObject;
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
     #[serde(default)]
     pub peers: Vec<SocketAddr>,
     pub peers_all: Option<SocketAddr>,
-    pub known: Option<List>,
+    pub known: Option<TargetList>,
     pub settings: SettingsObject,
 }
 
--- a/crates/dispatcher/dispatcher-settings/tests/operator.rs
+++ b/crates/dispatcher/dispatcher-settings/tests/operator.rs
@@ -1,7 +1,7 @@
 //! The operators' file: what is in force without a word, and messages that name line, key and what
 //! would be right.
 
-use dispatcher_settings::operator::{Format, OperatorConfig};
+use dispatcher_settings::operator::{LogFormat, OperatorConfig};
 use rstest::rstest;
 use std::path::Path;
 
@@ -46,7 +46,7 @@
     let (empty, source) = OperatorConfig::parse(Path::new("f.hcl"), "").unwrap();
     assert_eq!(
         (empty.log.format, empty.admin.clone()),
-        (Format::Text, None)
+        (LogFormat::Text, None)
     );
     assert_eq!(empty.degradation(&classes(), &source).unwrap(), None);
     for text in [GOOD, include_str!("../../../../deploy/fordrelay.hcl")] {
--- a/crates/dispatcher/dispatcher-settings/tests/platform.rs
+++ b/crates/dispatcher/dispatcher-settings/tests/platform.rs
@@ -333,12 +333,12 @@
 
 #[test]
 fn a_list_keeps_the_keys_of_discovery_both_ways() {
-    use dispatcher_settings::list::List;
+    use dispatcher_settings::list::TargetList;
     let full = r#"{"version":4,"full":true,"servers":[{"id":"s","addr":"127.0.0.1:81","zone":"a","kind":"k","cell":3,"state":"ready","started_ms":1.5,"weight":2.5},{"id":"t","addr":"127.0.0.1:82","zone":"","kind":"","cell":0,"state":"draining","started_ms":0.0,"weight":null},{"id":"u","addr":"127.0.0.1:83","zone":"","kind":"","cell":0,"state":"gone","started_ms":0.0,"weight":null}]}"#;
-    let list: List = serde_json::from_str(full).unwrap();
+    let list: TargetList = serde_json::from_str(full).unwrap();
     assert_eq!(serde_json::to_string(&list).unwrap(), full);
     let short = r#"{"version":4,"full":false,"servers":[{"id":"t","addr":"127.0.0.1:82","state":"draining","mood":1}]}"#;
-    let short: List = serde_json::from_str(short).unwrap();
+    let short: TargetList = serde_json::from_str(short).unwrap();
     assert_eq!(
         (short.servers[0].clone(), short.full),
         (list.servers[1].clone(), false)
--- a/crates/dispatcher/fordrelay/src/log.rs
+++ b/crates/dispatcher/fordrelay/src/log.rs
@@ -1,6 +1,6 @@
 //! What is logged, how, and the change of it while the program runs.
 
-use dispatcher_settings::operator::{Format, Log};
+use dispatcher_settings::operator::{LogFormat, LogSettings};
 use tracing::warn;
 use tracing_subscriber::filter::ParseError;
 use tracing_subscriber::layer::SubscriberExt;
@@ -17,7 +17,7 @@
 
 impl Logs {
     /// What is to be logged.
-    pub fn filter(log: &Log) -> Result<EnvFilter, ParseError> {
+    pub fn filter(log: &LogSettings) -> Result<EnvFilter, ParseError> {
         match std::env::var(VARIABLE) {
             Ok(text) if !text.is_empty() => EnvFilter::try_new(text),
             _ => EnvFilter::try_new(&log.level),
@@ -25,14 +25,14 @@
     }
 
     /// Sets up the log, for the whole program. A filter that can't be read logs what is usual.
-    pub fn start(log: &Log) -> Self {
+    pub fn start(log: &LogSettings) -> Self {
         let filter = Self::filter(log).unwrap_or_else(|_| EnvFilter::new("info"));
         let (filter, handle) = reload::Layer::new(filter);
         let lines = fmt::layer().with_writer(std::io::stderr);
         let lines = match log.format {
-            Format::Text => lines.with_ansi(false).boxed(),
+            LogFormat::Text => lines.with_ansi(false).boxed(),
             // Fields stand beside the line's own keys, and `target` is an engine box here, not a part of the program.
-            Format::Json => {
+            LogFormat::Json => {
                 let lines = lines.json().flatten_event(true).with_target(false);
                 lines.with_current_span(false).with_span_list(false).boxed()
             }
@@ -46,7 +46,7 @@
     }
 
     /// Logs what this says from now on; how it is written stays as it was.
-    pub fn change(&self, log: &Log) {
+    pub fn change(&self, log: &LogSettings) {
         let changed = Self::filter(log).map(|filter| self.filter.reload(filter));
         match changed {
             Ok(Ok(())) => {}
--- a/crates/dispatcher/fordrelay/src/succession.rs
+++ b/crates/dispatcher/fordrelay/src/succession.rs
@@ -3,7 +3,7 @@
 use crate::folder::{path, Folder};
 use discovery::ListRecord;
 use dispatch_api::PolicySnapshot;
-use dispatcher_settings::list::{List, State as Listed};
+use dispatcher_settings::list::{TargetList, TargetState as Listed};
 use dispatcher_settings::platform::Config;
 use dispatcher_state::{Input, State, TargetOverride};
 use event_loop::{Clock, FlowLimits, LoopHandle, SaveWhen};
@@ -40,7 +40,7 @@
     maintenance: Option<maintenance::SavedState>,
 }
 
-type Told = HandoverFile<List, Knowledge>;
+type Told = HandoverFile<TargetList, Knowledge>;
 
 /// This process among those of its dispatcher.
 pub struct Succession {
@@ -147,7 +147,7 @@
 
     /// The list to begin with: the one that another process held, if it is young and of this discovery; the
     /// configuration's else, and then what the other ever named is known as gone.
-    pub fn known(&self, configured: Option<List>) -> Option<List> {
+    pub fn known(&self, configured: Option<TargetList>) -> Option<TargetList> {
         let found = self.found.borrow().0.clone();
         let Some(HandoverFile {
             written_at,
@@ -173,7 +173,7 @@
         list.servers
             .retain(|old| configured.servers.iter().all(|entry| entry.id != old.id));
         list.servers.extend(configured.servers);
-        Some(List {
+        Some(TargetList {
             servers: list.servers,
             ..configured
         })
--- a/crates/dispatcher/fordrelay/tests/outer_forms.rs
+++ b/crates/dispatcher/fordrelay/tests/outer_forms.rs
@@ -7,7 +7,7 @@
 mod common;
 
 use common::*;
-use dispatcher_settings::list::List;
+use dispatcher_settings::list::TargetList;
 use hot_restart::HandoverFile;
 use serde::{Deserialize, Serialize};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -25,7 +25,7 @@
     maintenance: Option<maintenance::SavedState>,
 }
 
-type Left = HandoverFile<List, Knowledge>;
+type Left = HandoverFile<TargetList, Knowledge>;
 
 /// A dispatcher with levels, members, maintenance and a folder, in a folder of its own.
 struct Dispatcher {
