--- a/crates/testbed/testbed/src/main.rs
+++ b/crates/testbed/testbed/src/main.rs
@@ -9,10 +9,10 @@
 use std::process::ExitCode;
 use std::sync::Arc;
 use testbed::calls;
+use testbed::load_sweep::Swings;
 use testbed::members;
 use testbed::rig;
-use testbed::size::{self, Story};
-use testbed::swings::Swings;
+use testbed::scale_model::{self, Story};
 use testbed::up::{self, Terms};
 use testbed::upgrade;
 
@@ -638,7 +638,7 @@
                         (*story, (*dispatchers).max(1), (*boxes).max(4));
                     let (load, seconds) = (args.load, args.seconds);
                     rows.push(
-                        size::Terms {
+                        scale_model::Terms {
                             story,
                             dispatchers,
                             boxes,
@@ -652,7 +652,7 @@
             }
         }
     }
-    show(&size::Summary(rows), args.json.as_deref())
+    show(&scale_model::Summary(rows), args.json.as_deref())
 }
 
 fn run_fleet(args: &FleetArgs) -> Result<(), Failure> {
--- a/crates/testbed/testbed/tests/levels.rs
+++ b/crates/testbed/testbed/tests/levels.rs
@@ -7,9 +7,9 @@
 use rstest::rstest;
 use std::path::Path;
 use std::sync::Arc;
+use testbed::load_sweep::Swings;
 use testbed::model::{run, LevelChange, Outcomes};
 use testbed::scenario::{Fault, Scenario, SECOND};
-use testbed::swings::Swings;
 
 /// The levels that the repository ships.
 fn shipped() -> Arc<DegradationConfig> {
--- a/crates/testbed/testbed/tests/vast.rs
+++ b/crates/testbed/testbed/tests/vast.rs
@@ -1,7 +1,7 @@
 //! Whole failures of a fleet of a hundred dispatchers and sixty boxes, in virtual time, held against fleet-wide bounds.
 
 use rstest::rstest;
-use testbed::size::{Row, Story, Terms};
+use testbed::scale_model::{Row, Story, Terms};
 
 fn play(story: Story, seconds: u64) -> Row {
     let terms = Terms {
