--- a/crates/dispatcher/admin/src/client.rs
+++ b/crates/dispatcher/admin/src/client.rs
@@ -1,4 +1,4 @@
-//! The client of the operators' listener, for the command line.
+//! A client of the operators' listener, for the command line.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -10,35 +10,36 @@
 use tokio::net::TcpStream;
 
 /// How long an answer may take.
-const WAIT: Duration = Duration::from_secs(5);
-/// Largest answer that is read.
-const LARGEST: usize = 4 * 1024 * 1024;
+const TIMEOUT: Duration = Duration::from_secs(5);
+/// Largest answer that is read, in bytes.
+const MAX_ANSWER_BYTES: usize = 4 * 1024 * 1024;
 
 /// Why there is no answer.
 #[derive(Debug, thiserror::Error)]
 pub enum ClientError {
-    /// Nobody is there.
-    #[error("can't reach {addr}: {error}; is admin.listen set in its operators' file?")]
+    /// The connection couldn't be opened: nothing of the call was sent.
+    #[error("can't reach {addr}: {source}; is admin.listen set in its operators' file?")]
     Connect {
-        /// Where.
+        /// The address.
         addr: SocketAddr,
         /// What the system says.
-        error: std::io::Error,
+        source: std::io::Error,
     },
-    /// No answer, or none that can be read.
+    /// No answer, or none that can be read; from which address, and why.
     #[error("{0} gave no answer: {1}")]
-    Broken(SocketAddr, String),
-    /// It says no, with this status.
+    NoAnswer(SocketAddr, String),
+    /// An error status, with the text of the answer.
     #[error("{1}")]
-    Refused(StatusCode, String),
+    Status(StatusCode, String),
 }
 
 impl ClientError {
-    /// A no for now (503): the loop was behind, or the word is not yet kept for a successor; the call may be made again.
-    pub fn for_now(&self) -> bool {
+    /// Whether the call may be retried (503): the event loop was behind, or the change is not yet
+    /// persisted for a successor.
+    pub fn is_temporary(&self) -> bool {
         matches!(
             self,
-            ClientError::Refused(StatusCode::SERVICE_UNAVAILABLE, _)
+            ClientError::Status(StatusCode::SERVICE_UNAVAILABLE, _)
         )
     }
 }
@@ -50,63 +51,67 @@
     pub status: StatusCode,
     /// Its headers.
     pub headers: HeaderMap,
-    /// Its body, whole.
+    /// Its complete body.
     pub body: Bytes,
 }
 
-/// How much time and memory a call may take.
+/// The limits of a call.
 #[derive(Debug, Clone, Copy)]
-pub struct Patience {
-    /// For the whole of it, the connection included.
-    pub wait: Duration,
+pub struct CallLimits {
+    /// For all of it, the connection included.
+    pub timeout: Duration,
     /// Bytes of the answer.
-    pub largest: usize,
+    pub max_answer_bytes: usize,
 }
 
-/// Asks, and returns the text of the answer.
+/// Makes a call without a body, and gives the text of the answer.
 ///
 /// # Errors
-/// Why there is none.
-pub async fn ask(addr: SocketAddr, method: Method, path: &str) -> Result<String, ClientError> {
-    let broken = |e: &dyn std::fmt::Display| ClientError::Broken(addr, e.to_string());
+/// There is no answer, or its status isn't 200.
+pub async fn request_text(
+    addr: SocketAddr,
+    method: Method,
+    path: &str,
+) -> Result<String, ClientError> {
+    let broken = |e: &dyn std::fmt::Display| ClientError::NoAnswer(addr, e.to_string());
     let request = Request::builder()
         .method(method)
         .uri(path)
         .header("host", addr.to_string());
     let request = request.body(Full::default()).map_err(|e| broken(&e))?;
-    let Answer { status, body, .. } = call(
+    let Answer { status, body, .. } = send(
         addr,
         request,
-        Patience {
-            wait: WAIT,
-            largest: LARGEST,
+        CallLimits {
+            timeout: TIMEOUT,
+            max_answer_bytes: MAX_ANSWER_BYTES,
         },
     )
     .await?;
     let text = String::from_utf8_lossy(&body).into_owned();
     match status {
         StatusCode::OK => Ok(text),
-        status => Err(ClientError::Refused(status, text.trim_end().to_owned())),
+        status => Err(ClientError::Status(status, text.trim_end().to_owned())),
     }
 }
 
-/// Makes a call over a connection of its own, and returns the answer, whatever its status.
+/// Makes a call over a connection of its own, and gives the answer, whatever its status.
 ///
 /// # Errors
-/// Why there is none: [`ClientError::Connect`] if nothing of the call was sent.
-pub async fn call(
+/// There is no answer: [`ClientError::Connect`] if nothing of the call was sent.
+pub async fn send(
     addr: SocketAddr,
     request: Request<Full<Bytes>>,
-    patience: Patience,
+    limits: CallLimits,
 ) -> Result<Answer, ClientError> {
-    let broken = |e: &dyn std::fmt::Display| ClientError::Broken(addr, e.to_string());
-    let deadline = tokio::time::Instant::now() + patience.wait;
+    let broken = |e: &dyn std::fmt::Display| ClientError::NoAnswer(addr, e.to_string());
+    let deadline = tokio::time::Instant::now() + limits.timeout;
     let stream = match tokio::time::timeout_at(deadline, TcpStream::connect(addr)).await {
-        Ok(stream) => stream.map_err(|error| ClientError::Connect { addr, error })?,
+        Ok(stream) => stream.map_err(|source| ClientError::Connect { addr, source })?,
         Err(e) => {
             return Err(ClientError::Connect {
                 addr,
-                error: e.into(),
+                source: e.into(),
             })
         }
     };
@@ -117,7 +122,7 @@
         let answer = async {
             let response = sender.send_request(request).await.map_err(|e| broken(&e))?;
             let (head, body) = response.into_parts();
-            let body = Limited::new(body, patience.largest)
+            let body = Limited::new(body, limits.max_answer_bytes)
                 .collect()
                 .await
                 .map_err(|e| broken(&e))?;
--- a/crates/dispatcher/admin/src/lib.rs
+++ b/crates/dispatcher/admin/src/lib.rs
@@ -1,15 +1,17 @@
-//! The second address: the platform's calls (`/-/...`) and the operators' own, from one server with one table.
+//! The admin server: the platform's calls (`/-/...`) and the operators' own, from one server with
+//! one table of calls.
 //!
-//! It listens apart from the clients', asks nobody who they are, and is off unless an address is given.
+//! It listens apart from the clients' port, doesn't authenticate callers, and is off unless an
+//! address is given. The client for the command line is here too.
 
-#![expect(clippy::too_many_lines, reason = "not revised yet")]
-
-mod calls;
 mod client;
-mod figures;
+mod handlers;
+mod metrics;
+mod query;
+pub mod route;
 mod server;
 pub mod view;
 
-pub use client::{ask, call, Answer, ClientError, Patience};
-pub use figures::recorder;
-pub use server::{start, Bounds, Door};
+pub use client::{request_text, send, Answer, CallLimits, ClientError};
+pub use metrics::install_recorder;
+pub use server::{start, AdminListener, ConnectionLimits};
--- a/crates/dispatcher/admin/src/figures.rs
+++ b/crates/dispatcher/admin/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What is counted, as Prometheus text.
+//! The metrics, as Prometheus text.
 
 use crate::view::Levels;
 use dispatcher_state::{Anomaly, StateSnapshot};
@@ -6,12 +6,19 @@
 use metrics::{counter, describe_counter, describe_gauge, gauge};
 use metrics_exporter_prometheus::{BuildError, PrometheusBuilder, PrometheusHandle};
 
-/// Sets up what counts, for the whole program. To be called before anything counts.
+/// Installs the recorder of metrics for the whole program. To be called before anything is counted.
 ///
 /// # Errors
-/// Another one was set up before.
-pub fn recorder() -> Result<PrometheusHandle, BuildError> {
+/// Another one was installed before.
+pub fn install_recorder() -> Result<PrometheusHandle, BuildError> {
     let handle = PrometheusBuilder::new().install_recorder()?;
+    describe_platform_metrics();
+    describe_own_metrics();
+    Ok(handle)
+}
+
+/// The metrics that the platform names.
+fn describe_platform_metrics() {
     describe_counter!(
         "svc_responses",
         "Jobs that have ended, by class and by what they were answered as"
@@ -26,6 +33,10 @@
         "svc_pool_ejected",
         "Listed targets that get nothing for now, by hand or by choice"
     );
+}
+
+/// The metrics of this program.
+fn describe_own_metrics() {
     describe_counter!(
         "fordrelay_clients_gone_total",
         "Jobs whose clients left before an answer, by class"
@@ -73,48 +84,62 @@
         "fordrelay_targets",
         "Ready targets, by kind, and whether they answer"
     );
-    Ok(handle)
 }
 
-/// Lays out what there is to see, with classes of these names. Their number bounds the lines.
-pub(crate) fn export(seen: &StateSnapshot, classes: &[String]) {
-    for (name, class) in classes.iter().zip(&seen.counts.classes) {
-        for (result, count) in [
+/// Records the snapshot in the metrics, with classes of these names. Their number bounds the lines.
+pub(crate) fn export(snapshot: &StateSnapshot, classes: &[String]) {
+    export_classes(snapshot, classes);
+    for anomaly in Anomaly::ALL {
+        counter!("fordrelay_odd_total", "what" => anomaly.as_str())
+            .absolute(snapshot.counts.anomalies(anomaly));
+    }
+    export_members(snapshot);
+    gauge!("svc_active").set(snapshot.counts.active() as f64);
+    gauge!("svc_pool_size").set(snapshot.listed as f64);
+    gauge!("svc_pool_ejected").set(snapshot.ejected as f64);
+    export_policy(snapshot, classes);
+    export_levels(snapshot, classes);
+}
+
+fn export_classes(snapshot: &StateSnapshot, classes: &[String]) {
+    for (name, class) in classes.iter().zip(&snapshot.counts.classes) {
+        let results = [
             ("ok", class.ok),
             ("shed", class.shed),
             ("errors", class.errors),
-        ] {
+        ];
+        for (result, count) in results {
             counter!("svc_responses", "kind" => name.clone(), "result" => result).absolute(count);
         }
         counter!("svc_tries", "kind" => name.clone()).absolute(class.tries);
         counter!("fordrelay_clients_gone_total", "class" => name.clone()).absolute(class.gone);
     }
-    for odd in Anomaly::ALL {
-        counter!("fordrelay_odd_total", "what" => odd.as_str())
-            .absolute(seen.counts.anomalies(odd));
-    }
-    if let Some(members) = &seen.members {
-        for state in [
-            MemberState::Alive,
-            MemberState::Suspect,
-            MemberState::Dead,
-            MemberState::Left,
-        ] {
-            let count = members
-                .members
-                .iter()
-                .filter(|m| m.update.state == state)
-                .count();
-            gauge!("fordrelay_members", "state" => state.as_str()).set(count as f64);
-        }
-        gauge!("fordrelay_members_deaf_to_this")
-            .set(members.members.iter().filter(|m| !m.reachable).count() as f64);
-        gauge!("fordrelay_view").set(f64::from(members.view));
+}
+
+fn export_members(snapshot: &StateSnapshot) {
+    let Some(members) = &snapshot.members else {
+        return;
+    };
+    let states = [
+        MemberState::Alive,
+        MemberState::Suspect,
+        MemberState::Dead,
+        MemberState::Left,
+    ];
+    for state in states {
+        let in_state = members
+            .members
+            .iter()
+            .filter(|member| member.update.state == state);
+        gauge!("fordrelay_members", "state" => state.as_str()).set(in_state.count() as f64);
     }
-    gauge!("svc_active").set(seen.counts.active() as f64);
-    gauge!("svc_pool_size").set(seen.listed as f64);
-    gauge!("svc_pool_ejected").set(seen.ejected as f64);
-    let figures = &seen.status.figures;
+    let unreachable = members.members.iter().filter(|member| !member.reachable);
+    gauge!("fordrelay_members_deaf_to_this").set(unreachable.count() as f64);
+    gauge!("fordrelay_view").set(f64::from(members.view));
+}
+
+fn export_policy(snapshot: &StateSnapshot, classes: &[String]) {
+    let figures = &snapshot.status.figures;
     counter!("fordrelay_attempts_refused_total").absolute(figures.refused);
     gauge!("fordrelay_own_slots").set(figures.own);
     for (name, class) in classes.iter().zip(&figures.classes) {
@@ -132,7 +157,10 @@
             gauge!("fordrelay_targets", &labels).set(count);
         }
     }
-    let Some(levels) = Levels::new(&seen.status, classes) else {
+}
+
+fn export_levels(snapshot: &StateSnapshot, classes: &[String]) {
+    let Some(levels) = Levels::new(&snapshot.status, classes) else {
         return;
     };
     gauge!("fordrelay_level").set(levels.rank as f64);
--- a/crates/dispatcher/fordrelay/src/commands.rs
+++ b/crates/dispatcher/fordrelay/src/commands.rs
@@ -125,7 +125,7 @@
         }) => {
             let path = format!("/levels/force?level={wanted}&for_ms={}", span.as_millis());
             // What is no part of a query is no name either.
-            let text = runtime.block_on(admin::ask(admin, Method::POST, &path))?;
+            let text = runtime.block_on(admin::request_text(admin, Method::POST, &path))?;
             print!("{}", serde_json::from_str::<Levels>(&text)?);
         }
     }
@@ -164,7 +164,7 @@
             true,
         ),
     };
-    let text = runtime.block_on(admin::ask(admin, method, &path))?;
+    let text = runtime.block_on(admin::request_text(admin, method, &path))?;
     match json {
         true => print!("{text}"),
         false => print!(
@@ -178,7 +178,7 @@
 async fn show(admin: SocketAddr, watch: bool, json: bool) -> Outcome {
     let mut last: Option<Levels> = None;
     loop {
-        let text = admin::ask(admin, Method::GET, "/levels").await?;
+        let text = admin::request_text(admin, Method::GET, "/levels").await?;
         let levels: Levels = serde_json::from_str(&text)?;
         match &last {
             None if json => print!("{text}"),
--- a/crates/dispatcher/fordrelay/src/lifecycle.rs
+++ b/crates/dispatcher/fordrelay/src/lifecycle.rs
@@ -32,9 +32,9 @@
 /// How long after SIGTERM what was taken since is answered at the latest: 3.7 s after it the program may be killed.
 const ANSWERED: Duration = Duration::from_millis(3_300);
 /// What the platform's calls keep to: a few callers say nothing for 4 s.
-const PLATFORM_CALLS: admin::Bounds = admin::Bounds {
-    connections: 12,
-    request_wait: Duration::from_secs(10),
+const PLATFORM_CALLS: admin::ConnectionLimits = admin::ConnectionLimits {
+    max_connections: 12,
+    request_timeout: Duration::from_secs(10),
 };
 /// ... and this much later what was taken before it, if its time is not up by then.
 const LAST_ANSWERS: Duration = Duration::from_millis(150);
@@ -240,10 +240,14 @@
 }
 
 /// Where calls come; `taken` if another process of this dispatcher may have the address until it ends.
-fn door(addr: SocketAddr, key: &'static str, taken: bool) -> Result<admin::Door, StartError> {
+fn door(
+    addr: SocketAddr,
+    key: &'static str,
+    taken: bool,
+) -> Result<admin::AdminListener, StartError> {
     match std::net::TcpListener::bind(addr) {
         Err(e) if taken && e.kind() == std::io::ErrorKind::AddrInUse => {
-            Ok(admin::Door::Taken(addr))
+            Ok(admin::AdminListener::OnceFree(addr))
         }
         Err(error) => Err(StartError::Bind { key, addr, error }),
         Ok(socket) => {
@@ -253,7 +257,7 @@
                 "operators"
             };
             info!("{calls} are answered on {}", socket.local_addr()?);
-            Ok(admin::Door::Open(socket))
+            Ok(admin::AdminListener::Bound(socket))
         }
     }
 }
@@ -288,7 +292,7 @@
     } = files.load()?;
     let logs = Logs::start(&operator.log);
     let watched = operator.admin.is_some() || config.admin.is_some();
-    let metrics = watched.then(admin::recorder).transpose();
+    let metrics = watched.then(admin::install_recorder).transpose();
     let metrics = metrics.map_err(|e| StartError::Metrics(e.to_string()))?;
     let limits = usage::Limits {
         memory: config.memory_bytes,
@@ -428,9 +432,9 @@
             let door = door(addr, "admin.listen", others > 0)?;
             doors.push((
                 door,
-                admin::Bounds {
-                    connections: admin.connections,
-                    request_wait,
+                admin::ConnectionLimits {
+                    max_connections: admin.connections,
+                    request_timeout: request_wait,
                 },
             ));
         }
--- a/crates/dispatcher/fordrelay/src/tier/client.rs
+++ b/crates/dispatcher/fordrelay/src/tier/client.rs
@@ -1,7 +1,7 @@
 //! Calls to any of several addresses, with retries and redirects as `docs/serving-tier.md` says.
 
 use super::error::TierError;
-use admin::{Answer, ClientError, Patience};
+use admin::{Answer, CallLimits, ClientError};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::header::LOCATION;
@@ -138,12 +138,12 @@
             request = request.header(*name, value);
         }
         let request = request.body(Full::new(self.body.clone()));
-        let request = request.map_err(|e| ClientError::Broken(addr, e.to_string()))?;
-        let patience = Patience {
-            wait: self.attempt_timeout,
-            largest: MAX_ANSWER_BYTES,
+        let request = request.map_err(|e| ClientError::NoAnswer(addr, e.to_string()))?;
+        let limits = CallLimits {
+            timeout: self.attempt_timeout,
+            max_answer_bytes: MAX_ANSWER_BYTES,
         };
-        admin::call(addr, request, patience).await
+        admin::send(addr, request, limits).await
     }
 
     /// Sends to the addresses in turn, until one succeeds, a refusal is final, or the time is over.
@@ -229,7 +229,7 @@
 /// Why there is no answer, without the hint at the operators' file, which the tier doesn't have.
 pub fn reason(error: &ClientError) -> String {
     match error {
-        ClientError::Connect { addr, error } => format!("can't reach {addr}: {error}"),
+        ClientError::Connect { addr, source } => format!("can't reach {addr}: {source}"),
         error => error.to_string(),
     }
 }
--- a/crates/testbed/testbed/src/calls.rs
+++ b/crates/testbed/testbed/src/calls.rs
@@ -148,7 +148,8 @@
                 let method = method.clone();
                 open.push(spawn_local(async move {
                     let began = Instant::now();
-                    let answer = tokio::time::timeout(LATE, admin::ask(admin, method, path)).await;
+                    let answer =
+                        tokio::time::timeout(LATE, admin::request_text(admin, method, path)).await;
                     (began.elapsed(), matches!(answer, Ok(Ok(_))))
                 }));
                 tokio::time::sleep(EVERY).await;
--- a/crates/testbed/testbed/src/dispatcher.rs
+++ b/crates/testbed/testbed/src/dispatcher.rs
@@ -107,7 +107,7 @@
     }
     for (number, dispatcher) in (0..).zip(&dispatchers) {
         let ready = async {
-            while admin::ask(dispatcher.listen, hyper::Method::GET, "/ready")
+            while admin::request_text(dispatcher.listen, hyper::Method::GET, "/ready")
                 .await
                 .is_err()
             {
--- a/crates/testbed/testbed/src/rig/mod.rs
+++ b/crates/testbed/testbed/src/rig/mod.rs
@@ -323,7 +323,7 @@
 /// Whether every process takes every other for alive.
 async fn agree(seats: &[Seat]) -> bool {
     for seat in seats {
-        let Ok(text) = admin::ask(seat.admin, Method::GET, "/members").await else {
+        let Ok(text) = admin::request_text(seat.admin, Method::GET, "/members").await else {
             return false;
         };
         let Ok(members) = serde_json::from_str::<Vec<Member>>(&text) else {
@@ -436,7 +436,7 @@
                 (targets.join(","), terms.out, "drain_ms=4000&out_ms=12000");
             let path = format!("/maintenance?targets={targets}&out={out}&{times}");
             let to = seats[rng.random_range(0..seats.len())].admin;
-            admin::ask(to, Method::POST, &path)
+            admin::request_text(to, Method::POST, &path)
                 .await
                 .map_err(std::io::Error::other)?;
             let admins: Vec<SocketAddr> = seats.iter().map(|s| s.admin).collect();
@@ -626,7 +626,11 @@
 }
 
 async fn plan_at(admin: SocketAddr) -> Option<Maintenance> {
-    let asked = tokio::time::timeout(ASK * 6, admin::ask(admin, Method::GET, "/maintenance")).await;
+    let asked = tokio::time::timeout(
+        ASK * 6,
+        admin::request_text(admin, Method::GET, "/maintenance"),
+    )
+    .await;
     serde_json::from_str(&asked.ok()?.ok()?).ok()
 }
 
--- a/crates/testbed/testbed/src/rig/seat.rs
+++ b/crates/testbed/testbed/src/rig/seat.rs
@@ -78,7 +78,7 @@
 
     pub(super) async fn ready(&self) -> std::io::Result<()> {
         let began = Instant::now();
-        while admin::ask(self.admin, Method::GET, "/-/ready")
+        while admin::request_text(self.admin, Method::GET, "/-/ready")
             .await
             .is_err()
         {
--- a/crates/testbed/testbed/src/sockets.rs
+++ b/crates/testbed/testbed/src/sockets.rs
@@ -111,7 +111,7 @@
     began: Micros,
 ) -> Vec<LevelChange> {
     // Without levels there is nothing to ask for.
-    let Ok(text) = admin::ask(admin, hyper::Method::GET, "/levels").await else {
+    let Ok(text) = admin::request_text(admin, hyper::Method::GET, "/levels").await else {
         return vec![];
     };
     let Ok(levels) = serde_json::from_str::<Levels>(&text) else {
--- a/crates/testbed/testbed/src/up.rs
+++ b/crates/testbed/testbed/src/up.rs
@@ -149,7 +149,7 @@
             (Some(word @ ("out" | "back")), Some(at)) => {
                 let (name, verb) = (name(at), if word == "out" { "disable" } else { "enable" });
                 let path = format!("/-/runners/{name}/{verb}");
-                match admin::ask(current.admin, hyper::Method::PUT, &path).await {
+                match admin::request_text(current.admin, hyper::Method::PUT, &path).await {
                     Ok(text) => print!("{text}"),
                     Err(e) => println!("{e}"),
                 }
--- a/crates/testbed/testbed/src/upgrade.rs
+++ b/crates/testbed/testbed/src/upgrade.rs
@@ -226,7 +226,7 @@
     /// Waits until it says that it is ready.
     pub async fn ready(&self) -> std::io::Result<Duration> {
         let began = Instant::now();
-        while admin::ask(self.admin, Method::GET, "/-/ready")
+        while admin::request_text(self.admin, Method::GET, "/-/ready")
             .await
             .is_err()
         {
@@ -333,9 +333,9 @@
         let path = format!("/-/runners/{}/{verb}", Self::name(at));
         // A no for now ("call again") comes where the loop is behind or the word is not yet kept for a successor.
         let mut calls = 0;
-        while let Err(e) = admin::ask(process, Method::PUT, &path).await {
+        while let Err(e) = admin::request_text(process, Method::PUT, &path).await {
             calls += 1;
-            if !e.for_now() || calls == CALLS {
+            if !e.is_temporary() || calls == CALLS {
                 return Err(std::io::Error::other(e));
             }
             tokio::time::sleep(ASK * 5).await;
