--- a/crates/gateway/gateway/src/client/batch_api.rs
+++ b/crates/gateway/gateway/src/client/batch_api.rs
@@ -148,7 +148,7 @@
 
 impl Call<'_> {
     /// Asks stores until one says, or the time is over. Tells beside it whether some store may have acted unheard.
-    async fn ask<A>(
+    async fn call_store<A>(
         &self,
         who: ChainEnd,
         kind: u16,
@@ -242,7 +242,7 @@
         let hold = Duration::from_millis(wait_ms.into());
         let until = self.until(u64::from(wait_ms) + READ_WITHIN.as_millis() as u64);
         let (answer, _) = self
-            .ask(ChainEnd::Tail, READ, call, until, hold, |body| {
+            .call_store(ChainEnd::Tail, READ, call, until, hold, |body| {
                 Some(match ReadResponse::decode(body).ok()? {
                     ReadResponse::Redirect { to } => StoreAnswer::Redirect(to),
                     ReadResponse::Unavailable => StoreAnswer::Indeterminate,
@@ -272,7 +272,7 @@
         .encode();
         let until = self.until(CALL_WITHIN.as_millis() as u64);
         let (answer, _) = self
-            .ask(ChainEnd::Tail, BODY, call, until, Duration::ZERO, |body| {
+            .call_store(ChainEnd::Tail, BODY, call, until, Duration::ZERO, |body| {
                 Some(match ItemBodyResponse::decode(body).ok()? {
                     ItemBodyResponse::Redirect { to } => StoreAnswer::Redirect(to),
                     ItemBodyResponse::Unavailable => StoreAnswer::Indeterminate,
@@ -302,7 +302,7 @@
         .encode();
         let until = self.until(CALL_WITHIN.as_millis() as u64);
         let (answer, _) = self
-            .ask(ChainEnd::Head, END, call, until, Duration::ZERO, |body| {
+            .call_store(ChainEnd::Head, END, call, until, Duration::ZERO, |body| {
                 Some(match EndResponse::decode(body).ok()? {
                     EndResponse::Redirect { to } => StoreAnswer::Redirect(to),
                     EndResponse::Indeterminate => StoreAnswer::Indeterminate,
@@ -416,7 +416,7 @@
     };
     let until = call_at.until(patience.max(SUBMIT_LEAST_MS));
     call_at
-        .ask(
+        .call_store(
             ChainEnd::Head,
             SUBMIT,
             call.encode(),
--- a/crates/gateway/gateway/src/control.rs
+++ b/crates/gateway/gateway/src/control.rs
@@ -100,7 +100,7 @@
         let gateway = &self.0;
         if kind != RELAY {
             increment(&gateway.counts.odd);
-            return gateway.seldom("a frame of an unknown kind", |left_out| {
+            return gateway.log_rate_limited("a frame of an unknown kind", |left_out| {
                 warn!(gateway.log, "a frame of an unknown kind"; "code" => codes::UNKNOWN_FRAME, "kind" => kind,
                     "from" => %from.addr, "left_out" => left_out);
             });
@@ -113,11 +113,11 @@
                     .state_table
                     .borrow_mut()
                     .handle_message(now, from.addr, msg);
-                settle(gateway, now);
+                apply_changes(gateway, now);
             }
             Err(e) => {
                 increment(&gateway.counts.odd);
-                gateway.seldom("a frame that can't be read", |left_out| {
+                gateway.log_rate_limited("a frame that can't be read", |left_out| {
                     warn!(gateway.log, "a frame that can't be read"; "code" => codes::UNREADABLE_FRAME, "why" => %e,
                         "from" => %from.addr, "left_out" => left_out);
                 });
@@ -135,7 +135,7 @@
 pub fn tick(gateway: &Rc<Gateway>, now: u64) {
     let control = &gateway.control;
     control.state_table.borrow_mut().tick(now);
-    settle(gateway, now);
+    apply_changes(gateway, now);
     let passed_over = control.state_table.borrow().ignored_messages();
     let more = passed_over.saturating_sub(control.passed_over.replace(passed_over));
     gateway
@@ -173,7 +173,7 @@
 }
 
 /// Sends what is to be sent, and takes in what has changed.
-fn settle(gateway: &Rc<Gateway>, now: u64) {
+fn apply_changes(gateway: &Rc<Gateway>, now: u64) {
     send(gateway);
     let control = &gateway.control;
     let changes = control.state_table.borrow_mut().take_changed_keys();
@@ -314,13 +314,13 @@
 fn runner(gateway: &Rc<Gateway>, now: u64, id: &str, key: &str) {
     let state_entry = gateway.control.state_table.borrow().get(key).cloned();
     let Some(state_entry) = state_entry else {
-        return gateway.selector.gone(id);
+        return gateway.selector.remove_runner(id);
     };
     if state_entry.value.is_none() {
         if may_write(&gateway.control, now) {
             info!(gateway.log, "runner gone"; "runner" => id);
         }
-        return gateway.selector.gone(id);
+        return gateway.selector.remove_runner(id);
     }
     match Runner::read(&state_entry) {
         Ok(runner) => {
@@ -329,14 +329,14 @@
                 RunnerState::Draining => "draining",
                 RunnerState::Gone => "gone",
             };
-            if gateway.selector.told(now, &runner) && may_write(&gateway.control, now) {
+            if gateway.selector.update_runner(now, &runner) && may_write(&gateway.control, now) {
                 info!(gateway.log, "runner {}", state; "runner" => id, "svc" => runner.service.as_str(),
                     "addr" => %runner.addr, "slots" => runner.slots);
             }
         }
         Err(e) => {
             increment(&gateway.counts.odd);
-            gateway.seldom("a runner that can't be read", |left_out| {
+            gateway.log_rate_limited("a runner that can't be read", |left_out| {
                 warn!(gateway.log, "a runner that can't be read"; "code" => codes::UNREADABLE_RUNNER, "runner" => id,
                     "why" => %e, "left_out" => left_out);
             });
--- a/crates/gateway/gateway/src/gateway.rs
+++ b/crates/gateway/gateway/src/gateway.rs
@@ -165,7 +165,7 @@
     }
 
     /// A line about something that may repeat.
-    pub fn seldom(&self, what: &'static str, write: impl FnOnce(u64)) {
+    pub fn log_rate_limited(&self, what: &'static str, write: impl FnOnce(u64)) {
         if let Some(left_out) = self.rarely.borrow_mut().check(self.clock.now(), what) {
             write(left_out);
         }
@@ -178,7 +178,7 @@
         key: crate::selection::selector::Key,
         head: &Parts,
     ) {
-        self.seldom(what, |left_out| {
+        self.log_rate_limited(what, |left_out| {
             let names: Vec<&str> = head.headers.keys().map(|name| name.as_str()).take(12).collect();
             warn!(self.log, "{}", what; "code" => codes::UNEXPECTED_RESPONSE, "runner" => self.selector.name(key).as_str(),
                 "status" => head.status.as_u16(), "headers" => names.join(","), "left_out" => left_out);
--- a/crates/gateway/gateway/src/items.rs
+++ b/crates/gateway/gateway/src/items.rs
@@ -67,7 +67,7 @@
     pub(crate) sending_results: RefCell<HashSet<u16>>,
     /// When the store of a partition last confirmed its leases.
     confirmed: RefCell<HashMap<u16, u64>>,
-    held_at: Cell<u64>,
+    leases_renewed_at: Cell<u64>,
     /// Position of the next store to fetch from, among the heads.
     next_head: Cell<usize>,
 }
@@ -117,8 +117,8 @@
 /// Time passes: every 100 ms or so.
 pub fn tick(gateway: &Rc<Gateway>, now: u64) {
     let items = &gateway.items;
-    if now >= items.held_at.get() + LEASE_RENEWAL_INTERVAL_MS && !items.is_empty() {
-        items.held_at.set(now);
+    if now >= items.leases_renewed_at.get() + LEASE_RENEWAL_INTERVAL_MS && !items.is_empty() {
+        items.leases_renewed_at.set(now);
         renew_leases(gateway, now);
     }
     if let Some(at) = gateway.stopped.get() {
@@ -378,7 +378,7 @@
                 .is_confirmed(self.held_item.partition, now)
             {
                 let left_ms = self.due.saturating_sub(now);
-                let ask = SelectionRequest {
+                let selection = SelectionRequest {
                     request: &self.request,
                     route,
                     history: &self.history,
@@ -386,7 +386,7 @@
                     now,
                     response_started: self.held_item.started.get(),
                 };
-                if let Some(chosen) = self.gateway.selector.select_for_item(&ask) {
+                if let Some(chosen) = self.gateway.selector.select_for_item(&selection) {
                     return Some((chosen, RouteTerms::of_item(route)));
                 }
                 if !self.held_item.started.get() {
--- a/crates/gateway/gateway/src/process.rs
+++ b/crates/gateway/gateway/src/process.rs
@@ -233,10 +233,10 @@
 
 /// Says which connections with other processes were refused.
 fn connection_events(log: Logger) -> impl Fn(ConnectionEvent) + 'static {
-    let seldom = LogLimiter::default();
+    let limiter = LogLimiter::default();
     move |event| {
         if event.is_rejection() {
-            seldom.log("connection refused", |left_out| {
+            limiter.log("connection refused", |left_out| {
                 warn!(log, "connection refused"; "code" => codes::CONNECTION_REFUSED, "why" => %event, "left_out" => left_out);
             });
         }
@@ -248,7 +248,7 @@
     match read.and_then(|file| before.reload(&file)) {
         Ok(Reload { settings, changed, restart_required }) => {
             if !restart_required.is_empty() {
-                gateway.seldom("settings for the next start", |left_out| {
+                gateway.log_rate_limited("settings for the next start", |left_out| {
                     warn!(gateway.log, "settings that take effect at the next start"; "code" => codes::AT_NEXT_START,
                         "keys" => restart_required.join(","), "left_out" => left_out);
                 });
@@ -259,7 +259,7 @@
                 info!(gateway.log, "settings read again");
             }
         }
-        Err(e) => gateway.seldom("the settings stay as they were", |left_out| {
+        Err(e) => gateway.log_rate_limited("the settings stay as they were", |left_out| {
             error!(gateway.log, "the settings stay as they were"; "code" => codes::SETTINGS_KEPT, "why" => %e, "left_out" => left_out);
         }),
     }
@@ -277,7 +277,7 @@
         control::tick(&gateway, now);
         gateway.connections.guards().sweep();
         for (key, addr) in gateway.selector.tick(now) {
-            spawn_local(load_report::ask(Rc::clone(&gateway), key, addr));
+            spawn_local(load_report::fetch_report(Rc::clone(&gateway), key, addr));
         }
         items::tick(&gateway, now);
         if count % SWEEP_EVERY == 0 {
--- a/crates/gateway/gateway/src/proxy/forward.rs
+++ b/crates/gateway/gateway/src/proxy/forward.rs
@@ -142,7 +142,7 @@
         if history.sends >= terms.tries || (history.may_have_run && !terms.may_repeat) {
             return Next::Respond(final_response(gateway, history, &terms, None));
         }
-        let ask = SelectionRequest {
+        let selection = SelectionRequest {
             request,
             route,
             history,
@@ -150,7 +150,7 @@
             now,
             response_started: false,
         };
-        match gateway.selector.select(&ask) {
+        match gateway.selector.select(&selection) {
             Selection::Runner(chosen) => return Next::Runner(chosen, Box::new(terms)),
             Selection::Reject { after_ms } => {
                 return Next::Respond(final_response(gateway, history, &terms, Some(after_ms)));
--- a/crates/gateway/gateway/src/proxy/stream.rs
+++ b/crates/gateway/gateway/src/proxy/stream.rs
@@ -217,7 +217,7 @@
         {
             return None;
         }
-        let ask = SelectionRequest {
+        let selection = SelectionRequest {
             request,
             route,
             history,
@@ -225,7 +225,7 @@
             now,
             response_started: true,
         };
-        let chosen = match gateway.selector.select(&ask) {
+        let chosen = match gateway.selector.select(&selection) {
             Selection::Runner(chosen) => chosen,
             // A stream that has begun is not rejected while its client may still wait for more of it.
             Selection::Wait { .. } | Selection::Reject { .. } => {
--- a/crates/gateway/gateway/src/selection/load_report.rs
+++ b/crates/gateway/gateway/src/selection/load_report.rs
@@ -20,7 +20,7 @@
 const LONGEST: usize = 64 * 1024;
 
 /// Asks a runner, and tells the choice.
-pub async fn ask(gateway: Rc<Gateway>, key: Key, addr: SocketAddr) {
+pub async fn fetch_report(gateway: Rc<Gateway>, key: Key, addr: SocketAddr) {
     let report = timeout(WITHIN, fetch(&gateway, key, addr))
         .await
         .ok()
--- a/crates/gateway/gateway/src/selection/selector.rs
+++ b/crates/gateway/gateway/src/selection/selector.rs
@@ -14,7 +14,7 @@
 use route_config::{Config, Route, RouteKind};
 use runner_registry::{Runner, RunnerState};
 use runner_selection::{
-    Balancer, Choice as PolicyChoice, LoadReport, RequestProfile, RunnerKey, ServiceEstimates,
+    Balancer, Choice as BalancerChoice, LoadReport, RequestProfile, RunnerKey, ServiceEstimates,
     ServiceTerms, Traffic,
 };
 use std::cell::{Cell, RefCell};
@@ -125,9 +125,9 @@
     }
 
     /// A runner is new or has changed. Tells whether that is worth a line.
-    pub fn told(&self, now: u64, runner: &Runner) -> bool {
+    pub fn update_runner(&self, now: u64, runner: &Runner) -> bool {
         if runner.state == RunnerState::Gone {
-            self.gone(&runner.id);
+            self.remove_runner(&runner.id);
             return true;
         }
         let mut runners = self.0.runners.borrow_mut();
@@ -156,7 +156,7 @@
     }
 
     /// A runner is gone.
-    pub fn gone(&self, id: &str) {
+    pub fn remove_runner(&self, id: &str) {
         self.close(id);
         self.0.engines.borrow_mut().remove_runner(id);
         self.0.runners.borrow_mut().remove(id);
@@ -206,29 +206,31 @@
         self.0.queue.call_all();
     }
 
-    fn want(&self, ask: &SelectionRequest<'_>) -> RequestProfile {
-        let request = ask.request;
+    fn want(&self, selection: &SelectionRequest<'_>) -> RequestProfile {
+        let request = selection.request;
         let whole = |tokens: u64| u32::try_from(tokens).unwrap_or(u32::MAX);
         let ms = |ms: u64| u32::try_from(ms).unwrap_or(u32::MAX);
         let (tokens_in, tokens_out) = request.tokens.map_or((0, 0), |(i, o)| (whole(i), whole(o)));
-        let bulk = ask.route.kind == RouteKind::Bulk;
+        let bulk = selection.route.kind == RouteKind::Bulk;
         RequestProfile {
-            service: self.svc_for(request, ask.route),
+            service: self.svc_for(request, selection.route),
             prompt_parts: request.parts.clone(),
             prompt_tokens: tokens_in,
             max_output_tokens: tokens_out,
-            target_ms: ms(ask.route.target_ms),
-            remaining_ms: ms(ask.left_ms),
+            target_ms: ms(selection.route.target_ms),
+            remaining_ms: ms(selection.left_ms),
             // What resumes amid its response has waited for nothing.
-            waited_ms: if ask.response_started {
+            waited_ms: if selection.response_started {
                 0
             } else {
-                ms(ask.now.saturating_sub(request.came))
+                ms(selection.now.saturating_sub(request.came))
             },
-            priority: u8::try_from(ask.route.priority).unwrap_or(u8::MAX),
-            attempted: ask.history.runners.clone(),
-            is_last_attempt: ask.history.sends + 1 >= ask.route.max_attempts,
-            retryable: bulk || ask.route.kind == RouteKind::Idempotent || ask.route.resumable,
+            priority: u8::try_from(selection.route.priority).unwrap_or(u8::MAX),
+            attempted: selection.history.runners.clone(),
+            is_last_attempt: selection.history.sends + 1 >= selection.route.max_attempts,
+            retryable: bulk
+                || selection.route.kind == RouteKind::Idempotent
+                || selection.route.resumable,
         }
     }
 
@@ -246,16 +248,20 @@
     }
 
     /// Where a request goes now.
-    pub fn select(&self, ask: &SelectionRequest<'_>) -> Selection {
-        let want = self.want(ask);
-        let chose = self.0.engines.borrow_mut().choose(ask.now, &want);
+    pub fn select(&self, selection: &SelectionRequest<'_>) -> Selection {
+        let want = self.want(selection);
+        let chose = self.0.engines.borrow_mut().choose(selection.now, &want);
         match chose {
-            PolicyChoice::Send { runner } => match self.chosen(ask.now, runner, &want, false) {
-                Some(chosen) => Selection::Runner(chosen),
-                None => Selection::Wait { until: ask.now + 1 },
-            },
-            PolicyChoice::Wait { until } => Selection::Wait { until },
-            PolicyChoice::Reject { retry_after_ms } => Selection::Reject {
+            BalancerChoice::Send { runner } => {
+                match self.chosen(selection.now, runner, &want, false) {
+                    Some(chosen) => Selection::Runner(chosen),
+                    None => Selection::Wait {
+                        until: selection.now + 1,
+                    },
+                }
+            }
+            BalancerChoice::Wait { until } => Selection::Wait { until },
+            BalancerChoice::Reject { retry_after_ms } => Selection::Reject {
                 after_ms: retry_after_ms,
             },
         }
@@ -303,10 +309,14 @@
     }
 
     /// Where an item of a batch job goes now; none: it is held.
-    pub fn select_for_item(&self, ask: &SelectionRequest<'_>) -> Option<SelectedRunner> {
-        let want = self.want(ask);
-        let key = self.0.engines.borrow_mut().choose_item(ask.now, &want)?;
-        self.chosen(ask.now, key, &want, true)
+    pub fn select_for_item(&self, selection: &SelectionRequest<'_>) -> Option<SelectedRunner> {
+        let want = self.want(selection);
+        let key = self
+            .0
+            .engines
+            .borrow_mut()
+            .choose_item(selection.now, &want)?;
+        self.chosen(selection.now, key, &want, true)
     }
 
     /// How many items of a service may be fetched now.
--- a/crates/gateway/gateway/tests/common/mod.rs
+++ b/crates/gateway/gateway/tests/common/mod.rs
@@ -344,7 +344,7 @@
 
     pub fn tell(&self, runner: &Runner) {
         let gateway = &self.process.gateway;
-        gateway.selector.told(gateway.clock.now(), runner);
+        gateway.selector.update_runner(gateway.clock.now(), runner);
     }
 
     /// Sends a request on a connection of its own, and reads until the connection has ended.
--- a/crates/gateway/gateway/tests/connections.rs
+++ b/crates/gateway/gateway/tests/connections.rs
@@ -714,7 +714,7 @@
         })
         .await;
         rig.tell(&own.runner("s", RunnerState::Up));
-        rig.process.gateway.selector.gone("i-1");
+        rig.process.gateway.selector.remove_runner("i-1");
         let alone = learned().slots;
         rig.ask(&request(
             "/change/",
--- a/crates/gateway/gateway/tests/limits.rs
+++ b/crates/gateway/gateway/tests/limits.rs
@@ -206,7 +206,7 @@
         }
         assert_eq!(one.count(), 1);
         // Gone altogether, and the address is another's.
-        rig.process.gateway.selector.gone("i-2");
+        rig.process.gateway.selector.remove_runner("i-2");
         let said = rig
             .ask(&request(
                 "/plain/",
