--- a/crates/gateway/gateway/src/control.rs
+++ b/crates/gateway/gateway/src/control.rs
@@ -100,8 +100,8 @@
         let gateway = &self.0;
         if kind != RELAY {
             increment(&gateway.counts.odd);
-            return gateway.log_rate_limited("a frame of an unknown kind", |left_out| {
-                warn!(gateway.log, "a frame of an unknown kind"; "code" => codes::UNKNOWN_FRAME, "kind" => kind,
+            return gateway.log_rate_limited("frame of unknown kind ignored", |left_out| {
+                warn!(gateway.log, "frame of unknown kind ignored"; "code" => codes::UNKNOWN_FRAME, "kind" => kind,
                     "from" => %from.addr, "left_out" => left_out);
             });
         }
@@ -117,8 +117,8 @@
             }
             Err(e) => {
                 increment(&gateway.counts.odd);
-                gateway.log_rate_limited("a frame that can't be read", |left_out| {
-                    warn!(gateway.log, "a frame that can't be read"; "code" => codes::UNREADABLE_FRAME, "why" => %e,
+                gateway.log_rate_limited("frame rejected", |left_out| {
+                    warn!(gateway.log, "frame rejected"; "code" => codes::UNREADABLE_FRAME, "why" => %e,
                         "from" => %from.addr, "left_out" => left_out);
                 });
             }
@@ -195,7 +195,7 @@
         && control.state_table.borrow().get(CONTROLLERS_KEY).is_some()
     {
         control.state_table_complete_at.set(Some(now));
-        info!(gateway.log, "in touch with the control plane"; "after_ms" => now);
+        info!(gateway.log, "control plane connected"; "after_ms" => now);
     }
     activate(gateway, fresh);
     if tree {
@@ -204,7 +204,7 @@
     let parent = control.state_table.borrow().parent();
     if parent != control.parent.replace(parent) {
         let said = parent.map_or_else(|| "none".into(), |p| p.to_string());
-        info!(gateway.log, "parent"; "addr" => said);
+        info!(gateway.log, "parent selected"; "addr" => said);
     }
     if !changes.is_empty() {
         send(gateway);
@@ -336,8 +336,8 @@
         }
         Err(e) => {
             increment(&gateway.counts.odd);
-            gateway.log_rate_limited("a runner that can't be read", |left_out| {
-                warn!(gateway.log, "a runner that can't be read"; "code" => codes::UNREADABLE_RUNNER, "runner" => id,
+            gateway.log_rate_limited("runner entry unreadable", |left_out| {
+                warn!(gateway.log, "runner entry unreadable"; "code" => codes::UNREADABLE_RUNNER, "runner" => id,
                     "why" => %e, "left_out" => left_out);
             });
         }
@@ -354,13 +354,13 @@
     let Some(value) = value else { return };
     match PlacementMap::decode(&value) {
         Ok(map) => {
-            info!(gateway.log, "map of the stores"; "number" => map.number, "stores" => map.stores.len());
+            info!(gateway.log, "placement map applied"; "number" => map.number, "stores" => map.stores.len());
             *gateway.map.borrow_mut() = Some(Rc::new(map));
             gateway.changed.notify_waiters();
         }
         Err(e) => {
             increment(&gateway.counts.odd);
-            warn!(gateway.log, "a map that can't be read"; "code" => codes::UNREADABLE_MAP, "why" => %e);
+            warn!(gateway.log, "placement map unreadable"; "code" => codes::UNREADABLE_MAP, "why" => %e);
         }
     }
 }
@@ -384,12 +384,12 @@
         }
         Ok(config) => {
             increment(&gateway.counts.odd);
-            warn!(gateway.log, "a configuration under another number"; "code" => codes::OTHER_NUMBER, "gen" => config.version,
+            warn!(gateway.log, "configuration version mismatch"; "code" => codes::OTHER_NUMBER, "gen" => config.version,
                 "stamp" => stamp.0);
         }
         Err(e) => {
             increment(&gateway.counts.odd);
-            warn!(gateway.log, "a configuration that can't be read"; "code" => codes::UNREADABLE_CONFIG, "why" => %e);
+            warn!(gateway.log, "configuration unreadable"; "code" => codes::UNREADABLE_CONFIG, "why" => %e);
         }
     }
 }
@@ -417,7 +417,7 @@
 
 /// This configuration holds from now on.
 pub fn put_into_force(gateway: &Rc<Gateway>, next: Rc<Config>) {
-    info!(gateway.log, "configuration in force"; "gen" => next.version, "routes" => next.routes.len(),
+    info!(gateway.log, "configuration applied"; "gen" => next.version, "routes" => next.routes.len(),
         "svcs" => next.services.len());
     gateway.selector.configured(&next);
     crate::client::limits::apply(gateway, &next.limits);
--- a/crates/gateway/gateway/src/process.rs
+++ b/crates/gateway/gateway/src/process.rs
@@ -203,7 +203,7 @@
         let began = gateway.clock.now();
         gateway.stopped.set(Some(began));
         let grace = gateway.settings.borrow().bounds.grace_ms;
-        info!(gateway.log, "stopping"; "connections" => gateway.connections.open(), "items" => gateway.items.len());
+        info!(gateway.log, "shutting down"; "connections" => gateway.connections.open(), "items" => gateway.items.len());
         let mut closed = false;
         loop {
             let since = gateway.clock.now().saturating_sub(began);
@@ -224,10 +224,10 @@
         }
         let left = gateway.connections.open();
         if left > 0 || !gateway.items.is_empty() {
-            warn!(gateway.log, "ending with something open"; "code" => codes::ENDED_OPEN, "connections" => left, "items" => gateway.items.len());
+            warn!(gateway.log, "shutdown grace exceeded"; "code" => codes::ENDED_OPEN, "connections" => left, "items" => gateway.items.len());
         }
         let _ = gateway.links.flush(Duration::from_millis(100)).await;
-        info!(gateway.log, "ended"; "after_ms" => gateway.clock.now().saturating_sub(began));
+        info!(gateway.log, "stopped"; "after_ms" => gateway.clock.now().saturating_sub(began));
     }
 }
 
@@ -236,8 +236,8 @@
     let limiter = LogLimiter::default();
     move |event| {
         if event.is_rejection() {
-            limiter.log("connection refused", |left_out| {
-                warn!(log, "connection refused"; "code" => codes::CONNECTION_REFUSED, "why" => %event, "left_out" => left_out);
+            limiter.log("connection rejected", |left_out| {
+                warn!(log, "connection rejected"; "code" => codes::CONNECTION_REFUSED, "why" => %event, "left_out" => left_out);
             });
         }
     }
@@ -248,19 +248,19 @@
     match read.and_then(|file| before.reload(&file)) {
         Ok(Reload { settings, changed, restart_required }) => {
             if !restart_required.is_empty() {
-                gateway.log_rate_limited("settings for the next start", |left_out| {
-                    warn!(gateway.log, "settings that take effect at the next start"; "code" => codes::AT_NEXT_START,
+                gateway.log_rate_limited("settings take effect at the next start", |left_out| {
+                    warn!(gateway.log, "settings take effect at the next start"; "code" => codes::AT_NEXT_START,
                         "keys" => restart_required.join(","), "left_out" => left_out);
                 });
             }
             if changed {
                 *gateway.settings.borrow_mut() = Rc::new(settings);
                 control::follow(gateway, gateway.clock.now());
-                info!(gateway.log, "settings read again");
+                info!(gateway.log, "settings reloaded");
             }
         }
-        Err(e) => gateway.log_rate_limited("the settings stay as they were", |left_out| {
-            error!(gateway.log, "the settings stay as they were"; "code" => codes::SETTINGS_KEPT, "why" => %e, "left_out" => left_out);
+        Err(e) => gateway.log_rate_limited("settings reload rejected", |left_out| {
+            error!(gateway.log, "settings reload rejected"; "code" => codes::SETTINGS_KEPT, "why" => %e, "left_out" => left_out);
         }),
     }
 }
