--- a/crates/dispatcher/discovery/src/list_check.rs
+++ b/crates/dispatcher/discovery/src/list_check.rs
@@ -71,7 +71,7 @@
                 TargetState::Gone => drop(self.listed.remove(&entry.id)),
                 TargetState::Ready | TargetState::Draining if self.listed.contains(&entry.id) => {}
                 TargetState::Ready | TargetState::Draining => {
-                    drop(self.listed.insert(entry.id.clone()))
+                    self.listed.insert(entry.id.clone());
                 }
             }
         }
--- a/crates/gateway/gateway/src/proxy/events.rs
+++ b/crates/gateway/gateway/src/proxy/events.rs
@@ -27,7 +27,7 @@
     /// Takes bytes of the stream, and returns the events that are complete with them, perhaps none.
     ///
     /// # Errors
-    /// An event is longer than [`MAX_EVENT_BYTES`].
+    /// An event is longer than 1 MiB.
     pub fn take(&mut self, data: &Bytes) -> Result<Bytes, TooLong> {
         let complete = if self.partial.is_empty() {
             // The usual case: what comes is complete, and nothing is copied.
