--- a/crates/common/write-ahead-log/tests/directory.rs
+++ b/crates/common/write-ahead-log/tests/directory.rs
@@ -396,14 +396,24 @@
     std::fs::create_dir_all(&path).unwrap();
     std::fs::write(path.join("lost+found"), "x").unwrap();
     std::fs::write(path.join("ring-old"), "x").unwrap();
-    let opened = open(&path, OPTIONS, 5).unwrap();
-    assert!(opened.is_new);
-    opened.log.close();
+    // Without a writer thread, which may preallocate the second segment before the log is closed.
+    let prepared: PreparedLog<_, StdMonitor<SharedState>> =
+        prepare(LogDirectory::new(&path).unwrap(), OPTIONS, 5).unwrap();
+    assert!(prepared.is_new);
+    drop(prepared);
     assert_eq!(
         LogDirectory::new(&path).unwrap().files().unwrap(),
         [(0, 64 << 10)]
     );
     assert_eq!(std::fs::read(path.join("ring-old")).unwrap(), b"x");
+    // With the thread: it leaves them alone, too.
+    let opened = open(&path, OPTIONS, 5).unwrap();
+    assert!(!opened.is_new);
+    opened.log.close();
+    let files = LogDirectory::new(&path).unwrap().files().unwrap();
+    assert_eq!(files.first(), Some(&(0, 64 << 10)));
+    assert_eq!(std::fs::read(path.join("ring-old")).unwrap(), b"x");
+    assert_eq!(std::fs::read(path.join("lost+found")).unwrap(), b"x");
     std::fs::remove_dir_all(path).unwrap();
 }
 
